--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -16,7 +16,7 @@
 from poplarrun import peers
 from poplarrun.logs import BoundedHandler, events, write_event
 from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_share
-from poplarrun.placement import Listing, Placement
+from poplarrun.placement import EndpointRecord, Placement
 from poplarrun.platform import decode_catalogue
 from poplarrun.routing import Pace, PromptPart, Repeat, Request, Route, Service, Share, Work
 
@@ -37,10 +37,10 @@
 FLOOD_S = 10.0
 
 
-def make_listings(count: int) -> list[Listing]:
+def make_listings(count: int) -> list[EndpointRecord]:
     """Return endpoints in three zones."""
     return [
-        Listing(f"i-{n:010x}", "engines", f"10.0.0.1:{n}", "abc"[n % 3], "v1", 64, False)
+        EndpointRecord(f"i-{n:010x}", "engines", f"10.0.0.1:{n}", "abc"[n % 3], "v1", 64, False)
         for n in range(count)
     ]
 
@@ -66,13 +66,13 @@
 def measure_choice(count: int) -> float:
     """Return the time of one choice among so many endpoints, in microseconds."""
     placement = Placement("a", random.Random(1))
-    placement.update(make_listings(count))
+    placement.update_endpoints(make_listings(count))
     return time_us(lambda n: placement.choose(make_work(n), ENGINES, 1.0, "small"))
 
 
 def measure_digest(count: int) -> tuple[float, float]:
     """Return size and encoding time of a digest that names so many endpoints."""
-    loads = [EndpointLoad(listing.lifetime, 9, 420) for listing in make_listings(count)]
+    loads = [EndpointLoad(listing.instance_id, 9, 420) for listing in make_listings(count)]
     share = encode_share(peers.Share(1, loads))
     digest = Digest("10.1.0.40:7340", "a", 1e5, 1e5, 0.2, 43, 0.4, 0.3, scope=Scope.HOST)
 
--- a/bench/gateway_world.py
+++ b/bench/gateway_world.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from poplarrun.dispatch import Dispatch, Knowledge, Send
-from poplarrun.placement import Listing, Placement
+from poplarrun.dispatch import ConfigView, Dispatcher, SendDecision
+from poplarrun.placement import EndpointRecord, Placement
 from poplarrun.rollouts import Rollouts
 from poplarrun.routing import (
     Account,
@@ -185,18 +185,20 @@
             step()
         return self.tally
 
-    def _make_host(self, number: int, policy: Policy) -> Dispatch:
+    def _make_host(self, number: int, policy: Policy) -> Dispatcher:
         placement = policy.placement(ZONES[number % len(ZONES)], random.Random(number))
-        placement.update(
+        placement.update_endpoints(
             [
-                Listing(name, "engines", f"10.0.0.1:{place}", engine.zone, "v1", 64, False)
+                EndpointRecord(name, "engines", f"10.0.0.1:{place}", engine.zone, "v1", 64, False)
                 for place, (name, engine) in enumerate(self._engines.items())
             ]
         )
-        knowledge = Knowledge(true_at=math.inf)
+        knowledge = ConfigView(confirmed_at=math.inf)
         routes = tuple(self._routes.values())
-        knowledge.take(Catalogue(1, {"h": routes}, {"engines": ENGINES}, {"key": Account("acme")}))
-        return Dispatch(knowledge, placement, Rollouts(), policy.make_sizes(), 0.765, 5.5, 10.0)
+        knowledge.apply_catalogue(
+            Catalogue(1, {"h": routes}, {"engines": ENGINES}, {"key": Account("acme")})
+        )
+        return Dispatcher(knowledge, placement, Rollouts(), policy.make_sizes(), 0.765, 5.5, 10.0)
 
     def _at(self, when: float, step: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (when, next(self._numbers), step))
@@ -204,11 +206,11 @@
     def _tell(self, number: int, place: int) -> None:
         """Tell another host what this one runs, again and again."""
         loads = {
-            member.listing.lifetime: (member.in_flight, member.pending_s)
-            for member in self._hosts[number].placement.members()
+            member.record.instance_id: (member.in_flight, member.pending_prefill_s)
+            for member in self._hosts[number].placement.endpoints()
             if member.in_flight
         }
-        self._hosts[place].placement.take_others(str(number), loads)
+        self._hosts[place].placement.apply_peer_load(str(number), loads)
         is_near = number % len(ZONES) == place % len(ZONES)
         pause_s = (NEAR_DIGEST_S if is_near else FAR_DIGEST_S) * self._random.uniform(0.8, 1.2)
         if self.now < SECONDS:
@@ -244,10 +246,10 @@
             shared + own, kind.most_tokens, "*", None, None, max(1, hint),
         )  # fmt: skip
 
-    def answer(self, call: "Call", send: Send) -> None:
+    def answer(self, call: "Call", send: SendDecision) -> None:
         """Have an engine read a prompt, and give its first event to the call."""
-        member = send.seat.member
-        engine = self._engines[member.listing.lifetime]
+        member = send.estimate.endpoint
+        engine = self._engines[member.record.instance_id]
         model = BY_NAME[send.size or "small"]
         first_at = engine.read(call.work.request, model, self.now)
         if engine.zone != call.zone:
@@ -258,7 +260,7 @@
         call.confidence = min(1.0, max(0.0, confidence))
         self._at(first_at, call.take_first)
 
-    def zone_of(self, host: Dispatch) -> str:
+    def zone_of(self, host: Dispatcher) -> str:
         """Return the zone of a host."""
         return ZONES[self._hosts.index(host) % len(ZONES)]
 
@@ -272,7 +274,7 @@
     """One request of a caller."""
 
     world: World
-    host: Dispatch
+    host: Dispatcher
     work: Work
     kind: Kind
     difficulty: float
@@ -285,24 +287,24 @@
 
     def send(self) -> None:
         """Send to the engine that the host chooses."""
-        step = self.host.choose(self.work, self.world.now)
-        assert isinstance(step, Send), step
-        self.attempt = self.host.note_sent(self.work, step, self.world.now)
+        step = self.host.choose_endpoint(self.work, self.world.now)
+        assert isinstance(step, SendDecision), step
+        self.attempt = self.host.record_sent(self.work, step, self.world.now)
         self.world.answer(self, step)
 
     def take_first(self) -> None:
         """Take the first event: keep the answer, or ask a larger model."""
         now, model = self.world.now, BY_NAME[self.attempt.size or "small"]
         self._pay(model, 0 if now > SECONDS else 1)
-        if self.host.ask_larger(self.work, self.attempt, self.confidence, now):
+        if self.host.try_escalate(self.work, self.attempt, self.confidence, now):
             self.send()
             return
-        self.host.note_first(self.work, self.attempt, now)
+        self.host.record_first_event(self.work, self.attempt, now)
         self._count(model)
         self.world.end_later(self.kind.answer_tokens * model.token_s, self._end)
 
     def _end(self) -> None:
-        self.host.note_end(self.work, self.attempt, self.world.now)
+        self.host.record_completed(self.work, self.attempt, self.world.now)
 
     def _pay(self, model: Model, generated: int) -> None:
         if self.work.arrived_at >= CALM_S:
--- a/bench/load_overload.py
+++ b/bench/load_overload.py
@@ -6,10 +6,10 @@
 
 from bench.load_engines import SMALL, FakeEngine, Simulation, Sizes, Work, draw_lengths
 from bench.load_policies import VERSION, ZONES, Poplarrun, Reports
-from poplarrun.admission import Held, Refused
+from poplarrun.admission import Queued, Refused
 from poplarrun.endpoints import Demand
 from poplarrun.retries import GiveUp
-from poplarrun.router import Dispatch, Job, NoEndpoint, Sent, Start
+from poplarrun.router import Dispatched, EngineDispatcher, EngineRequest, NoEndpoint, StartOutcome
 from poplarrun.speeds import PoolSpeed
 
 HOSTS = 6
@@ -52,7 +52,7 @@
 
     work: Work
     plan: ClassPlan
-    job: Job | None = None
+    job: EngineRequest | None = None
     refusals: int = 0
     answered: bool = False
     refused_at: float = -1.0
@@ -68,14 +68,14 @@
 
     def __init__(self, number: int, simulation: Simulation, reports: Reports, hosts: int) -> None:
         self.policy = Poplarrun(number, simulation.engines, reports, hosts)
-        self.dispatch = Dispatch(self.policy.table, QUEUE_BOUND, random.Random(number))
+        self.dispatch = EngineDispatcher(self.policy.table, QUEUE_BOUND, random.Random(number))
         self.held: dict[str, Ask] = {}
 
-    def begin(self, ask: Ask, now: float) -> Start:
+    def begin(self, ask: Ask, now: float) -> StartOutcome:
         """Offer a request to the dispatch."""
         self.policy.sync(now)
         work = ask.work
-        ask.job = Job(
+        ask.job = EngineRequest(
             request_id=f"{work.number}-{ask.refusals}",
             account=work.account,
             work_class=ask.plan.name,
@@ -86,7 +86,7 @@
             deadline=now + WHOLE_S,
         )
         started = self.dispatch.start(ask.job, now)
-        if isinstance(started, Held):
+        if isinstance(started, Queued):
             self.held[ask.job.request_id] = ask
         return started
 
@@ -120,7 +120,7 @@
         self.simulation = Simulation(engines)
         reports = Reports(lag_s, min(PERIOD_S, max(lag_s, 0.1)))
         reports.start(self.simulation, phases[-1].until + 5.0)
-        Poplarrun.speed = PoolSpeed(whole_s=sizes.mean_work_s)
+        Poplarrun.speed = PoolSpeed(mean_request_s=sizes.mean_work_s)
         self.hosts = [HostSide(n, self.simulation, reports, host_count) for n in range(host_count)]
         self.callers_return = callers_return
         self.down_from = self.down_until = -1.0
@@ -166,10 +166,10 @@
         host = self.hosts[ask.work.host]
         self._follow(ask, host.begin(ask, self.simulation.now))
 
-    def _follow(self, ask: Ask, start: Start | GiveUp) -> None:
+    def _follow(self, ask: Ask, start: StartOutcome | GiveUp) -> None:
         now = self.simulation.now
         match start:
-            case Sent(choice=choice, delay_s=delay_s):
+            case Dispatched(choice=choice, delay_s=delay_s):
                 index = int(choice.endpoint.name)
                 self.simulation.at(now + delay_s, lambda: self._submit(ask, index))
             case Refused(retry_after_s=retry_after_s):
@@ -183,11 +183,11 @@
         if self.down_from <= now < self.down_until:
             host = self.hosts[ask.work.host]
             assert ask.job is not None
-            decision = host.dispatch.decide_again(ask.job, "connect", False, now)
+            decision = host.dispatch.handle_failed_attempt(ask.job, "connect", False, now)
             if isinstance(decision, GiveUp):
                 self._follow(ask, decision)
             else:
-                self._follow(ask, host.dispatch.send_elsewhere(ask.job, now, decision.delay_s))
+                self._follow(ask, host.dispatch.retry_elsewhere(ask.job, now, decision.delay_s))
             return
         self.simulation.submit(ask.work, index)
 
@@ -210,13 +210,13 @@
     def _release(self, host: HostSide) -> None:
         if host.held:
             host.policy.sync(self.simulation.now)
-            for job, outcome in host.dispatch.release(self.simulation.now):
+            for job, outcome in host.dispatch.release_queued(self.simulation.now):
                 self._follow(host.held.pop(job.request_id), outcome)
 
     def _note_first(self, work: Work) -> None:
         ask = self._by_work[id(work)]
         assert ask.job is not None
-        self.hosts[work.host].dispatch.note_first_token(ask.job, self.simulation.now)
+        self.hosts[work.host].dispatch.record_first_token(ask.job, self.simulation.now)
 
     def _note_end(self, work: Work) -> None:
         ask = self._by_work[id(work)]
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -171,12 +171,12 @@
         """Hear that a first token came."""
         if self._load.pop(work.number, 1.0) < QUIET_LOAD:
             uncached = work.prompt_tokens - work.cached_tokens
-            self.table.pool(VERSION).speed.note_first_token(uncached, now - work.at)
+            self.table.pool(VERSION).speed.record_first_token(uncached, now - work.at)
 
     def note_end(self, work: Work, now: float) -> None:
         """Hear that a request of this host ended."""
         self.table.note_ended(str(work.engine), now)
-        self.table.pool(VERSION).speed.note_whole(work.end_at - work.first_at)
+        self.table.pool(VERSION).speed.record_request_time(work.end_at - work.first_at)
 
     def sync(self, now: float) -> None:
         """Apply the reports and cache events that are visible now."""
--- a/bench/load_services.py
+++ b/bench/load_services.py
@@ -30,7 +30,7 @@
     def __init__(self, limit: float) -> None:
         self.limit = limit
 
-    def note_end(self, took_s: float, in_flight: int, now: float) -> None:
+    def record_end(self, took_s: float, in_flight: int, now: float) -> None:
         """Ignore a call's time."""
 
 
@@ -42,9 +42,9 @@
     def limit(self) -> float:
         return self.inner.aimd.limit
 
-    def note_end(self, took_s: float, in_flight: int, now: float) -> None:
+    def record_end(self, took_s: float, in_flight: int, now: float) -> None:
         self.inner.in_flight = in_flight
-        self.inner.note_end(took_s, now)
+        self.inner.record_end(took_s, now)
 
 
 KINDS = {
@@ -75,7 +75,7 @@
         nonlocal busy
         busy -= 1
         took_s = simulation.now - at
-        limits[host].note_end(took_s, in_flight[host], simulation.now)
+        limits[host].record_end(took_s, in_flight[host], simulation.now)
         in_flight[host] -= 1
         if simulation.now >= WARM_UP_S:
             taken.append(took_s)
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.steps.endpoints import VERSION, engine, names_of, report
-from poplarrun.admission import AimdLimit, FairQueue, Held, Refused, ServiceLimit, Ticket
+from poplarrun.admission import AimdLimit, FairQueue, Queued, Refused, ServiceLimit, Ticket
 from poplarrun.endpoints import Demand, EndpointTable
 from poplarrun.retries import (
     FailedAttempt,
@@ -13,7 +13,7 @@
     RetryBudget,
     decide_retry,
 )
-from poplarrun.router import Dispatch, Job, Sent
+from poplarrun.router import Dispatched, EngineDispatcher, EngineRequest
 
 QUEUE_BOUND = 4
 
@@ -24,7 +24,7 @@
     context.endpoint_table.apply_list(tuple(engine(name, "a") for name in names_of(names)))
     for name in names_of(names):
         report(context.endpoint_table, name, 0, -1.0, capacity)
-    context.dispatch = Dispatch(context.endpoint_table, QUEUE_BOUND, random.Random(1))
+    context.dispatch = EngineDispatcher(context.endpoint_table, QUEUE_BOUND, random.Random(1))
     context.jobs = {}
     context.running = []
     context.released = {}
@@ -33,7 +33,7 @@
 @given('engine "{name}" belongs to this host and finishes a request in {whole:f} s')
 def step_own_engine(context, name, whole):
     context.endpoint_table.take_assigned(frozenset({name}))
-    context.endpoint_table.pool(VERSION).speed.whole_s = whole
+    context.endpoint_table.pool(VERSION).speed.mean_request_s = whole
 
 
 @when('engine "{name}" reports {count:d} requests, {times:d} times until {at:f}')
@@ -44,7 +44,7 @@
 
 def start(context, importance, at, within=30.0, name=None):
     name = name or f"chat-{len(context.jobs)}"
-    job = Job(
+    job = EngineRequest(
         name,
         "acme",
         "work",
@@ -57,12 +57,12 @@
     context.jobs[name] = job
     context.job = job
     context.started = context.dispatch.start(job, at)
-    if isinstance(context.started, Sent):
+    if isinstance(context.started, Dispatched):
         context.running.append(job)
 
 
 def release(context, at):
-    for job, outcome in context.dispatch.release(at):
+    for job, outcome in context.dispatch.release_queued(at):
         context.released[job.request_id] = outcome
 
 
@@ -104,10 +104,10 @@
 @when('its attempt breaks at {at:f} with "{reason}", {how}')
 def step_breaks(context, at, reason, how):
     context.first = context.job.choice.endpoint.name
-    decision = context.dispatch.decide_again(context.job, reason, how == "started", at)
+    decision = context.dispatch.handle_failed_attempt(context.job, reason, how == "started", at)
     context.decision = decision
     if isinstance(decision, RetryAfter):
-        context.dispatch.send_elsewhere(context.job, at, decision.delay_s)
+        context.dispatch.retry_elsewhere(context.job, at, decision.delay_s)
 
 
 @then("its second attempt is at the other engine")
@@ -147,7 +147,7 @@
 
 @then('"{first}" starts and "{second}" waits')
 def step_goes_first(context, first, second):
-    assert isinstance(context.released[first], Sent)
+    assert isinstance(context.released[first], Dispatched)
     assert second not in context.released
 
 
@@ -164,7 +164,7 @@
 
 @then('"{name}" is refused with "{kind}" by {at:f}')
 def step_refused_by(context, name, kind, at):
-    assert isinstance(context.started, Held)
+    assert isinstance(context.started, Queued)
     release(context, at)
     assert context.released[name].kind.value == kind
 
@@ -212,7 +212,7 @@
 def note_waits(context, count, wait, interval, running):
     for _ in range(count):
         context.now += interval
-        context.limit.note_wait(wait, running or math.ceil(context.limit.limit), context.now)
+        context.limit.record_wait(wait, running or math.ceil(context.limit.limit), context.now)
 
 
 @when(
@@ -257,7 +257,7 @@
     context.sent = 0
     context.kinds = set()
     for _ in range(count):
-        context.budget.note_attempt()
+        context.budget.record_attempt()
         attempts = 1
         context.sent += 1
         while isinstance(decision := decide(context, attempts), RetryAfter):
@@ -304,9 +304,9 @@
     limit = context.service_limit
     for took_s in times:
         while limit.has_room():
-            limit.note_sent()
+            limit.record_sent()
         context.now += took_s
-        limit.note_end(took_s, context.now)
+        limit.record_end(took_s, context.now)
 
 
 @given("a service limit that saw {count:d} calls of {took:f} s")
@@ -314,9 +314,9 @@
     context.service_limit = ServiceLimit()
     context.now = 0.0
     for _ in range(count):
-        context.service_limit.note_sent()
+        context.service_limit.record_sent()
         context.now += took
-        context.service_limit.note_end(took, context.now)
+        context.service_limit.record_end(took, context.now)
 
 
 @when("{count:d} calls of the service take {took:f} s each, while all places are used")
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -10,10 +10,16 @@
     make_route,
     make_work,
 )
-from poplarrun.dispatch import ConnectionBroke, Knowledge, Send, first_patience_s, gap_patience_s
+from poplarrun.dispatch import (
+    ConfigView,
+    ConnectionLost,
+    SendDecision,
+    event_gap_timeout_s,
+    first_event_timeout_s,
+)
 from poplarrun.errors import NotRun, Refusal, answer_for
 from poplarrun.gateway._host import RETRY_PART, part_of_allowance
-from poplarrun.placement import Seat
+from poplarrun.placement import EndpointEstimate
 from poplarrun.routing import Account, Repeat, Work
 
 
@@ -21,19 +27,19 @@
     now = 100.0 + number * 0.01
     work = dispatch.admit(make_request(number=number), now)
     while True:
-        step = dispatch.choose(work, now)
+        step = dispatch.choose_endpoint(work, now)
         if isinstance(step, Refusal):
             return work.sends
-        attempt = dispatch.note_sent(work, step, now)
-        failure = ConnectionBroke("reset")
-        if dispatch.note_failure(work, step.seat.member, attempt, failure, now) is not None:
+        attempt = dispatch.record_sent(work, step, now)
+        failure = ConnectionLost("reset")
+        if dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, now) is not None:
             return work.sends
 
 
 @given("a dispatch whose configuration was confirmed at {at:f} and keys bound by {bound:f} s")
 def step_dispatch(context, at, bound):
-    context.knowledge = Knowledge(bound)
-    context.knowledge.take(make_catalogue())
+    context.knowledge = ConfigView(bound)
+    context.knowledge.apply_catalogue(make_catalogue())
     context.knowledge.confirm(at)
     context.dispatch = make_dispatch(context.knowledge)
 
@@ -67,23 +73,25 @@
 def step_sent_and_broken(context, at, broken):
     step_admitted(context, at)
     dispatch, work = context.dispatch, context.work
-    step = dispatch.choose(work, at)
-    attempt = dispatch.note_sent(work, step, at)
-    failure = ConnectionBroke("reset")
-    assert dispatch.note_failure(work, step.seat.member, attempt, failure, broken) is None
+    step = dispatch.choose_endpoint(work, at)
+    attempt = dispatch.record_sent(work, step, at)
+    failure = ConnectionLost("reset")
+    assert dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, broken) is None
     context.broken_at = broken
 
 
 @then('it is sent again, and a new request is refused with "{kind}" at {at:f}')
 def step_sent_again(context, kind, at):
-    assert isinstance(context.dispatch.choose(context.work, context.broken_at), Send)
+    assert isinstance(
+        context.dispatch.choose_endpoint(context.work, context.broken_at), SendDecision
+    )
     step_refused(context, kind, at)
 
 
 @when("a keyed request is admitted at {at:f} and its key is taken away")
 def step_key_gone(context, at):
     step_admitted(context, at)
-    context.knowledge.take(make_catalogue(version=2, keys=()))
+    context.knowledge.apply_catalogue(make_catalogue(version=2, keys=()))
     context.refusal = context.dispatch.recheck(context.work, at + 0.1)
 
 
@@ -95,7 +103,9 @@
 
 @when("the versions {first:d}, {second:d} and {third:d} arrive in this order")
 def step_versions(context, first, second, third):
-    context.taken = [context.knowledge.take(make_catalogue(v)) for v in (first, second, third)]
+    context.taken = [
+        context.knowledge.apply_catalogue(make_catalogue(v)) for v in (first, second, third)
+    ]
 
 
 @then("version {version:d} is in force and {older:d} changed nothing")
@@ -108,12 +118,12 @@
 def step_broken(context):
     dispatch = context.dispatch
     work = dispatch.admit(make_request(), 100.1)
-    step = dispatch.choose(work, 100.1)
-    assert isinstance(step, Send)
-    attempt = dispatch.note_sent(work, step, 100.1)
-    dispatch.note_failure(work, step.seat.member, attempt, ConnectionBroke("reset"), 100.2)
-    dispatch.placement.update([])
-    context.refusal = dispatch.choose(work, 100.3)
+    step = dispatch.choose_endpoint(work, 100.1)
+    assert isinstance(step, SendDecision)
+    attempt = dispatch.record_sent(work, step, 100.1)
+    dispatch.handle_failure(work, step.estimate.endpoint, attempt, ConnectionLost("reset"), 100.2)
+    dispatch.placement.update_endpoints([])
+    context.refusal = dispatch.choose_endpoint(work, 100.3)
 
 
 @then('the refusal doesn\'t say "not run"')
@@ -130,8 +140,8 @@
 
     context.dispatches = []
     for _ in range(count):
-        knowledge = Knowledge(None)
-        knowledge.take(make_catalogue())
+        knowledge = ConfigView(None)
+        knowledge.apply_catalogue(make_catalogue())
         knowledge.confirm(100.0)
         share = part_of_allowance(allowance, count - 1)
         context.dispatches.append(make_dispatch(knowledge, 4, RETRY_PART * ratio, share))
@@ -182,16 +192,16 @@
     other, second = (float(number) for number in re.findall(r"[0-9.]+(?= s)", rest))
     member = make_placement(1).find("engine-0")
     for expected, patience in ((one, first), (other, second)):
-        seat = Seat(member, 0.0, expected, 0)
-        assert first_patience_s(make_work(), seat) == patience
+        seat = EndpointEstimate(member, 0.0, expected, 0)
+        assert first_event_timeout_s(make_work(), seat) == patience
 
 
 @then("its last attempt, and an order, are never left")
 def step_no_patience(context):
-    seat = Seat(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
+    seat = EndpointEstimate(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
     last = make_work()
     last.runs = 2
     order = make_work()
     order.route = make_route(repeat=Repeat.ONCE, attempts=1)
-    assert first_patience_s(last, seat) is None and first_patience_s(order, seat) is None
-    assert gap_patience_s(order) is None
+    assert first_event_timeout_s(last, seat) is None and first_event_timeout_s(order, seat) is None
+    assert event_gap_timeout_s(order) is None
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._capacity import find_capacity
 from poplarrun.gateway._events import EventCutter
 from poplarrun.gateway._followers import DocumentFollower
@@ -118,7 +118,7 @@
     context.store = SilentOnce(silent=2)
     reading = SharedReading(DOCUMENTS, PeerBook("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
-        context.store, Knowledge(), Rollouts(), lambda: None, reading
+        context.store, ConfigView(), Rollouts(), lambda: None, reading
     )
 
 
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -1,7 +1,7 @@
 import random
 
-from poplarrun.dispatch import Dispatch
-from poplarrun.placement import Listing, Placement
+from poplarrun.dispatch import Dispatcher
+from poplarrun.placement import EndpointRecord, Placement
 from poplarrun.rollouts import Rollouts
 from poplarrun.routing import (
     Account,
@@ -44,20 +44,20 @@
 
 
 def make_listing(name, version="v1", sequence=1, started_ms=1, zone="a"):
-    return Listing(
+    return EndpointRecord(
         name, "engines", "127.0.0.1:1", zone, version, 8, False, 0.0, started_ms, sequence
     )
 
 
 def make_placement(count):
     placement = Placement("a", random.Random(3))
-    placement.update([make_listing(f"engine-{number}") for number in range(count)])
+    placement.update_endpoints([make_listing(f"engine-{number}") for number in range(count)])
     return placement
 
 
 def make_dispatch(knowledge, engines=2, earned=0.8, allowance=10.0, window_s=10.0):
     placement = make_placement(engines)
-    return Dispatch(knowledge, placement, Rollouts(), SizePolicy(), earned, allowance, window_s)
+    return Dispatcher(knowledge, placement, Rollouts(), SizePolicy(), earned, allowance, window_s)
 
 
 def make_work(parts=(), number=0, session=None):
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -277,7 +277,7 @@
 @then('callers are told when "{version}" may come')
 def step_told(context, version):
     host = context.world.hosts["a1"]
-    assert host.context.coming[VersionId.parse(version)] > 0
+    assert host.context.expected_load_s[VersionId.parse(version)] > 0
 
 
 def work_on(version, in_session=False, engine=""):
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -5,7 +5,7 @@
 
 from features.steps.gateway_world import ENGINES, make_listing, make_placement, make_work
 from poplarrun.peers import Digest, PeerBook
-from poplarrun.placement import Directory, DirectoryEvent, Placement
+from poplarrun.placement import DirectoryEvent, EndpointDirectory, Placement
 from poplarrun.routing import PromptPart
 
 
@@ -16,7 +16,7 @@
 
 @given('a directory that lists "{name}" with record {sequence:d}')
 def step_directory(context, name, sequence):
-    context.directory = Directory()
+    context.directory = EndpointDirectory()
     context.directory.apply(make_listing(name, sequence=sequence), 0.0)
 
 
@@ -38,13 +38,13 @@
 
 @then("the directory lists nothing")
 def step_lists_nothing(context):
-    assert context.directory.listings() == []
+    assert context.directory.records() == []
 
 
 @then('record {sequence:d} of "{name}" lists it again')
 def step_lists_again(context, sequence, name):
     step_record(context, sequence, name)
-    assert [listing.lifetime for listing in context.directory.listings()] == [name]
+    assert [listing.instance_id for listing in context.directory.records()] == [name]
 
 
 @when("record {sequence:d} of its second start arrives")
@@ -66,8 +66,8 @@
 
 @then("it is still listed at {kept:f} and gone at {gone:f}")
 def step_lapsed(context, kept, gone):
-    assert context.directory.expire(kept) == [] and context.directory.listings()
-    assert context.directory.expire(gone) == ["e1"] and not context.directory.listings()
+    assert context.directory.expire(kept) == [] and context.directory.records()
+    assert context.directory.expire(gone) == ["e1"] and not context.directory.records()
 
 
 @given("a placement of {count:d} engines")
@@ -79,29 +79,29 @@
 def step_read(context, tokens):
     context.parts = (PromptPart("shared", tokens - 1000), PromptPart("own", 1000))
     seat = context.placement.choose(make_work(context.parts), ENGINES, 100.0, "small")
-    context.reader = seat.member
-    context.reader.remember("small", context.parts, 100.0)
+    context.reader = seat.endpoint
+    context.reader.record_prompt("small", context.parts, 100.0)
 
 
 @then("the next prompt with the same beginning goes there")
 def step_goes_there(context):
     parts = (context.parts[0], PromptPart("other", 1000))
     seat = context.placement.choose(make_work(parts, 1), ENGINES, 101.0, "small")
-    assert seat.member is context.reader and seat.unread_tokens == 1000, seat
+    assert seat.endpoint is context.reader and seat.uncached_tokens == 1000, seat
 
 
 @then("with {count:d} prompts waiting there it goes elsewhere")
 def step_goes_elsewhere(context, count):
     context.reader.in_flight = count
-    context.reader.pending_s = count * 0.5
+    context.reader.pending_prefill_s = count * 0.5
     seat = context.placement.choose(make_work(context.parts, 2), ENGINES, 101.0, "small")
-    assert seat.member is not context.reader
+    assert seat.endpoint is not context.reader
 
 
 @given('a placement of engines in the zones "{zones}" and a book that heard hosts of "{others}"')
 def step_zones(context, zones, others):
     context.placement = Placement("a", random.Random(3))
-    context.placement.update([make_listing(f"in-{z}", zone=z) for z in zones.split(", ")])
+    context.placement.update_endpoints([make_listing(f"in-{z}", zone=z) for z in zones.split(", ")])
     context.book = PeerBook("10.0.0.1:1", "a")
     for zone in others.split(", "):
         hear(context, zone, 100.0)
@@ -120,25 +120,25 @@
         context.placement.find(f"in-{zone}").in_flight = 4
     for number in range(count):
         seat = context.placement.choose(make_work(number=number), ENGINES, 105.0, "small")
-        assert seat.member.listing.zone in (one, two), seat
+        assert seat.endpoint.record.zone in (one, two), seat
 
 
 @then("{count:d} prompts with one beginning go to one engine of another host's choice")
 def step_home(context, count):
     other = Placement("a", random.Random(99))
-    other.update([member.listing for member in context.placement.members()])
+    other.update_endpoints([member.record for member in context.placement.endpoints()])
     homes = set()
     for number in range(count):
         parts = (PromptPart("beginning", 20_000), PromptPart(f"own-{number}", 500))
         host = context.placement if number % 2 else other
         seat = host.choose(make_work(parts, number), ENGINES, 100.0, "small")
-        homes.add(seat.member.listing.lifetime)
+        homes.add(seat.endpoint.record.instance_id)
     assert len(homes) == 1, homes
 
 
 @when('prompts that take {seconds:f} s wait in the zone "{zone}"')
 def step_wait(context, seconds, zone):
-    context.placement.find(f"in-{zone}").pending_s = seconds
+    context.placement.find(f"in-{zone}").pending_prefill_s = seconds
 
 
 @then('a body of {long:d} bytes goes to "{near}" and one of {short:d} bytes to "{far}"')
@@ -147,14 +147,14 @@
         work = make_work()
         work.request = dataclasses.replace(work.request, body=b" " * size)
         seat = context.placement.choose(work, ENGINES, 100.0, "small")
-        assert seat.member.listing.zone == zone, (size, seat)
+        assert seat.endpoint.record.zone == zone, (size, seat)
 
 
 @when('"{name}" fails')
 def step_fails(context, name):
     context.member = context.placement.find(name)
     context.failed_at = 100.0
-    context.member.note_failure(context.failed_at)
+    context.member.record_failure(context.failed_at)
 
 
 @then("it gets nothing for {seconds:f} s")
@@ -163,12 +163,12 @@
         for number in range(20):
             work = make_work(number=number)
             seat = context.placement.choose(work, ENGINES, context.failed_at + at, "small")
-            assert seat.member is not context.member
+            assert seat.endpoint is not context.member
     assert context.member.paused_until <= context.failed_at + seconds
 
 
 @then("it gets nothing for {seconds:f} s after a second failure")
 def step_paused_again(context, seconds):
     context.failed_at = context.member.paused_until + 0.1
-    context.member.note_failure(context.failed_at)
+    context.member.record_failure(context.failed_at)
     step_paused(context, seconds)
--- a/features/steps/proving.py
+++ b/features/steps/proving.py
@@ -49,17 +49,17 @@
     context.placements = []
     for number in range(hosts):
         placement = Placement("a", random.Random(number))
-        placement.update([make_listing(f"engine-{place}") for place in range(count)])
+        placement.update_endpoints([make_listing(f"engine-{place}") for place in range(count)])
         context.placements.append(placement)
 
 
 def choose_all(context, is_proving):
     work = make_work()
     chosen = [
-        placement.choose(work, ENGINES, 100.0, "small", is_proving=is_proving)
+        placement.choose(work, ENGINES, 100.0, "small", concentrate_load=is_proving)
         for placement in context.placements
     ]
-    return {seat.member.listing.lifetime for seat in chosen}
+    return {seat.endpoint.record.instance_id for seat in chosen}
 
 
 @then("all of them prove it at the same endpoint")
--- a/features/steps/refusing_engines.py
+++ b/features/steps/refusing_engines.py
@@ -2,7 +2,7 @@
 
 from features.steps.admission import start
 from poplarrun.retries import GiveUp, RetryAfter
-from poplarrun.router import Sent
+from poplarrun.router import Dispatched
 
 BUSY = "status_503"
 CALL_S = 0.01
@@ -21,18 +21,18 @@
     """Follow one chat from attempt to attempt; return the engine that answered, or None."""
     start(context, 5, at)
     outcome = context.started
-    while isinstance(outcome, Sent):
+    while isinstance(outcome, Dispatched):
         name = outcome.choice.endpoint.name
         at += outcome.delay_s + CALL_S
         if name not in context.refusing:
             if ends:
                 context.dispatch.end(context.job, True, at + ANSWER_S)
             return name
-        decision = context.dispatch.decide_again(context.job, BUSY, False, at)
+        decision = context.dispatch.handle_failed_attempt(context.job, BUSY, False, at)
         if isinstance(decision, GiveUp):
             return None
         assert isinstance(decision, RetryAfter)
-        outcome = context.dispatch.send_elsewhere(context.job, at, decision.delay_s)
+        outcome = context.dispatch.retry_elsewhere(context.job, at, decision.delay_s)
     return None
 
 
--- a/features/steps/retries_window.py
+++ b/features/steps/retries_window.py
@@ -1,23 +1,23 @@
 from behave import given, then, when
 
-from poplarrun.retries import WindowBudget
+from poplarrun.retries import WindowedRetryBudget
 
 NOW = 100.0
 
 
 def take_many(budget, count, now):
-    return sum(budget.take(now) for _ in range(count))
+    return sum(budget.try_spend(now) for _ in range(count))
 
 
 @given("a budget of {earned:f} retries for each request of {window:d} s and {most:d} besides")
 def step_budget(context, earned, window, most):
-    context.budget = WindowBudget(earned, float(most), float(window))
+    context.budget = WindowedRetryBudget(earned, float(most), float(window))
 
 
 @when("{count:d} requests come in {seconds:d} s and none is repeated")
 def step_come(context, count, seconds):
     for number in range(count):
-        context.budget.note_attempt(NOW - seconds * number / count)
+        context.budget.record_attempt(NOW - seconds * number / count)
 
 
 @then("{made:d} of {count:d} retries that come at once are made")
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -9,8 +9,14 @@
     make_request,
     make_work,
 )
-from poplarrun.dispatch import AnswerFailed, ConnectionBroke, Knowledge, Send, TookTooLong
-from poplarrun.placement import Seat
+from poplarrun.dispatch import (
+    ConfigView,
+    ConnectionLost,
+    ErrorResponse,
+    ResponseTimeout,
+    SendDecision,
+)
+from poplarrun.placement import EndpointEstimate
 from poplarrun.rollouts import Evidence, Rollouts, Stage, Tally, Times, Verdict
 from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus
 
@@ -30,11 +36,11 @@
     """Send a request to an endpoint; return it and its attempt."""
     dispatch = context.dispatch
     work = dispatch.admit(make_request(number=number), sent_at)
-    seat = Seat(dispatch.placement.find(name), 0.0, 0.1, 0)
-    attempt = dispatch.note_sent(work, Send(seat, "small", 3), sent_at)
+    seat = EndpointEstimate(dispatch.placement.find(name), 0.0, 0.1, 0)
+    attempt = dispatch.record_sent(work, SendDecision(seat, "small", 3), sent_at)
     if first_at is not None:
-        dispatch.note_first(work, attempt, first_at)
-        dispatch.note_end(work, attempt, first_at)
+        dispatch.record_first_event(work, attempt, first_at)
+        dispatch.record_completed(work, attempt, first_at)
     return work, attempt
 
 
@@ -50,7 +56,7 @@
     """Give up the silent answers whose time has come, the oldest first."""
     while given_up and given_up[0][0] <= until:
         at, work, attempt, failure = given_up.pop(0)
-        dispatch.note_failure(work, attempt.seat.member, attempt, failure, at)
+        dispatch.handle_failure(work, attempt.estimate.endpoint, attempt, failure, at)
 
 
 @given('{good:d} good answers of the new version on "{one}" and {bad:d} bad of {all:d} on "{two}"')
@@ -83,11 +89,11 @@
 
 @given("a dispatch whose endpoints usually begin after {usual:f} s")
 def step_usual(context, usual):
-    knowledge = Knowledge(None)
-    knowledge.take(make_catalogue())
+    knowledge = ConfigView(None)
+    knowledge.apply_catalogue(make_catalogue())
     knowledge.confirm(100.0)
     context.dispatch = make_dispatch(knowledge)
-    context.dispatch.placement.update([make_listing("old"), make_listing("new", "v2")])
+    context.dispatch.placement.update_endpoints([make_listing("old"), make_listing("new", "v2")])
     for number in range(40):
         send_to(context, "old", number, 100.0, 100.0 + usual)
 
@@ -101,7 +107,7 @@
         sent = send_to(context, "new", 100 + number, 102.0, first_at)
         if first_at is None:
             context.late.append(sent)
-    context.dispatch.judge_open(102.0 + late)
+    context.dispatch.record_open_evidence(102.0 + late)
 
 
 @then("the new version is judged bad although none of its answers failed")
@@ -120,8 +126,8 @@
     for number in range(good):
         send_to(context, "new", number, 102.0, 102.1)
     for work, attempt in [send_to(context, "new", 100 + n, 103.0) for n in range(broken)]:
-        member = attempt.seat.member
-        dispatch.note_failure(work, member, attempt, ConnectionBroke("reset"), 103.5)
+        member = attempt.estimate.endpoint
+        dispatch.handle_failure(work, member, attempt, ConnectionLost("reset"), 103.5)
 
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
@@ -267,8 +273,8 @@
 def step_late_fail(context, count):
     assert len(context.late) == count
     for work, attempt in context.late:
-        member = attempt.seat.member
-        context.dispatch.note_failure(work, member, attempt, AnswerFailed(500), 106.0)
+        member = attempt.estimate.endpoint
+        context.dispatch.handle_failure(work, member, attempt, ErrorResponse(500), 106.0)
 
 
 @then("the version on trial has {bad:d} bad and {slow:d} slow answers of {ended:d}")
@@ -318,7 +324,7 @@
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
         if number * silent // good != (number + 1) * silent // good:
             work, attempt = send_to(context, "new", 200 + number, sent_at)
-            given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
+            given_up.append((sent_at + patience, work, attempt, ResponseTimeout(patience)))
     give_up_silent(dispatch, given_up, math.inf)
 
 
@@ -336,7 +342,7 @@
     for number in range(silent):
         sent_at = dark_at - 0.1 + number / 20.0
         work, attempt = send_to(context, "new", 200 + number, sent_at)
-        given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
+        given_up.append((sent_at + patience, work, attempt, ResponseTimeout(patience)))
     give_up_silent(dispatch, given_up, math.inf)
 
 
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -6,7 +6,7 @@
 from poplarrun.gateway._followers import ListingFollower
 from poplarrun.gateway._reading import SharedReading
 from poplarrun.peers import ENDPOINTS, Digest, PeerBook, ReadDuty
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import Entry, Newest, Records
 from poplarrun.transport import boot_time
 
@@ -111,7 +111,7 @@
         for book in (make_book(number, 20, boot_time()) for number in numbers)
         if book.near_place(ENDPOINTS, boot_time()) > 0
     )
-    context.store, context.directory = OneList(), Directory()
+    context.store, context.directory = OneList(), EndpointDirectory()
     context.follower = ListingFollower(
         context.store, context.directory, Placement("a", None), SharedReading(ENDPOINTS, book)
     )
@@ -137,7 +137,7 @@
 
 @then("it knows the endpoints of the records {first:d} to {last:d}, each once")
 def step_knows(context, first, last):
-    known = [listing.lifetime for listing in context.directory.listings()]
+    known = [listing.instance_id for listing in context.directory.records()]
     assert sorted(known) == [f"engine-{n}" for n in range(first, last + 1)], known
 
 
--- a/features/steps/sizes.py
+++ b/features/steps/sizes.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from features.steps.gateway_world import ENGINES, make_placement, make_work
-from poplarrun.placement import Seat
+from poplarrun.placement import EndpointEstimate
 from poplarrun.sizes import SizePolicy
 
 # The small model answers requests up to this difficulty well, of 0 to 1.
@@ -17,16 +17,16 @@
 
 
 def make_seat(queue_s=0.0):
-    member = make_placement(1).members()[0]
-    member.pending_s = queue_s
-    return Seat(member, 0.1, 0.1 + queue_s, 1000)
+    member = make_placement(1).endpoints()[0]
+    member.pending_prefill_s = queue_s
+    return EndpointEstimate(member, 0.1, 0.1 + queue_s, 1000)
 
 
 def is_asked_again(confidence, seat, request=None, policy=None, engines=ENGINES):
     work = make_work()
     work.size = "small"
     work.request = request or work.request
-    return (policy or SizePolicy()).is_worth_more(work, confidence, seat, engines, 100.1)
+    return (policy or SizePolicy()).should_escalate(work, confidence, seat, engines, 100.1)
 
 
 def make_sized_request(prompt, most):
@@ -95,7 +95,7 @@
     work = make_work()
     work.request = make_sized_request(prompt, most)
     for _ in range(count):
-        context.policy.note_request(work)
+        context.policy.record_request(work)
 
 
 @then("a doubtful one of {prompt:d} tokens in and {most:d} out is {outcome}")
--- a/poplarrun/admission/_admission.py
+++ b/poplarrun/admission/_admission.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceLoad:
+class CandidateLoad:
     """Load of the place that a request would get, in requests for each place.
 
     Attributes
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class Queued:
     """It waits in the queue."""
 
     wait_s: float
@@ -58,7 +58,7 @@
     retry_after_s: float
 
 
-Verdict = Admitted | Held | Refused
+Verdict = Admitted | Queued | Refused
 
 
 @dataclass
@@ -81,7 +81,7 @@
 
     Parameters
     ----------
-    bound : int
+    max_queued : int
         Most requests that wait at once.
 
     Attributes
@@ -90,28 +90,28 @@
         Requests of this host at the version's endpoints.
     """
 
-    def __init__(self, bound: int) -> None:
-        self.queue = FairQueue(bound)
+    def __init__(self, max_queued: int) -> None:
+        self.queue = FairQueue(max_queued)
         self.limit = AimdLimit()
         self.in_flight = 0
         self.dropped: list[Ticket] = []
         self._starts = _Rate()
         self._arrivals: dict[int, _Rate] = {}
 
-    def offer(self, ticket: Ticket, load: PlaceLoad, now: float) -> Verdict:
+    def offer(self, ticket: Ticket, load: CandidateLoad, now: float) -> Verdict:
         """Decide on a new request.
 
         Parameters
         ----------
         ticket : Ticket
             The request.
-        load : PlaceLoad
+        load : CandidateLoad
             Load of the best endpoint found, and of all.
         now : float
             The time.
         """
         self._arrivals.setdefault(ticket.importance, _Rate()).note(now)
-        ahead = self.queue.ahead_of(ticket.importance)
+        ahead = self.queue.count_ahead(ticket.importance)
         if ahead == 0 and self.has_room(load, ticket.importance, now):
             self._starts.note(now)
             return Admitted()
@@ -123,49 +123,49 @@
                 f"it would wait {wait_s:.1f} s, {late_s:.1f} s too long for its class",
                 _bound_retry(late_s),
             )
-        if len(self.queue) >= self.queue.bound:
+        if len(self.queue) >= self.queue.max_size:
             dropped = self.queue.make_room(ticket.importance)
             if dropped is None:
                 return Refused(
                     ErrorKind.QUEUE_FULL,
-                    f"{self.queue.bound} requests of this or more importance wait",
+                    f"{self.queue.max_size} requests of this or more importance wait",
                     _bound_retry(wait_s),
                 )
             self.dropped.append(dropped)
         self.queue.push(ticket)
-        return Held(wait_s)
+        return Queued(wait_s)
 
-    def has_room(self, load: PlaceLoad, importance: int, now: float) -> bool:
+    def has_room(self, load: CandidateLoad, importance: int, now: float) -> bool:
         """Tell whether an endpoint that would have this load may be given more."""
-        if not self.may_pass_on(load, importance, now):
+        if not self.can_accept(load, importance, now):
             return False
         return self.limit.has_room(self.in_flight, load.pool) or self._goes_first(importance, now)
 
-    def may_pass_on(self, load: PlaceLoad, importance: int, now: float) -> bool:
+    def can_accept(self, load: CandidateLoad, importance: int, now: float) -> bool:
         """Tell whether a place that became free may be used again."""
         reserved = RESERVED_SHARE if self._higher_per_s(importance, now) > 0.0 else 0.0
         return load.endpoint <= FULL_LOAD - reserved
 
-    def backlog_s(self, now: float) -> float:
+    def estimate_backlog_s(self, now: float) -> float:
         """Return how long those that wait need to start, at the present rate."""
         return len(self.queue) / max(self._starts.per_s(now), 1.0 / RATE_WINDOW_S)
 
-    def note_wait(self, wait_s: float, now: float, pool_load: float) -> None:
+    def record_wait(self, wait_s: float, now: float, pool_load: float) -> None:
         """Take in how long a request waited at its endpoint before it began."""
-        self.limit.note_wait(wait_s, self.in_flight, now, pool_load)
+        self.limit.record_wait(wait_s, self.in_flight, now, pool_load)
 
     def start_next(self, now: float) -> Ticket:
         """Take the waiting request that starts now."""
         self._starts.note(now)
         return self.queue.pop()
 
-    def give_up_late(self, now: float) -> list[tuple[Ticket, Refused]]:
+    def refuse_expired(self, now: float) -> list[tuple[Ticket, Refused]]:
         """Refuse those that can't start in time, and those that made room for others."""
         given_up = []
-        for ticket in self.queue.take_expired(now):
+        for ticket in self.queue.remove_expired(now):
             reason = "no endpoint became free in time for its class"
             wait_s = self._forecast_wait(
-                self.queue.ahead_of(ticket.importance), ticket.importance, now
+                self.queue.count_ahead(ticket.importance), ticket.importance, now
             )
             refused = Refused(ErrorKind.DEADLINE_UNREACHABLE, reason, _bound_retry(wait_s))
             given_up.append((ticket, refused))
@@ -205,22 +205,22 @@
 
     Parameters
     ----------
-    bound : int
+    max_queued : int
         Most requests that wait for one version.
     """
 
-    def __init__(self, bound: int) -> None:
-        self._bound = bound
+    def __init__(self, max_queued: int) -> None:
+        self._bound = max_queued
         self._by_work: dict[Hashable, Admission] = {}
 
-    def of(self, work: Hashable) -> Admission:
+    def for_version(self, work: Hashable) -> Admission:
         """Return the admission to a version."""
         admission = self._by_work.get(work)
         if admission is None:
             admission = self._by_work[work] = Admission(self._bound)
         return admission
 
-    def waiting(self) -> list[tuple[Hashable, Admission]]:
+    def list_active(self) -> list[tuple[Hashable, Admission]]:
         """Return those with requests that wait, or that have yet to hear of their end."""
         return [(w, a) for w, a in self._by_work.items() if len(a.queue) or a.dropped]
 
--- a/poplarrun/admission/_concurrency.py
+++ b/poplarrun/admission/_concurrency.py
@@ -43,7 +43,9 @@
         """Tell whether another request may start; in a pool with free places any may."""
         return in_flight < self.limit or pool_load < FULL_POOL_LOAD
 
-    def note_wait(self, wait_s: float, in_flight: int, now: float, pool_load: float = 1.0) -> None:
+    def record_wait(
+        self, wait_s: float, in_flight: int, now: float, pool_load: float = 1.0
+    ) -> None:
         """Take in how long a request waited at its endpoint before it began.
 
         Waiting in a pool that has free places comes of uneven choices: fewer
--- a/poplarrun/admission/_queue.py
+++ b/poplarrun/admission/_queue.py
@@ -90,18 +90,18 @@
 
     Parameters
     ----------
-    bound : int
+    max_size : int
         Most tickets that wait at once.
     """
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size
         self._levels: dict[int, _Level] = {}
 
     def __len__(self) -> int:
         return sum(level.size for level in self._levels.values())
 
-    def ahead_of(self, importance: int) -> int:
+    def count_ahead(self, importance: int) -> int:
         """Return how many tickets a new one of this importance would wait for."""
         return sum(level.size for at, level in self._levels.items() if at >= importance)
 
@@ -134,7 +134,7 @@
         if level is not None:
             level.remove(ticket)
 
-    def take_expired(self, now: float) -> list[Ticket]:
+    def remove_expired(self, now: float) -> list[Ticket]:
         """Take out the tickets that can't start in time any more."""
         expired = [
             ticket
--- a/poplarrun/admission/_services.py
+++ b/poplarrun/admission/_services.py
@@ -44,13 +44,13 @@
     """
 
     limit: float = FIRST_LIMIT
-    quiet: QuietTime = field(default_factory=QuietTime)
+    baseline: QuietTime = field(default_factory=QuietTime)
     _smoothing: float = 0.2
 
-    def note_end(self, took_s: float, in_flight: int, now: float) -> None:
+    def record_end(self, took_s: float, in_flight: int, now: float) -> None:
         """Take in a call's time."""
-        mean_s = self.quiet.note(took_s)
-        gradient = max(0.5, min(1.0, SLOW_FACTOR * self.quiet.seconds / mean_s))
+        mean_s = self.baseline.note(took_s)
+        gradient = max(0.5, min(1.0, SLOW_FACTOR * self.baseline.seconds / mean_s))
         if in_flight >= self.limit / 2.0 or gradient < 1.0:
             wanted = self.limit * gradient + math.sqrt(self.limit)
             self.limit += self._smoothing / max(1.0, self.limit) * (wanted - self.limit)
@@ -62,27 +62,27 @@
     """The calls of this host that may run at one plain service at once."""
 
     aimd: AimdLimit = field(default_factory=lambda: AimdLimit(limit=FIRST_LIMIT))
-    quiet: QuietTime = field(default_factory=QuietTime)
+    baseline: QuietTime = field(default_factory=QuietTime)
     in_flight: int = 0
 
     def has_room(self) -> bool:
         """Tell whether another call may start."""
         return self.aimd.has_room(self.in_flight)
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Count a call that goes out."""
         self.in_flight += 1
 
-    def note_end(self, took_s: float | None, now: float) -> None:
+    def record_end(self, took_s: float | None, now: float) -> None:
         """Count a call that came back; without a time it tells nothing of the load."""
         self.in_flight = max(0, self.in_flight - 1)
         if took_s is None:
             return
-        self.quiet.note(took_s)
-        if math.isfinite(self.quiet.seconds):
-            self.aimd.target_wait_s = self.quiet.seconds * (SLOW_FACTOR - 1.0)
-            self.aimd.note_wait(took_s - self.quiet.seconds, self.in_flight + 1, now)
+        self.baseline.note(took_s)
+        if math.isfinite(self.baseline.seconds):
+            self.aimd.target_wait_s = self.baseline.seconds * (SLOW_FACTOR - 1.0)
+            self.aimd.record_wait(took_s - self.baseline.seconds, self.in_flight + 1, now)
 
     def retry_after_s(self) -> float:
         """Return when a refused call may find room: after about one call's time."""
-        return max(1.0, self.quiet.mean_s)
+        return max(1.0, self.baseline.mean_s)
--- a/poplarrun/billing/_keeper.py
+++ b/poplarrun/billing/_keeper.py
@@ -12,7 +12,7 @@
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog
 from poplarrun.metrics import ignore_event
-from poplarrun.rendezvous import Ranking
+from poplarrun.rendezvous import RankingCache
 
 KEEP_MESSAGE = "billing.keep"
 COPIES = 2
@@ -95,7 +95,7 @@
         self._keepers_of: dict[str, list[str]] = {}
         self._settled_for: dict[str, list[str]] = {}
         self._live_before: set[Holder] = set()
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
         peers.serve(KEEP_MESSAGE, self._serve_keep)
 
     @property
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -8,7 +8,7 @@
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog, Page, append_parts, split_snapshot
 from poplarrun.metrics import ignore_event
-from poplarrun.rendezvous import Ranking
+from poplarrun.rendezvous import RankingCache
 
 # A page is folded in one step of the loop: 60 bills a record at the two-year size.
 READ_LIMIT = 50
@@ -53,7 +53,7 @@
         self._count = count
         self._readings: dict[int, ShardReading] = {}
         self._tried_at: dict[int, float] = {}
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
 
     async def tend(self) -> None:
         """Follow the own shards, and write the snapshots that are due."""
--- a/poplarrun/claims/_keeper.py
+++ b/poplarrun/claims/_keeper.py
@@ -22,7 +22,7 @@
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog
 from poplarrun.metrics import ignore_event
-from poplarrun.rendezvous import Ranking
+from poplarrun.rendezvous import RankingCache
 
 APPEND_MESSAGE = "claims.append"
 FIND_MESSAGE = "claims.find"
@@ -103,7 +103,7 @@
         self._unsettled: dict[str, Outcome | Release] = {}
         self._settling: asyncio.Task[None] | None = None
         self._silent_until: dict[str, float] = {}
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
         peers.serve(APPEND_MESSAGE, self._serve_append)
         peers.serve(FIND_MESSAGE, self._serve_find)
 
--- a/poplarrun/cli/_losses.py
+++ b/poplarrun/cli/_losses.py
@@ -15,7 +15,7 @@
 
 from poplarrun.cli._arguments import EXIT_INVALID, AsJson
 from poplarrun.cli._story import RESTART, Line, read_lines
-from poplarrun.sizes import EVEN_CONFIDENCE
+from poplarrun.sizes import MIDPOINT_CONFIDENCE
 
 BAR_WIDTH = 40
 FAILURES = 400
@@ -108,7 +108,7 @@
     if fields["pause_s"] > fields["most_pause_s"] > 0.0:
         return f"pause: {_awaited(own, failures)}"
     confidence = fields.get("confidence")
-    if confidence is not None and confidence < EVEN_CONFIDENCE:
+    if confidence is not None and confidence < MIDPOINT_CONFIDENCE:
         return "poor: kept although the model doubts it"
     return None
 
--- a/poplarrun/dispatch/__init__.py
+++ b/poplarrun/dispatch/__init__.py
@@ -1,35 +1,35 @@
 """Dispatch: whether a request may run, where it goes, and what follows a failure."""
 
-from poplarrun.dispatch._dispatch import Dispatch, Send
+from poplarrun.dispatch._config_view import ConfigView
+from poplarrun.dispatch._dispatcher import Dispatcher, SendDecision
 from poplarrun.dispatch._failures import (
-    AnswerFailed,
     Attempt,
-    ConnectionBroke,
+    ConnectionLost,
+    ErrorResponse,
     Failure,
     Garbled,
     NoConnection,
-    SaidNotRun,
-    TookTooLong,
+    NotExecuted,
+    ResponseTimeout,
+    failure_label,
     may_have_run,
-    reason_of,
 )
-from poplarrun.dispatch._knowledge import Knowledge
-from poplarrun.dispatch._patience import first_patience_s, gap_patience_s
+from poplarrun.dispatch._timeouts import event_gap_timeout_s, first_event_timeout_s
 
 __all__ = [
-    "AnswerFailed",
     "Attempt",
-    "ConnectionBroke",
-    "Dispatch",
+    "ConfigView",
+    "ConnectionLost",
+    "Dispatcher",
+    "ErrorResponse",
     "Failure",
     "Garbled",
-    "Knowledge",
     "NoConnection",
-    "SaidNotRun",
-    "Send",
-    "TookTooLong",
-    "first_patience_s",
-    "gap_patience_s",
+    "NotExecuted",
+    "ResponseTimeout",
+    "SendDecision",
+    "event_gap_timeout_s",
+    "failure_label",
+    "first_event_timeout_s",
     "may_have_run",
-    "reason_of",
 ]
--- a/poplarrun/dispatch/_knowledge.py
+++ b/poplarrun/dispatch/_config_view.py
@@ -16,24 +16,24 @@
 
 
 @dataclass
-class Knowledge:
+class ConfigView:
     """The newest configuration that this host has, and when it was the newest for sure.
 
     Attributes
     ----------
-    key_bound_s : float, optional
+    revocation_limit_s : float, optional
         Time after which a key that was taken away may not be honoured; None where
         the operators ask for none.
-    true_at : float
+    confirmed_at : float
         When nothing newer existed for sure, in seconds of the clock that counts
         suspension.
     """
 
-    key_bound_s: float | None = None
+    revocation_limit_s: float | None = None
     catalogue: Catalogue | None = None
-    true_at: float = -math.inf
+    confirmed_at: float = -math.inf
 
-    def take(self, catalogue: Catalogue) -> bool:
+    def apply_catalogue(self, catalogue: Catalogue) -> bool:
         """Take in a configuration; False when it isn't newer than the one in force.
 
         Versions only rise: a late record or a peer that lags can't bring back keys
@@ -44,20 +44,20 @@
         self.catalogue = catalogue
         return True
 
-    def confirm(self, true_at: float) -> None:
+    def confirm(self, confirmed_at: float) -> None:
         """Note that what this host has was the newest at a time."""
-        self.true_at = max(self.true_at, true_at)
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def age_s(self, now: float) -> float:
         """Return how old the belief is."""
-        return now - self.true_at
+        return now - self.confirmed_at
 
-    def may_use_keys(self, now: float) -> bool:
+    def can_trust_keys(self, now: float) -> bool:
         """Tell whether keys can be trusted still to hold."""
-        if self.key_bound_s is None:
+        if self.revocation_limit_s is None:
             return True
-        return self.age_s(now) < KEY_AGE_PART * self.key_bound_s
+        return self.age_s(now) < KEY_AGE_PART * self.revocation_limit_s
 
-    def may_deny(self, now: float) -> bool:
+    def can_deny(self, now: float) -> bool:
         """Tell whether what isn't known can be said not to exist."""
         return self.age_s(now) < DENIAL_AGE_S
--- a/poplarrun/dispatch/_dispatch.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -6,19 +6,19 @@
 import zlib
 from dataclasses import dataclass
 
+from poplarrun.dispatch._config_view import ConfigView
 from poplarrun.dispatch._failures import (
-    AnswerFailed,
     Attempt,
+    ErrorResponse,
     Failure,
     NoConnection,
-    SaidNotRun,
-    TookTooLong,
+    NotExecuted,
+    ResponseTimeout,
     may_have_run,
 )
-from poplarrun.dispatch._knowledge import Knowledge
 from poplarrun.errors import ErrorKind, Refusal
-from poplarrun.placement import Member, Placement, Seat
-from poplarrun.retries import WindowBudget
+from poplarrun.placement import EndpointEstimate, EndpointState, Placement
+from poplarrun.retries import WindowedRetryBudget
 from poplarrun.rollouts import LOADED, Rollouts, Times, VersionChoice, VersionReason
 from poplarrun.routing import Repeat, Request, Service, Work
 from poplarrun.sizes import SizePolicy
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendDecision:
     """The request goes to an endpoint now.
 
     Attributes
@@ -62,57 +62,57 @@
         Why the endpoint's version was picked.
     """
 
-    seat: Seat
+    estimate: EndpointEstimate
     size: str | None
     urgency: int
     reason: VersionReason = VersionReason.NO_ROLLOUT
 
 
-class Dispatch:
+class Dispatcher:
     """Decides about requests; called on the loop only, never blocks.
 
     Parameters
     ----------
-    earned : float
+    retry_ratio : float
         Part of a second send that each first one earns.
-    allowance : float
+    retry_allowance : float
         Second sends that this host may make beyond that.
-    window_s : float
+    retry_window_s : float
         Time over which the operators count second sends.
     """
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        config_view: ConfigView,
         placement: Placement,
         rollouts: Rollouts,
         sizes: SizePolicy,
-        earned: float,
-        allowance: float,
-        window_s: float,
+        retry_ratio: float,
+        retry_allowance: float,
+        retry_window_s: float,
     ) -> None:
-        self.knowledge = knowledge
+        self.config_view = config_view
         self.placement = placement
         self.rollouts = rollouts
         self.sizes = sizes
-        self.earned = earned
-        self.allowance = allowance
-        self.window_s = window_s
-        self._budgets: dict[str, WindowBudget] = {}
+        self.retry_ratio = retry_ratio
+        self.retry_allowance = retry_allowance
+        self.retry_window_s = retry_window_s
+        self._budgets: dict[str, WindowedRetryBudget] = {}
         self._open: dict[Attempt, Work] = {}
 
-    def divide_allowance(self, allowance: float) -> None:
+    def set_retry_allowance(self, allowance: float) -> None:
         """Take over this host's part of the allowance, as hosts come and go."""
-        self.allowance = allowance
+        self.retry_allowance = allowance
         for budget in self._budgets.values():
-            budget.most = allowance
+            budget.allowance = allowance
 
     def admit(self, request: Request, now: float) -> Work | Refusal:
         """Find a new request's route, account and service, or refuse it."""
-        catalogue = self.knowledge.catalogue
+        catalogue = self.config_view.catalogue
         if catalogue is None:
             return self._refuse(ErrorKind.NOT_READY, "no configuration yet", RETRY_KNOWLEDGE_S)
-        may_deny = self.knowledge.may_deny(now)
+        may_deny = self.config_view.can_deny(now)
         path = request.target.decode("latin-1").split("?", 1)[0]
         route = catalogue.find_route(request.host, path)
         if route is None:
@@ -126,12 +126,12 @@
                 if not may_deny:
                     return self._refuse(ErrorKind.NOT_READY, "keys are old", RETRY_KNOWLEDGE_S)
                 return Refusal(ErrorKind.UNAUTHENTICATED, "the key is not known")
-            if not self.knowledge.may_use_keys(now):
+            if not self.config_view.can_trust_keys(now):
                 return self._refuse(ErrorKind.NOT_READY, "keys are old", RETRY_KNOWLEDGE_S)
         service = route.pick_service(_point(request.session or request.id))
         time_s = min(request.time_left_s, route.pace.timeout_s)
         work = Work(request, route, account, service, now, now + time_s)
-        self.sizes.note_request(work)
+        self.sizes.record_request(work)
         return work
 
     def recheck(self, work: Work, now: float) -> Refusal | None:
@@ -144,17 +144,17 @@
             return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
         if work.account is None:
             return None
-        catalogue = self.knowledge.catalogue
+        catalogue = self.config_view.catalogue
         # A request that has begun goes on: its key held when it came, and the bound is
         # on requests that come later. Only a key that is known to be gone ends it.
-        is_old = work.sends == 0 and not self.knowledge.may_use_keys(now)
+        is_old = work.sends == 0 and not self.config_view.can_trust_keys(now)
         if catalogue is None or is_old:
             return self._give_up(work, ErrorKind.NOT_READY, "keys are old")
         if catalogue.find_account(work.request.api_key) != work.account:
             return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
         return None
 
-    def choose(self, work: Work, now: float) -> Send | Refusal:
+    def choose_endpoint(self, work: Work, now: float) -> SendDecision | Refusal:
         """Choose the endpoint of the next send."""
         refusal = self.recheck(work, now)
         if refusal is not None:
@@ -162,13 +162,19 @@
         service = self._service(work)
         if service is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
-        size = work.size or self.sizes.first(work)
+        size = work.size or self.sizes.first_size(work)
         versions = self._versions(work, now)
         is_proving = versions.only is not None and any(
             self.rollouts.is_proving(work.service, version, now) for version in versions.only
         )
         seat = self.placement.choose(
-            work, service, now, size or "", versions.only, versions.avoided, is_proving=is_proving
+            work,
+            service,
+            now,
+            size or "",
+            versions.only,
+            versions.avoided,
+            concentrate_load=is_proving,
         )
         reason = versions.reason
         if seat is None and versions.only is not None:
@@ -177,84 +183,89 @@
             reason = VersionReason.NONE_LEFT
         if seat is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
-        return Send(seat, size, self._urgency(work), reason)
+        return SendDecision(seat, size, self._urgency(work), reason)
 
-    def note_sent(self, work: Work, send: Send, now: float) -> Attempt:
+    def record_sent(self, work: Work, send: SendDecision, now: float) -> Attempt:
         """Note that the request's bytes went to the socket."""
-        member = send.seat.member
+        member = send.estimate.endpoint
         if work.sends == 0:
-            self._budget(work.service).note_attempt(now)
+            self._budget(work.service).record_attempt(now)
         work.sends += 1
         work.size = send.size
-        work.tried.add(member.listing.lifetime)
-        work.version = member.listing.version
+        work.tried.add(member.record.instance_id)
+        work.version = member.record.version
         member.in_flight += 1
-        member.pending_s += send.seat.read_s
+        member.pending_prefill_s += send.estimate.prefill_s
         if send.size is not None:
-            member.remember(send.size, work.request.parts, now)
-        attempt = Attempt(send.seat, send.size, now)
-        is_past = self.rollouts.is_past_trial(work.service, member.listing.version, now)
-        attempt.is_loaded = is_past and send.seat.load >= LOADED_FROM
+            member.record_prompt(send.size, work.request.parts, now)
+        attempt = Attempt(send.estimate, send.size, now)
+        is_past = self.rollouts.is_past_trial(work.service, member.record.version, now)
+        attempt.is_under_load = is_past and send.estimate.load >= LOADED_FROM
         self._open[attempt] = work
-        self.rollouts.note_sent(work, member.listing.version, now)
+        self.rollouts.note_sent(work, member.record.version, now)
         return attempt
 
-    def ask_larger(self, work: Work, attempt: Attempt, confidence: float, now: float) -> bool:
+    def try_escalate(self, work: Work, attempt: Attempt, confidence: float, now: float) -> bool:
         """Tell whether a larger model is asked instead; the caller has seen nothing yet.
 
         The dropped answer counts as a run, and the next send takes from the budget of
         second sends, of which a part is kept for failures.
         """
-        largest = self.sizes.largest(work)
+        largest = self.sizes.escalation_size(work)
         service = self._service(work)
         if largest is None or service is None:
             return False
         if work.runs + 1 >= work.route.most_attempts or work.last_event is not None:
             return False
         budget = self._budget(work.service)
-        if budget.left(now) < 1.0 + KEPT_FOR_FAILURES * budget.most:
+        if budget.remaining(now) < 1.0 + KEPT_FOR_FAILURES * budget.allowance:
             return False
-        versions = frozenset((attempt.seat.member.listing.version,))
-        seat = self.placement.choose(work, service, now, largest, versions, is_new=True)
+        versions = frozenset((attempt.estimate.endpoint.record.version,))
+        seat = self.placement.choose(work, service, now, largest, versions, include_tried=True)
         if seat is None:
             return False
-        if not self.sizes.is_worth_more(work, confidence, seat, service, now):
+        if not self.sizes.should_escalate(work, confidence, seat, service, now):
             return False
-        budget.take(now)
+        budget.try_spend(now)
         self._leave(attempt)
-        attempt.first_at = now
-        self._note_evidence(work, attempt, False, attempt.times(now))
+        attempt.first_event_at = now
+        self._note_evidence(work, attempt, False, attempt.compute_times(now))
         work.runs += 1
         work.may_have_run = True
         work.size = largest
         work.tried.clear()
         return True
 
-    def note_first(self, work: Work, attempt: Attempt, now: float) -> None:
+    def record_first_event(self, work: Work, attempt: Attempt, now: float) -> None:
         """Note that the first event came, or the answer of a plain service."""
-        attempt.first_at = now
-        seat = attempt.seat
-        seat.member.heard_at = now
-        seat.member.pending_s = max(0.0, seat.member.pending_s - seat.read_s)
+        attempt.first_event_at = now
+        seat = attempt.estimate
+        seat.endpoint.last_response_at = now
+        seat.endpoint.pending_prefill_s = max(0.0, seat.endpoint.pending_prefill_s - seat.prefill_s)
         taken_s = now - attempt.sent_at
-        seat.member.note_first(seat.first_s, taken_s, now)
-        if seat.unread_tokens:
+        seat.endpoint.record_first_event(seat.first_event_s, taken_s, now)
+        if seat.uncached_tokens:
             speed = self.placement.speed(work.service, attempt.size or "")
-            speed.note_first_token(seat.unread_tokens, taken_s)
+            speed.record_first_token(seat.uncached_tokens, taken_s)
 
-    def note_end(self, work: Work, attempt: Attempt, now: float) -> None:
+    def record_completed(self, work: Work, attempt: Attempt, now: float) -> None:
         """Note that an answer is whole."""
         self._leave(attempt)
-        attempt.seat.member.note_good()
-        self._note_evidence(work, attempt, False, attempt.times(now))
-        self.rollouts.note_end(work, attempt.seat.member.listing.version, now)
+        attempt.estimate.endpoint.record_success()
+        self._note_evidence(work, attempt, False, attempt.compute_times(now))
+        self.rollouts.note_end(work, attempt.estimate.endpoint.record.version, now)
 
-    def note_abandoned(self, attempt: Attempt) -> None:
+    def record_cancelled(self, attempt: Attempt) -> None:
         """Note that an attempt was ended by this side."""
         self._leave(attempt)
 
-    def note_failure(
-        self, work: Work, member: Member, attempt: Attempt | None, failure: Failure, now: float
+    def handle_failure(
+        self,
+        work: Work,
+        member: EndpointState,
+        attempt: Attempt | None,
+        failure: Failure,
+        now: float,
     ) -> Refusal | None:
         """Learn from a failure, and tell whether the request ends with it.
 
@@ -266,24 +277,26 @@
         if attempt is not None:
             self._leave(attempt)
         match failure:
-            case SaidNotRun(is_other_lifetime=True):
-                member.note_failure(now)
-            case SaidNotRun():
-                member.note_full(now)
-            case AnswerFailed():
+            case NotExecuted(is_other_instance=True):
+                member.record_failure(now)
+            case NotExecuted():
+                member.record_overloaded(now)
+            case ErrorResponse():
                 if attempt is not None:
                     self._note_evidence(work, attempt, True, Times())
             case NoConnection():
                 work.connect_failures += 1
-                work.tried.add(member.listing.lifetime)
-                member.note_failure(now)
-            case TookTooLong(waited_s) if attempt is not None and _is_awake(member, waited_s, now):
+                work.tried.add(member.record.instance_id)
+                member.record_failure(now)
+            case ResponseTimeout(waited_s) if attempt is not None and _is_awake(
+                member, waited_s, now
+            ):
                 self._note_evidence(work, attempt, True, Times())
-                member.note_failure(now)
+                member.record_failure(now)
             case _:
                 if attempt is not None:
                     self._note_broken(work, attempt)
-                member.note_failure(now)
+                member.record_failure(now)
         if may_have_run(failure):
             work.runs += 1
             work.failures += 1
@@ -303,12 +316,12 @@
             return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
         if work.left_s(now) < LEAST_TIME_S:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
-        if work.sends and not self._budget(work.service).take(now):
+        if work.sends and not self._budget(work.service).try_spend(now):
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
         return None
 
     def _service(self, work: Work) -> Service | None:
-        catalogue = self.knowledge.catalogue
+        catalogue = self.config_view.catalogue
         return None if catalogue is None else catalogue.services.get(work.service)
 
     def _versions(self, work: Work, now: float) -> VersionChoice:
@@ -324,52 +337,56 @@
             case _:
                 return FIRST_URGENCY
 
-    def judge_open(self, now: float) -> None:
+    def record_open_evidence(self, now: float) -> None:
         """Count answers under way whose pace is known, or that take much too long already.
 
         Those that end first are the fast ones. A version that takes eight times as
         long would look good until it has had many more requests than it may.
         """
         for attempt, work in list(self._open.items()):
-            if attempt.is_judged:
+            if attempt.is_counted:
                 continue
             kind = _kind_of(work, attempt)
-            times = attempt.times(now, is_ended=False)
+            times = attempt.compute_times(now, is_ended=False)
             is_slow = self.rollouts.evidence.is_slow(work.service, kind, times)
-            if is_slow or attempt.events >= EVENTS_JUDGED:
+            if is_slow or attempt.event_count >= EVENTS_JUDGED:
                 self._note_evidence(work, attempt, False, times)
 
     def _note_evidence(self, work: Work, attempt: Attempt, is_bad: bool, times: Times) -> None:
-        version = attempt.seat.member.listing.version
+        version = attempt.estimate.endpoint.record.version
         key = (work.service, version, _kind_of(work, attempt))
-        if attempt.is_judged:
+        if attempt.is_counted:
             if is_bad:
                 self.rollouts.evidence.note_late_failure(key)
             return
-        attempt.is_judged = True
-        if attempt.is_loaded:
+        attempt.is_counted = True
+        if attempt.is_under_load:
             times = Times()
         rollout = self.rollouts.find(work.service)
         is_trial = rollout is not None and rollout.is_open and version == rollout.order.target
         self.rollouts.evidence.note(key, is_bad, times, is_trial)
 
     def _note_broken(self, work: Work, attempt: Attempt) -> None:
-        listing = attempt.seat.member.listing
+        listing = attempt.estimate.endpoint.record
         key = (work.service, listing.version, _kind_of(work, attempt))
-        self.rollouts.evidence.note_broken(key, listing.lifetime, attempt.is_judged)
-        attempt.is_judged = True
+        self.rollouts.evidence.note_broken(key, listing.instance_id, attempt.is_counted)
+        attempt.is_counted = True
 
     def _leave(self, attempt: Attempt) -> None:
         self._open.pop(attempt, None)
-        member = attempt.seat.member
+        member = attempt.estimate.endpoint
         member.in_flight = max(0, member.in_flight - 1)
-        if attempt.first_at is None:
-            member.pending_s = max(0.0, member.pending_s - attempt.seat.read_s)
+        if attempt.first_event_at is None:
+            member.pending_prefill_s = max(
+                0.0, member.pending_prefill_s - attempt.estimate.prefill_s
+            )
 
-    def _budget(self, service: str) -> WindowBudget:
+    def _budget(self, service: str) -> WindowedRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = WindowBudget(self.earned, self.allowance, self.window_s)
+            budget = WindowedRetryBudget(
+                self.retry_ratio, self.retry_allowance, self.retry_window_s
+            )
             self._budgets[service] = budget
         return budget
 
@@ -385,14 +402,14 @@
 
 
 def _kind_of(work: Work, attempt: Attempt) -> str:
-    if attempt.is_loaded:
+    if attempt.is_under_load:
         return LOADED
     return f"{work.route.name}/{attempt.size or ''}"
 
 
-def _is_awake(member: Member, waited_s: float, now: float) -> bool:
+def _is_awake(member: EndpointState, waited_s: float, now: float) -> bool:
     """Tell whether an endpoint answered others while one of its answers did not come."""
-    return now - member.heard_at < AWAKE_PART * waited_s
+    return now - member.last_response_at < AWAKE_PART * waited_s
 
 
 def _point(text: str) -> float:
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from poplarrun.placement import Seat
+from poplarrun.placement import EndpointEstimate
 from poplarrun.rollouts import Times
 
 # Events of which the mean pause tells the pace of an answer.
@@ -17,28 +17,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SaidNotRun:
+class NotExecuted:
     """The endpoint states that it did not run the request.
 
     Attributes
     ----------
-    is_other_lifetime : bool
+    is_other_instance : bool
         Whether another endpoint has the address now.
     """
 
     status: int
-    is_other_lifetime: bool = False
+    is_other_instance: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFailed:
+class ErrorResponse:
     """The endpoint ran the request and answered with a failure of its own."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionBroke:
+class ConnectionLost:
     """The connection ended before the answer was whole; the request may have run."""
 
     reason: str
@@ -52,36 +52,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TookTooLong:
+class ResponseTimeout:
     """Nothing came for so long that another endpoint is asked; it may have run."""
 
     waited_s: float
 
 
-Failure = NoConnection | SaidNotRun | AnswerFailed | ConnectionBroke | Garbled | TookTooLong
+Failure = NoConnection | NotExecuted | ErrorResponse | ConnectionLost | Garbled | ResponseTimeout
 
 
 def may_have_run(failure: Failure) -> bool:
     """Tell whether the endpoint may have begun to work on the request."""
-    return not isinstance(failure, NoConnection | SaidNotRun)
+    return not isinstance(failure, NoConnection | NotExecuted)
 
 
-def reason_of(failure: Failure) -> str:
+def failure_label(failure: Failure) -> str:
     """Return the label under which a failure is counted."""
     match failure:
         case NoConnection():
             return "no_connection"
-        case SaidNotRun(is_other_lifetime=True):
+        case NotExecuted(is_other_instance=True):
             return "other_lifetime"
-        case SaidNotRun(status=status):
+        case NotExecuted(status=status):
             return f"not_run_{status}"
-        case AnswerFailed(status=status):
+        case ErrorResponse(status=status):
             return f"answer_{status}"
-        case ConnectionBroke():
+        case ConnectionLost():
             return "broken"
         case Garbled():
             return "garbled"
-        case TookTooLong():
+        case ResponseTimeout():
             return "too_long"
 
 
@@ -93,53 +93,55 @@
     ----------
     sent_at : float
         When its bytes were handed to the socket.
-    first_at : float, optional
+    first_event_at : float, optional
         When the first event came, or the answer of a plain service.
-    events : int
+    event_count : int
         Events so far.
-    last_at : float, optional
+    last_event_at : float, optional
         When the newest of them came.
-    pause_s : float
+    max_gap_s : float
         Longest pause between two of them.
     confidence : float, optional
         The model's own, 0 to 1.
-    is_loaded : bool
+    is_under_load : bool
         Whether it proves a version under load.
-    is_judged : bool
+    is_counted : bool
         Whether it counts already as evidence of its version.
     """
 
-    seat: Seat
+    estimate: EndpointEstimate
     size: str | None
     sent_at: float
-    first_at: float | None = None
-    events: int = 0
-    last_at: float | None = None
-    pause_s: float = 0.0
+    first_event_at: float | None = None
+    event_count: int = 0
+    last_event_at: float | None = None
+    max_gap_s: float = 0.0
     confidence: float | None = None
-    is_loaded: bool = False
-    is_judged: bool = False
+    is_under_load: bool = False
+    is_counted: bool = False
 
-    def note_events(self, count: int, now: float) -> None:
+    def record_events(self, count: int, now: float) -> None:
         """Take in events that came together."""
-        if self.last_at is not None:
-            self.pause_s = max(self.pause_s, now - self.last_at)
-        self.last_at = now
-        self.seat.member.heard_at = now
-        self.events += count
+        if self.last_event_at is not None:
+            self.max_gap_s = max(self.max_gap_s, now - self.last_event_at)
+        self.last_event_at = now
+        self.estimate.endpoint.last_response_at = now
+        self.event_count += count
 
-    def times(self, now: float, is_ended: bool = True) -> Times:
+    def compute_times(self, now: float, is_ended: bool = True) -> Times:
         """Return how long the answer took, or has taken so far.
 
         Prompts that were known to wait before it say nothing of its version. The first
         pause after the start of an answer under way says little of its pace.
         """
-        if self.first_at is None:
+        if self.first_event_at is None:
             return Times(None if is_ended else self._without_queue(now))
         pace_s = None
-        if self.events >= FEWEST_PACED:
-            pace_s = (now - self.first_at) / (self.events - 1 if is_ended else self.events)
-        return Times(self._without_queue(self.first_at), pace_s)
+        if self.event_count >= FEWEST_PACED:
+            pace_s = (now - self.first_event_at) / (
+                self.event_count - 1 if is_ended else self.event_count
+            )
+        return Times(self._without_queue(self.first_event_at), pace_s)
 
     def _without_queue(self, at: float) -> float:
-        return max(0.0, at - self.sent_at - self.seat.queue_s)
+        return max(0.0, at - self.sent_at - self.estimate.queue_s)
--- a/poplarrun/dispatch/_patience.py
+++ b/poplarrun/dispatch/_timeouts.py
@@ -4,7 +4,7 @@
 since a send elsewhere costs from a bounded budget and begins anew.
 """
 
-from poplarrun.placement import Seat
+from poplarrun.placement import EndpointEstimate
 from poplarrun.routing import Repeat, Work
 
 # So many times the expected time to the first event, and so many seconds at the least:
@@ -18,7 +18,7 @@
 ANSWER_PATIENCE = 2.0
 
 
-def first_patience_s(work: Work, seat: Seat) -> float | None:
+def first_event_timeout_s(work: Work, seat: EndpointEstimate) -> float | None:
     """Return the patience until the first event or the answer, in seconds.
 
     None where nothing else could be asked, so that all the time that is left is given.
@@ -27,12 +27,12 @@
         return None
     match work.route.repeat:
         case Repeat.STREAM:
-            return max(LEAST_FIRST_PATIENCE_S, FIRST_PATIENCE * seat.first_s)
+            return max(LEAST_FIRST_PATIENCE_S, FIRST_PATIENCE * seat.first_event_s)
         case _:
             return ANSWER_PATIENCE * work.route.pace.target_s
 
 
-def gap_patience_s(work: Work) -> float | None:
+def event_gap_timeout_s(work: Work) -> float | None:
     """Return the patience with a pause inside a stream, in seconds; None for no bound."""
     if not work.route.may_repeat:
         return None
--- a/poplarrun/endpoints/_choice.py
+++ b/poplarrun/endpoints/_choice.py
@@ -131,7 +131,7 @@
         # another host's endpoint must be clearly emptier to be worth the guess.
         # Where hardly anybody else sends, there is nothing to guess.
         places = sum(endpoint.capacity for endpoint in pool.own)
-        is_soon = places > 0 and pool.speed.whole_s / places < SOON_S
+        is_soon = places > 0 and pool.speed.mean_request_s / places < SOON_S
         guesses = pool.own_share() < OWN_SHARE_ALONE
         most_load = SPILL_LOAD if may_wait and is_soon and guesses else math.inf
         if best is None or best.load_after > 1.0:
@@ -200,11 +200,11 @@
         capacity = endpoint.capacity * self._warmth(endpoint, now)
         requests = endpoint.expected_requests(now, pool.others)
         pool.note_own_load(endpoint.in_flight / endpoint.capacity)
-        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.whole_s
-        batch_s = requests / capacity * BATCH_COST_SHARE * speed.whole_s
+        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.mean_request_s
+        batch_s = requests / capacity * BATCH_COST_SHARE * speed.mean_request_s
         prefill_s = uncached * speed.prefill_s_per_token
         # A doubted endpoint counts as one with a full batch: better than a queue.
-        doubt_s = BATCH_COST_SHARE * speed.whole_s if now < endpoint.doubted_until else 0.0
+        doubt_s = BATCH_COST_SHARE * speed.mean_request_s if now < endpoint.doubted_until else 0.0
         first_token_s = wait_s + batch_s + doubt_s + prefill_s + self._link(endpoint.zone)
         load = requests / capacity
         return Choice(endpoint, wait_s, first_token_s, prefill_s, int(uncached), load)
--- a/poplarrun/endpoints/_pool.py
+++ b/poplarrun/endpoints/_pool.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from poplarrun.endpoints._endpoint import Endpoint, OthersModel
-from poplarrun.rendezvous import home_of, salt_of
+from poplarrun.rendezvous import choose_owner, hash_name
 from poplarrun.speeds import PoolSpeed
 
 # Of a pool's endpoints at most this share is passed over for broken answers.
@@ -87,7 +87,7 @@
         self.own = [e for e in self.near if e.name in self.own_names]
         self._homes.clear()
         self._usable = {e.name for e in usable}
-        self.salts = [(e.name, salt_of(e.name)) for e in self.near or self.far]
+        self.salts = [(e.name, hash_name(e.name)) for e in self.near or self.far]
         self.refresh_at = min((e.paused_until for e in paused), default=float("inf"))
 
     def avoid_refusing(self, tried: Container[str]) -> Container[str]:
@@ -104,7 +104,7 @@
         if key not in self._homes:
             if len(self._homes) >= KEPT_HOMES:
                 self._homes.clear()
-            self._homes[key] = home_of(key, self.salts)
+            self._homes[key] = choose_owner(key, self.salts)
         return self._homes[key]
 
     def draw_own(self, source: random.Random, count: int, avoid: Container[str]) -> list[Endpoint]:
--- a/poplarrun/gateway/_exchange.py
+++ b/poplarrun/gateway/_exchange.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 
 from poplarrun.dispatch import (
-    AnswerFailed,
     Attempt,
-    ConnectionBroke,
-    Dispatch,
+    ConnectionLost,
+    Dispatcher,
+    ErrorResponse,
     Failure,
     Garbled,
     NoConnection,
-    SaidNotRun,
-    Send,
-    TookTooLong,
-    first_patience_s,
-    gap_patience_s,
+    NotExecuted,
+    ResponseTimeout,
+    SendDecision,
+    event_gap_timeout_s,
+    first_event_timeout_s,
 )
 from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
 from poplarrun.gateway._events import Event, EventCutter, NoEvents
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        dispatch: Dispatch,
+        dispatch: Dispatcher,
         pool: ConnectionPool,
         caller: CallerConnection,
         work: Work,
@@ -109,7 +109,7 @@
             async with asyncio.timeout(max(0.0, work.left_s(boot_time()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
-            self._end_attempt(TookTooLong(boot_time() - work.arrived_at))
+            self._end_attempt(ResponseTimeout(boot_time() - work.arrived_at))
             refusal = self._out_of_time()
         except asyncio.CancelledError:
             self._recorder.left(work)
@@ -125,7 +125,7 @@
             self._recorder.unanswered()
         while True:
             now = boot_time()
-            step = self._dispatch.choose(self._work, now)
+            step = self._dispatch.choose_endpoint(self._work, now)
             self._recorder.chosen(self._work, boot_time() - now)
             if isinstance(step, Refusal):
                 return step
@@ -139,7 +139,7 @@
                 if refusal is not None:
                     return refusal
 
-    async def _try_one(self, step: Send) -> bool:
+    async def _try_one(self, step: SendDecision) -> bool:
         """Send once; False when a larger model is to be asked instead."""
         is_stream = self._work.route.repeat is Repeat.STREAM
         opened = await self._open(step)
@@ -160,14 +160,14 @@
         now = boot_time()
         if self._is_started or confidence is None:
             return False
-        if not self._dispatch.ask_larger(self._work, opened.attempt, confidence, now):
+        if not self._dispatch.try_escalate(self._work, opened.attempt, confidence, now):
             return False
         self._attempt = None
         self._abort_connection()
         self._recorder.dropped(self._work, confidence)
         return True
 
-    async def _open(self, step: Send) -> _Open:
+    async def _open(self, step: SendDecision) -> _Open:
         """Connect, send and wait for the head of the answer."""
         connection = await self._connect(step)
         self._connection = connection
@@ -178,36 +178,36 @@
         refusal = self._dispatch.recheck(work, now)
         if refusal is not None:
             raise RefusedError(refusal)
-        lifetime = step.seat.member.listing.lifetime
+        lifetime = step.estimate.endpoint.record.instance_id
         is_resumed, work.size = work.last_event is not None, step.size
         headers = encode_send(work, lifetime, work.left_s(now), step.urgency)
         request = work.request
         is_sent = connection.send(request.method, request.target, headers, request.body)
         if not is_sent:
             raise AttemptError(NoConnection("closed before the send"))
-        attempt = self._dispatch.note_sent(work, step, now)
+        attempt = self._dispatch.record_sent(work, step, now)
         self._attempt = attempt
         # What may run only once is left to end although its caller has gone: whether it
         # ran would stay unknown otherwise.
         self._caller.is_shielded = not work.route.may_repeat
         self._recorder.sent(work, step, now, is_resumed)
-        patience_s = first_patience_s(work, step.seat)
+        patience_s = first_event_timeout_s(work, step.estimate)
         try:
             async with asyncio.timeout(patience_s):
                 head = await connection.read_head()
         except TimeoutError as error:
-            raise AttemptError(TookTooLong(boot_time() - attempt.sent_at)) from error
+            raise AttemptError(ResponseTimeout(boot_time() - attempt.sent_at)) from error
         except Broken as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+            raise AttemptError(ConnectionLost(str(error))) from error
         answer = decode_answer(head.status, head.headers)
         attempt.confidence = answer.confidence
         self._check_answer(answer, connection)
         return _Open(attempt, connection, answer)
 
-    async def _connect(self, step: Send) -> ClientConnection:
-        listing = step.seat.member.listing
+    async def _connect(self, step: SendDecision) -> ClientConnection:
+        listing = step.estimate.endpoint.record
         if self._work.route.may_repeat:
-            idle = self._pool.take_idle(listing.address, listing.lifetime)
+            idle = self._pool.take_idle(listing.address, listing.instance_id)
             if idle is not None:
                 return idle
         # What may run only once gets a connection of its own: on one that was used
@@ -225,14 +225,14 @@
             raise AttemptError(Garbled("answers another request"))
         # Without an id, only the first answer on a connection is surely this one's.
         if answer.is_not_run and (is_ours or connection.uses == 1):
-            raise AttemptError(SaidNotRun(answer.status, answer.status == 421))
+            raise AttemptError(NotExecuted(answer.status, answer.status == 421))
         if not answer.is_genuine or not is_ours:
             raise AttemptError(Garbled("bears no signature"))
 
     async def _relay_whole(self, opened: _Open) -> None:
         body = await self._read_body(opened)
         now = boot_time()
-        self._dispatch.note_first(self._work, opened.attempt, now)
+        self._dispatch.record_first_event(self._work, opened.attempt, now)
         self._recorder.first(self._work, opened.attempt)
         self._end_well(opened, now)
         self._is_started = True
@@ -243,7 +243,7 @@
         body = await self._read_body(opened)
         self._give_back(opened)
         self._failed_answer = _Whole(opened.answer, body)
-        raise AttemptError(AnswerFailed(opened.answer.status))
+        raise AttemptError(ErrorResponse(opened.answer.status))
 
     async def _read_body(self, opened: _Open) -> bytes:
         parts: list[bytes] = []
@@ -255,12 +255,12 @@
                 if size > MOST_ANSWER_BYTES:
                     raise AttemptError(Garbled("the answer is too large"))
         except Broken as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+            raise AttemptError(ConnectionLost(str(error))) from error
         return b"".join(parts)
 
     async def _relay_stream(self, opened: _Open) -> None:
         cutter = EventCutter()
-        patience_s = first_patience_s(self._work, opened.attempt.seat)
+        patience_s = first_event_timeout_s(self._work, opened.attempt.estimate)
         try:
             while True:
                 async with asyncio.timeout(patience_s):
@@ -270,13 +270,13 @@
                 events = cutter.feed(data)
                 if events:
                     await self._pass_on(opened, events)
-                    patience_s = gap_patience_s(self._work)
+                    patience_s = event_gap_timeout_s(self._work)
         except TimeoutError as error:
-            raise AttemptError(TookTooLong(patience_s or 0.0)) from error
+            raise AttemptError(ResponseTimeout(patience_s or 0.0)) from error
         except (Broken, NoEvents) as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+            raise AttemptError(ConnectionLost(str(error))) from error
         if not cutter.is_between:
-            raise AttemptError(ConnectionBroke("ended inside an event"))
+            raise AttemptError(ConnectionLost("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
             self._is_started = True
@@ -285,10 +285,10 @@
 
     async def _pass_on(self, opened: _Open, events: list[Event]) -> None:
         """Send whole events to the caller, each once and in order."""
-        if opened.attempt.first_at is None:
-            self._dispatch.note_first(self._work, opened.attempt, boot_time())
+        if opened.attempt.first_event_at is None:
+            self._dispatch.record_first_event(self._work, opened.attempt, boot_time())
             self._recorder.first(self._work, opened.attempt)
-        opened.attempt.note_events(len(events), boot_time())
+        opened.attempt.record_events(len(events), boot_time())
         due = self._due(events)
         if not due:
             return
@@ -317,34 +317,34 @@
     def _end_well(self, opened: _Open, now: float) -> None:
         self._attempt = None
         self._give_back(opened)
-        self._dispatch.note_end(self._work, opened.attempt, now)
+        self._dispatch.record_completed(self._work, opened.attempt, now)
         self._recorder.answered(self._work, opened.answer.status, opened.attempt)
 
     def _give_back(self, opened: _Open) -> None:
         self._connection = None
-        lifetime = opened.attempt.seat.member.listing.lifetime
+        lifetime = opened.attempt.estimate.endpoint.record.instance_id
         self._pool.give_back(opened.connection, lifetime)
 
-    def _learn(self, step: Send, failure: Failure) -> Refusal | None:
+    def _learn(self, step: SendDecision, failure: Failure) -> Refusal | None:
         """Close a broken send; None where another one follows."""
         attempt, self._attempt = self._attempt, None
         self._abort_connection()
-        refusal = self._dispatch.note_failure(
-            self._work, step.seat.member, attempt, failure, boot_time()
+        refusal = self._dispatch.handle_failure(
+            self._work, step.estimate.endpoint, attempt, failure, boot_time()
         )
         self._recorder.failed(self._work, step, failure, refusal is not None)
         return refusal
 
     def _end_attempt(self, failure: Failure) -> None:
         if self._attempt is not None:
-            member = self._attempt.seat.member
+            member = self._attempt.estimate.endpoint
             attempt, self._attempt = self._attempt, None
-            self._dispatch.note_failure(self._work, member, attempt, failure, boot_time())
+            self._dispatch.handle_failure(self._work, member, attempt, failure, boot_time())
 
     def _drop_attempt(self) -> None:
         """Stop what is still under way at an endpoint: nobody waits for it."""
         if self._attempt is not None:
-            self._dispatch.note_abandoned(self._attempt)
+            self._dispatch.record_cancelled(self._attempt)
             self._attempt = None
         self._abort_connection()
 
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._reading import SharedReading
 from poplarrun.logs import events, write_event
 from poplarrun.peers import USUAL_TIMES
-from poplarrun.placement import LAPSE_GRACE_S, Directory, DirectoryEvent, Placement
+from poplarrun.placement import LAPSE_GRACE_S, DirectoryEvent, EndpointDirectory, Placement
 from poplarrun.platform import (
     CONFIG_KEY,
     ENDPOINT_TOPIC,
@@ -120,7 +120,7 @@
     def __init__(
         self,
         store: StoreClient,
-        knowledge: Knowledge,
+        knowledge: ConfigView,
         rollouts: Rollouts,
         changed: Callable[[], None],
         reading: SharedReading,
@@ -138,7 +138,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self.reading.wait(lambda: self._knowledge.true_at)
+            await self.reading.wait(lambda: self._knowledge.confirmed_at)
             if await self._step():
                 self.tell_zone()
             else:
@@ -212,7 +212,7 @@
             When it can't be decoded.
         """
         catalogue = decode_catalogue(value)
-        if self._knowledge.take(catalogue):
+        if self._knowledge.apply_catalogue(catalogue):
             self.raw_config = value
             write_event(events.ConfigInForce(catalogue.version, source))
             self._changed()
@@ -224,7 +224,7 @@
     def __init__(
         self,
         store: StoreClient,
-        directory: Directory,
+        directory: EndpointDirectory,
         placement: Placement,
         reading: SharedReading,
     ) -> None:
@@ -255,7 +255,7 @@
         match answer:
             case Newest(entries=entries, end=end, true_at=true_at):
                 self._take_newest(entries, now)
-                self._directory.offset = end
+                self._directory.next_offset = end
                 self.is_known = True
                 self.is_served = True
             case Records(entries=entries, true_at=true_at):
@@ -273,7 +273,7 @@
         self.reading.has_failed = False
         self._note_answer(now)
         self.true_at = max(self.true_at, true_at)
-        self._placement.update(self._directory.listings())
+        self._placement.update_endpoints(self._directory.records())
         return True
 
     def _take_records(self, entries: tuple[Entry, ...], now: float) -> None:
@@ -282,16 +282,16 @@
             self._take(entry, now, is_lapse)
         if entries:
             # A peer may have told of some of them while the read was under way.
-            self._directory.offset = max(self._directory.offset, entries[-1].offset + 1)
+            self._directory.next_offset = max(self._directory.next_offset, entries[-1].offset + 1)
             self.tell_changes(entries, is_lapse)
 
     def note_proof(self, end: int, true_at: float) -> None:
         """Take in that a peer had read all that the store had at a time."""
         if not self.is_known:
             return
-        if end > self._directory.offset:
+        if end > self._directory.next_offset:
             self.reading.hurry()
-        elif end == self._directory.offset:
+        elif end == self._directory.next_offset:
             self.true_at = max(self.true_at, true_at)
             self._health.note_proof(true_at)
 
@@ -311,17 +311,17 @@
         """Take in records that a peer has read; after a gap this host reads for itself."""
         if not self.is_known or not entries:
             return
-        if entries[0].offset > self._directory.offset:
+        if entries[0].offset > self._directory.next_offset:
             self.reading.hurry()
             return
-        fresh = [entry for entry in entries if entry.offset >= self._directory.offset]
+        fresh = [entry for entry in entries if entry.offset >= self._directory.next_offset]
         if not fresh:
             return
         now = boot_time()
         for entry in fresh:
             self._take(entry, now, is_lapse)
-        self._directory.offset = fresh[-1].offset + 1
-        self._placement.update(self._directory.listings())
+        self._directory.next_offset = fresh[-1].offset + 1
+        self._placement.update_endpoints(self._directory.records())
 
     def take_from_peer(self) -> None:
         """Put what a peer told of the endpoints into force.
@@ -329,26 +329,26 @@
         The place in the log stays: records that a peer has read are read again.
         """
         self.is_served = True
-        self._placement.update(self._directory.listings())
+        self._placement.update_endpoints(self._directory.records())
 
     async def _read(self) -> Newest | Records | Forgotten | Refused | NoAnswer:
         if not self.is_known:
             return await self._store.newest(ENDPOINT_TOPIC)
-        offset, held_s = self._directory.offset, self.reading.held_s
+        offset, held_s = self._directory.next_offset, self.reading.held_s
         return await self._store.read(ENDPOINT_TOPIC, offset, held_s)
 
     def _note_answer(self, now: float) -> None:
         if self._health.note_answer(now):
-            write_event(events.StoreBack("endpoints", self._directory.offset))
+            write_event(events.StoreBack("endpoints", self._directory.next_offset))
 
     def _take_newest(self, entries: tuple[Entry, ...], now: float) -> None:
         listed = {entry.key for entry in entries}
         is_lapse = self._is_lapse(now)
         for entry in entries:
             self._take(entry, now, is_lapse)
-        for listing in self._directory.listings():
-            if listing.lifetime not in listed:
-                self._remove(listing.lifetime, now, is_lapse)
+        for listing in self._directory.records():
+            if listing.instance_id not in listed:
+                self._remove(listing.instance_id, now, is_lapse)
 
     def _is_lapse(self, now: float) -> bool:
         """Tell whether records that are gone may have lapsed with an outage of the store."""
@@ -366,7 +366,7 @@
         if event not in (DirectoryEvent.NOTHING, DirectoryEvent.CHANGED):
             write_event(
                 events.EndpointChanged(
-                    listing.lifetime,
+                    listing.instance_id,
                     event.value,
                     listing.service,
                     listing.address,
@@ -387,7 +387,7 @@
         gone = self._directory.expire(now, grace_s)
         if gone:
             write_event(events.EndpointsGone(gone, "lapsed"))
-            self._placement.update(self._directory.listings())
+            self._placement.update_endpoints(self._directory.records())
 
 
 class StatusFollower:
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from poplarrun.dispatch import Dispatch, Knowledge
+from poplarrun.dispatch import ConfigView, Dispatcher
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.gateway._capacity import find_capacity
 from poplarrun.gateway._exchange import Exchange, respond_refusal
@@ -21,7 +21,7 @@
 from poplarrun.logs import BoundedHandler, events, write_event
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook, ReadTimes
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import (
     BadRequest,
     BadSettings,
@@ -79,11 +79,11 @@
         self.metrics = Metrics()
         self.metrics.expose_lines(handler.counts)
         self._store = StoreClient(settings.store, self._record_call)
-        self._knowledge = Knowledge(settings.key_bound_s)
-        self._directory = Directory()
+        self._knowledge = ConfigView(settings.key_bound_s)
+        self._directory = EndpointDirectory()
         self._placement = Placement(settings.zone, random.Random())
         self._rollouts = Rollouts(settings.session_s, settings.exposure)
-        self._dispatch = Dispatch(
+        self._dispatch = Dispatcher(
             self._knowledge,
             self._placement,
             self._rollouts,
@@ -125,7 +125,7 @@
             self._store,
             self._rollouts,
             self._peering.turn,
-            self._dispatch.judge_open,
+            self._dispatch.record_open_evidence,
         )
         self._open = 0
         self._is_closed = False
@@ -248,7 +248,9 @@
             self._pool.drop_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
-            self._dispatch.divide_allowance(part_of_allowance(self.settings.retry_allowance, peers))
+            self._dispatch.set_retry_allowance(
+                part_of_allowance(self.settings.retry_allowance, peers)
+            )
             left_out = self._handler.take_left_out()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
@@ -286,7 +288,7 @@
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.key_bound_s = loaded.key_bound_s
+        self._knowledge.revocation_limit_s = loaded.key_bound_s
         self._rollouts.session_s = loaded.session_s
         self._rollouts.exposure = loaded.exposure
         self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._sessions import SessionKeeping
 from poplarrun.gateway._sharing import RolloutState, Sharing
@@ -34,7 +34,7 @@
     encode_message,
     encode_share,
 )
-from poplarrun.placement import Directory, Listing, Placement
+from poplarrun.placement import EndpointDirectory, EndpointRecord, Placement
 from poplarrun.platform import HOST_TOPIC, Appended, Entry, Malformed, Newest, StoreClient
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import boot_time
@@ -80,10 +80,10 @@
         book: PeerBook,
         links: Links,
         store: StoreClient,
-        knowledge: Knowledge,
+        knowledge: ConfigView,
         documents: DocumentFollower,
         listings: ListingFollower,
-        directory: Directory,
+        directory: EndpointDirectory,
         placement: Placement,
         rollouts: Rollouts,
     ) -> None:
@@ -270,7 +270,7 @@
             age_s=min(1e6, self._knowledge.age_s(now)),
             listing_age_s=min(1e6, now - self._listings.true_at),
             documents_end=-1 if self._documents.offset is None else self._documents.offset,
-            listing_end=self._directory.offset if self._listings.is_known else -1,
+            listing_end=self._directory.next_offset if self._listings.is_known else -1,
             steady_s=self._listings.steady_s(now),
             rollouts=self._sharing.rollout_news(now),
         )
@@ -390,20 +390,20 @@
         if ask.wants_listing:
             listed = [
                 Listed(
-                    listing.lifetime,
+                    listing.instance_id,
                     listing.service,
                     listing.address,
                     listing.zone,
                     listing.version,
-                    listing.places,
+                    listing.slots,
                     listing.is_leaving,
                     listing.started_ms,
                     listing.sequence,
                 )
-                for listing in self._directory.listings()
+                for listing in self._directory.records()
             ]
         config = self._documents.raw_config if ask.wants_config else b""
-        return Documents(self.book.address, config, listed, self._directory.gone())
+        return Documents(self.book.address, config, listed, self._directory.removed_ids())
 
     def _take_documents(self, documents: Documents, now: float) -> None:
         if documents.config:
@@ -414,7 +414,7 @@
         if not documents.listed and not documents.gone:
             return
         for listed in documents.listed:
-            listing = Listing(
+            listing = EndpointRecord(
                 listed.lifetime,
                 listed.service,
                 listed.address,
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from poplarrun.dispatch import Attempt, Failure, Send, may_have_run, reason_of
+from poplarrun.dispatch import Attempt, Failure, SendDecision, failure_label, may_have_run
 from poplarrun.errors import Refusal, answer_for
 from poplarrun.logs import events, write_event
 from poplarrun.metrics import Metrics
@@ -46,20 +46,20 @@
         """Note how long the choice of an endpoint took."""
         self._metrics.record_latency("choice", work.service, seconds)
 
-    def sent(self, work: Work, send: Send, now: float, is_resumed: bool) -> None:
+    def sent(self, work: Work, send: SendDecision, now: float, is_resumed: bool) -> None:
         """Note a send."""
         if work.sends > 1:
             self._metrics.count_event("resumed" if is_resumed else "sent_again")
-        member = send.seat.member
+        member = send.estimate.endpoint
         write_event(
             events.RequestSent(
                 work.request.id,
                 work.sends,
-                member.listing.lifetime,
-                member.listing.zone,
-                member.listing.version,
+                member.record.instance_id,
+                member.record.zone,
+                member.record.version,
                 send.size or "",
-                send.seat.first_s,
+                send.estimate.first_event_s,
                 member.load,
                 member.queue_s,
                 work.left_s(now),
@@ -73,16 +73,16 @@
         """Note that no host said in time whether a session stays on its version."""
         self._metrics.count_event("session_unanswered")
 
-    def failed(self, work: Work, send: Send, failure: Failure, is_last: bool) -> None:
+    def failed(self, work: Work, send: SendDecision, failure: Failure, is_last: bool) -> None:
         """Note a failed send; it counts as a retry unless the request ends with it."""
-        reason = reason_of(failure)
+        reason = failure_label(failure)
         self._metrics.count_event(f"send_failed_{reason}")
         if not is_last:
             self._metrics.count_retry(reason)
         write_event(
             events.SendFailed(
                 work.request.id,
-                send.seat.member.listing.lifetime,
+                send.estimate.endpoint.record.instance_id,
                 reason,
                 repr(failure),
                 may_have_run(failure),
@@ -96,8 +96,8 @@
 
     def first(self, work: Work, attempt: Attempt) -> None:
         """Note the first event, or the answer of a plain service."""
-        if attempt.first_at is not None:
-            taken_s = attempt.first_at - work.arrived_at
+        if attempt.first_event_at is not None:
+            taken_s = attempt.first_event_at - work.arrived_at
             self._metrics.record_latency("first", work.route.name, taken_s)
 
     def answered(self, work: Work, status: int, attempt: Attempt | None = None) -> None:
@@ -111,11 +111,11 @@
         took_s = boot_time() - work.arrived_at
         self._metrics.record_latency("whole", work.route.name, took_s)
         event = events.RequestAnswered(work.request.id, work.route.name, status, work.sends, took_s)
-        if attempt is not None and attempt.first_at is not None:
+        if attempt is not None and attempt.first_event_at is not None:
             event = dataclasses.replace(
                 event,
-                first_s=attempt.first_at - work.arrived_at,
-                pause_s=attempt.pause_s,
+                first_s=attempt.first_event_at - work.arrived_at,
+                pause_s=attempt.max_gap_s,
                 target_s=work.route.pace.target_s,
                 most_pause_s=work.route.pace.gap_s,
                 model=attempt.size or "",
--- a/poplarrun/gateway/_sharing.py
+++ b/poplarrun/gateway/_sharing.py
@@ -111,7 +111,7 @@
         loads = {
             load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS) for load in others.loads
         }
-        self._placement.take_others(OTHERS, loads)
+        self._placement.apply_peer_load(OTHERS, loads)
         tallies = {
             (news.service, news.version, news.kind): Tally(
                 news.ended,
@@ -150,9 +150,11 @@
     def _loads(self) -> list[EndpointLoad]:
         return [
             EndpointLoad(
-                member.listing.lifetime, member.in_flight, int(member.pending_s * MILLISECONDS)
+                member.record.instance_id,
+                member.in_flight,
+                int(member.pending_prefill_s * MILLISECONDS),
             )
-            for member in self._placement.members()
+            for member in self._placement.endpoints()
             if member.in_flight
         ]
 
--- a/poplarrun/peers/_book.py
+++ b/poplarrun/peers/_book.py
@@ -6,7 +6,7 @@
 
 from poplarrun.peers._messages import Digest, Scope
 from poplarrun.peers._peer import ALIVE_S, RELAY_SILENT_S, Peer
-from poplarrun.rendezvous import Ranking, rank_hosts
+from poplarrun.rendezvous import RankingCache, rank_hosts
 
 # A zone of which no host has been heard of for so long is taken for cut off, in seconds:
 # one digest of a zone's only host may be lost, and a false alarm only puts the zone's
@@ -95,7 +95,7 @@
     zone: str
     _peers: dict[str, Peer] = field(default_factory=dict)
     _zone_heard_at: dict[str, float] = field(default_factory=dict)
-    _rankings: dict[str, Ranking] = field(default_factory=dict)
+    _rankings: dict[str, RankingCache] = field(default_factory=dict)
     _reporting: set[str] = field(default_factory=set)
     _last_census: _Census | None = None
     _forgot_at: float = -math.inf
@@ -396,7 +396,7 @@
         return self._rank(job, "", hosts).index(self.address)
 
     def _rank(self, key: str, group: str, hosts: list[str]) -> list[str]:
-        ranking = self._rankings.setdefault(group, Ranking())
+        ranking = self._rankings.setdefault(group, RankingCache())
         return ranking.rank(key, tuple(sorted(hosts)))
 
 
--- a/poplarrun/peers/_rosters.py
+++ b/poplarrun/peers/_rosters.py
@@ -7,7 +7,7 @@
 from poplarrun.peers._book import PeerBook
 from poplarrun.peers._messages import Roster, RosterMark
 from poplarrun.peers._peer import ALIVE_S, TOLD_ALIVE_S
-from poplarrun.rendezvous import salt_of
+from poplarrun.rendezvous import hash_name
 
 # A list whose mark was not told for so long holds no more, in seconds: its host is dead, or
 # has become an ordinary one that nobody reports to.
@@ -128,4 +128,4 @@
 
 @functools.lru_cache(maxsize=KEPT_SALTS)
 def _salt_of(host: str) -> int:
-    return salt_of(host)
+    return hash_name(host)
--- a/poplarrun/placement/__init__.py
+++ b/poplarrun/placement/__init__.py
@@ -1,7 +1,20 @@
 """Placement: which endpoints there are, and which one gets the next request."""
 
-from poplarrun.placement._directory import LAPSE_GRACE_S, Directory, DirectoryEvent, Listing
-from poplarrun.placement._members import Member
-from poplarrun.placement._placement import Placement, Seat
+from poplarrun.placement._endpoint_directory import (
+    LAPSE_GRACE_S,
+    DirectoryEvent,
+    EndpointDirectory,
+    EndpointRecord,
+)
+from poplarrun.placement._endpoint_state import EndpointState
+from poplarrun.placement._placement import EndpointEstimate, Placement
 
-__all__ = ["LAPSE_GRACE_S", "Directory", "DirectoryEvent", "Listing", "Member", "Placement", "Seat"]
+__all__ = [
+    "LAPSE_GRACE_S",
+    "DirectoryEvent",
+    "EndpointDirectory",
+    "EndpointEstimate",
+    "EndpointRecord",
+    "EndpointState",
+    "Placement",
+]
--- a/poplarrun/placement/_directory.py
+++ b/poplarrun/placement/_endpoint_directory.py
@@ -12,18 +12,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointRecord:
     """What an endpoint says of itself.
 
     Attributes
     ----------
-    lifetime : str
+    instance_id : str
         Id of this start of the endpoint; most starts have a new one.
     version : str
         Version of its software or weights.
-    places : int
+    slots : int
         Requests that it runs at once.
-    cold_s : float
+    warm_up_s : float
         Seconds for which it is still slow after its start.
     started_ms : int
         When it started, by its own clock; 0 where it doesn't say.
@@ -31,19 +31,19 @@
         Counts its records, from each start anew.
     """
 
-    lifetime: str
+    instance_id: str
     service: str
     address: str
     zone: str
     version: str
-    places: int
+    slots: int
     is_leaving: bool
-    cold_s: float = 0.0
+    warm_up_s: float = 0.0
     started_ms: int = 0
     sequence: int = 0
 
     @property
-    def age(self) -> tuple[int, int]:
+    def revision(self) -> tuple[int, int]:
         """Order of the records of one id."""
         return self.started_ms, self.sequence
 
@@ -61,50 +61,50 @@
 
 @dataclass(slots=True)
 class _Known:
-    listing: Listing
+    listing: EndpointRecord
     lapsed_at: float | None = None
 
 
 @dataclass
-class Directory:
+class EndpointDirectory:
     """Endpoints by lifetime id.
 
     Attributes
     ----------
-    offset : int
+    next_offset : int
         Next record to read.
     """
 
-    offset: int = 0
+    next_offset: int = 0
     _known: dict[str, _Known] = field(default_factory=dict)
     _tombstones: dict[str, tuple[tuple[int, int], float]] = field(default_factory=dict)
 
-    def listings(self) -> list[Listing]:
+    def records(self) -> list[EndpointRecord]:
         """Return the endpoints that are listed, leaving ones included."""
         return [known.listing for known in self._known.values()]
 
-    def gone(self) -> list[str]:
+    def removed_ids(self) -> list[str]:
         """Return the endpoints that were removed lately."""
         return list(self._tombstones)
 
-    def find(self, lifetime: str) -> Listing | None:
+    def find(self, lifetime: str) -> EndpointRecord | None:
         """Return what an endpoint last said of itself."""
         known = self._known.get(lifetime)
         return None if known is None else known.listing
 
-    def apply(self, listing: Listing, now: float) -> DirectoryEvent:
+    def apply(self, listing: EndpointRecord, now: float) -> DirectoryEvent:
         """Take in an endpoint's record."""
-        known = self._known.get(listing.lifetime)
+        known = self._known.get(listing.instance_id)
         if known is None:
-            tombstone = self._tombstones.get(listing.lifetime)
-            if tombstone is not None and listing.age <= tombstone[0]:
+            tombstone = self._tombstones.get(listing.instance_id)
+            if tombstone is not None and listing.revision <= tombstone[0]:
                 return DirectoryEvent.NOTHING
-            self._tombstones.pop(listing.lifetime, None)
-            self._known[listing.lifetime] = _Known(listing)
+            self._tombstones.pop(listing.instance_id, None)
+            self._known[listing.instance_id] = _Known(listing)
             return DirectoryEvent.ADDED
         known.lapsed_at = None
         before = known.listing
-        if listing.age < before.age:
+        if listing.revision < before.revision:
             return DirectoryEvent.NOTHING
         known.listing = listing
         if listing.started_ms != before.started_ms:
@@ -131,7 +131,7 @@
                 known.lapsed_at = now
             return DirectoryEvent.NOTHING
         del self._known[lifetime]
-        self._tombstones[lifetime] = (known.listing.age, now)
+        self._tombstones[lifetime] = (known.listing.revision, now)
         return DirectoryEvent.REMOVED
 
     def expire(self, now: float, grace_s: float = LAPSE_GRACE_S) -> list[str]:
--- a/poplarrun/placement/_members.py
+++ b/poplarrun/placement/_endpoint_state.py
@@ -4,8 +4,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from poplarrun.placement._directory import Listing
-from poplarrun.rendezvous import salt_of
+from poplarrun.placement._endpoint_directory import EndpointRecord
+from poplarrun.rendezvous import hash_name
 from poplarrun.routing import PromptPart
 
 # A failed endpoint gets nothing for this time, doubled with each further failure,
@@ -26,63 +26,63 @@
 
 
 @dataclass(eq=False)
-class Member:
+class EndpointState:
     """An endpoint.
 
     Attributes
     ----------
     in_flight : int
         Requests of this host that run there.
-    others : float
+    peer_in_flight : float
         Requests of the other hosts, by their last word.
-    pending_s : float
+    pending_prefill_s : float
         Time that the prompts of this host that are still being read there take.
-    others_pending_s : float
+    peer_pending_prefill_s : float
         The same of the other hosts.
-    slowness : float
+    slowdown : float
         How many times longer than expected its first events take.
-    heard_at : float
+    last_response_at : float
         When something of an answer last came.
     """
 
-    listing: Listing
+    record: EndpointRecord
     in_flight: int = 0
-    others: float = 0.0
-    pending_s: float = 0.0
-    others_pending_s: float = 0.0
-    slowness: float = 1.0
-    slowness_at: float = -math.inf
+    peer_in_flight: float = 0.0
+    pending_prefill_s: float = 0.0
+    peer_pending_prefill_s: float = 0.0
+    slowdown: float = 1.0
+    slowdown_at: float = -math.inf
     failures: int = 0
     paused_until: float = -math.inf
-    heard_at: float = -math.inf
+    last_response_at: float = -math.inf
     _parts: OrderedDict[tuple[str, str], float] = field(default_factory=OrderedDict)
 
     def __post_init__(self) -> None:
-        self.salt = salt_of(self.listing.lifetime)
+        self.salt = hash_name(self.record.instance_id)
 
     @property
     def load(self) -> float:
         """Requests for each of its places."""
-        return (self.in_flight + self.others) / self.listing.places
+        return (self.in_flight + self.peer_in_flight) / self.record.slots
 
     @property
     def queue_s(self) -> float:
         """Time until the prompts that wait there are read."""
-        return self.pending_s + self.others_pending_s
+        return self.pending_prefill_s + self.peer_pending_prefill_s
 
-    def slowness_now(self, now: float) -> float:
+    def current_slowdown(self, now: float) -> float:
         """Return how slow it is, which is believed less with time."""
-        faded: float = 0.5 ** (max(0.0, now - self.slowness_at) / SLOWNESS_HALF_S)
-        return 1.0 + (self.slowness - 1.0) * faded
+        faded: float = 0.5 ** (max(0.0, now - self.slowdown_at) / SLOWNESS_HALF_S)
+        return 1.0 + (self.slowdown - 1.0) * faded
 
-    def note_first(self, expected_s: float, taken_s: float, now: float) -> None:
+    def record_first_event(self, expected_s: float, taken_s: float, now: float) -> None:
         """Take in the time to a first event."""
         ratio = min(MOST_SLOWNESS, max(LEAST_SLOWNESS, taken_s / max(0.02, expected_s)))
-        before = self.slowness_now(now)
-        self.slowness = before + SLOWNESS_WEIGHT * (ratio - before)
-        self.slowness_at = now
+        before = self.current_slowdown(now)
+        self.slowdown = before + SLOWNESS_WEIGHT * (ratio - before)
+        self.slowdown_at = now
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         """Take in a whole answer."""
         self.failures = 0
         self.paused_until = -math.inf
@@ -91,7 +91,7 @@
         """Tell whether it is passed over at a time."""
         return now < self.paused_until
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Pass it over for a while; failures within one pause count once."""
         if self.is_paused(now):
             return
@@ -99,11 +99,11 @@
         self.failures += 1
         self.paused_until = now + pause_s
 
-    def note_full(self, now: float) -> None:
+    def record_overloaded(self, now: float) -> None:
         """Pass it over for a moment."""
         self.paused_until = max(self.paused_until, now + FULL_PAUSE_S)
 
-    def remember(self, size: str, parts: tuple[PromptPart, ...], now: float) -> None:
+    def record_prompt(self, size: str, parts: tuple[PromptPart, ...], now: float) -> None:
         """Note that it has read a prompt."""
         for part in parts:
             key = (size, part.key)
@@ -112,7 +112,7 @@
         while len(self._parts) > KEPT_PARTS:
             self._parts.popitem(last=False)
 
-    def known_tokens(self, size: str, parts: tuple[PromptPart, ...], now: float) -> int:
+    def count_cached_tokens(self, size: str, parts: tuple[PromptPart, ...], now: float) -> int:
         """Return how many tokens of a prompt's beginning it has read before."""
         known = 0
         for part in parts:
--- a/poplarrun/placement/_placement.py
+++ b/poplarrun/placement/_placement.py
@@ -9,9 +9,9 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-from poplarrun.placement._directory import Listing
-from poplarrun.placement._members import Member
-from poplarrun.rendezvous import Ranking, home_of, salt_of
+from poplarrun.placement._endpoint_directory import EndpointRecord
+from poplarrun.placement._endpoint_state import EndpointState
+from poplarrun.rendezvous import RankingCache, choose_owner, hash_name
 from poplarrun.routing import Service, Work
 from poplarrun.speeds import PoolSpeed
 
@@ -40,16 +40,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class EndpointEstimate:
     """A chosen endpoint and what is expected of it.
 
     Attributes
     ----------
-    read_s : float
+    prefill_s : float
         Time to read the part of the prompt that it does not remember.
-    first_s : float
+    first_event_s : float
         Time to the first event, or to the answer of a plain service.
-    unread_tokens : int
+    uncached_tokens : int
         Prompt tokens that it has to read.
     queue_s : float
         Time that the prompts take which are known to wait there.
@@ -57,10 +57,10 @@
         Requests for each of its places.
     """
 
-    member: Member
-    read_s: float
-    first_s: float
-    unread_tokens: int
+    endpoint: EndpointState
+    prefill_s: float
+    first_event_s: float
+    uncached_tokens: int
     queue_s: float = 0.0
     load: float = 0.0
 
@@ -82,25 +82,25 @@
     def __init__(self, zone: str, source: random.Random) -> None:
         self._zone = zone
         self._random = source
-        self._members: dict[str, Member] = {}
+        self._members: dict[str, EndpointState] = {}
         self.silent_zones: frozenset[str] = frozenset()
         self._others: dict[str, dict[str, tuple[int, float]]] = {}
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
         self._speeds: dict[tuple[str, str], PoolSpeed] = {}
 
-    def update(self, listings: list[Listing]) -> None:
+    def update_endpoints(self, listings: list[EndpointRecord]) -> None:
         """Take over the listed endpoints."""
-        members: dict[str, Member] = {}
+        members: dict[str, EndpointState] = {}
         for listing in listings:
-            member = self._members.get(listing.lifetime)
-            if member is None or member.listing.started_ms != listing.started_ms:
-                member = Member(listing)
-            member.listing = listing
-            members[listing.lifetime] = member
+            member = self._members.get(listing.instance_id)
+            if member is None or member.record.started_ms != listing.started_ms:
+                member = EndpointState(listing)
+            member.record = listing
+            members[listing.instance_id] = member
         self._members = members
         self._sum_others()
 
-    def take_others(self, host: str, loads: dict[str, tuple[int, float]]) -> None:
+    def apply_peer_load(self, host: str, loads: dict[str, tuple[int, float]]) -> None:
         """Take over what another host runs: requests and pending seconds by lifetime."""
         self._others[host] = loads
         self._sum_others()
@@ -108,18 +108,18 @@
     def _sum_others(self) -> None:
         for lifetime, member in self._members.items():
             loads = [known[lifetime] for known in self._others.values() if lifetime in known]
-            member.others = float(sum(requests for requests, _ in loads))
-            member.others_pending_s = sum(pending_s for _, pending_s in loads)
+            member.peer_in_flight = float(sum(requests for requests, _ in loads))
+            member.peer_pending_prefill_s = sum(pending_s for _, pending_s in loads)
 
-    def members(self, service: str | None = None) -> list[Member]:
+    def endpoints(self, service: str | None = None) -> list[EndpointState]:
         """Return the members of a service, leaving ones included, or all."""
         return [
             member
             for member in self._members.values()
-            if service is None or member.listing.service == service
+            if service is None or member.record.service == service
         ]
 
-    def find(self, lifetime: str) -> Member | None:
+    def find(self, lifetime: str) -> EndpointState | None:
         """Return a member by its id."""
         return self._members.get(lifetime)
 
@@ -139,9 +139,9 @@
         size: str = "",
         versions: Container[str] | None = None,
         avoided_version: str | None = None,
-        is_new: bool = False,
-        is_proving: bool = False,
-    ) -> Seat | None:
+        include_tried: bool = False,
+        concentrate_load: bool = False,
+    ) -> EndpointEstimate | None:
         """Return the member that should answer first; None where none may be asked.
 
         Parameters
@@ -150,27 +150,27 @@
             Only members of these versions.
         avoided_version : str, optional
             No members of this version.
-        is_new : bool
+        include_tried : bool
             Whether members that it was sent to before count like all others.
-        is_proving : bool
+        concentrate_load : bool
             Whether one member, the same for all hosts, is filled first. A version that is
             bad under load only looks good on many idle endpoints, until it has all traffic.
         """
         usable = [
             member
             for member in self._members.values()
-            if member.listing.service == work.service
-            and not member.listing.is_leaving
-            and (versions is None or member.listing.version in versions)
-            and member.listing.version != avoided_version
+            if member.record.service == work.service
+            and not member.record.is_leaving
+            and (versions is None or member.record.version in versions)
+            and member.record.version != avoided_version
         ]
         free = [member for member in usable if not member.is_paused(now)]
-        tried = set() if is_new else work.tried
-        fresh = [member for member in free if member.listing.lifetime not in tried]
+        tried = set() if include_tried else work.tried
+        fresh = [member for member in free if member.record.instance_id not in tried]
         candidates = fresh or free or usable
         if not candidates:
             return None
-        if is_proving:
+        if concentrate_load:
             candidates = self._proving(candidates)
         home = self._home(candidates, work, size)
         candidates = self._draw(candidates, home)
@@ -180,70 +180,74 @@
             seats = self._seat_engines(candidates, home, work, size, now)
         return self._pick(seats, work)
 
-    def _proving(self, candidates: list[Member]) -> list[Member]:
+    def _proving(self, candidates: list[EndpointState]) -> list[EndpointState]:
         """Return the one member that all hosts fill first, or all once it is full."""
-        names = tuple(member.listing.lifetime for member in candidates)
+        names = tuple(member.record.instance_id for member in candidates)
         first = self._members[self._ranking.rank("proving", names)[0]]
         return [first] if first.load < PROVING_LOAD else candidates
 
     @staticmethod
-    def _home(candidates: list[Member], work: Work, size: str) -> str | None:
+    def _home(candidates: list[EndpointState], work: Work, size: str) -> str | None:
         """Return the member that prompts with the same beginning usually go to."""
         parts = work.request.parts
         shared = parts[-2:-1] or parts[-1:]
         if not shared:
             return None
-        salts = [(member.listing.lifetime, member.salt) for member in candidates]
-        return home_of(salt_of(size + shared[0].key), salts)
+        salts = [(member.record.instance_id, member.salt) for member in candidates]
+        return choose_owner(hash_name(size + shared[0].key), salts)
 
-    def _draw(self, candidates: list[Member], home: str | None) -> list[Member]:
+    def _draw(self, candidates: list[EndpointState], home: str | None) -> list[EndpointState]:
         """Return the members to weigh, in a drawn order: all, or some of very many.
 
         The time of a choice grows with the members weighed. The best of a few dozen
         drawn ones waits hardly longer than the best of all, and each host draws others,
         so that they don't all go to the same one on old news.
         """
-        near = [member for member in candidates if member.listing.zone == self._zone]
+        near = [member for member in candidates if member.record.zone == self._zone]
         if len(near) > MOST_NEAR or len(candidates) - len(near) > MOST_FAR:
-            far = [member for member in candidates if member.listing.zone != self._zone]
+            far = [member for member in candidates if member.record.zone != self._zone]
             drawn = self._random.sample(near, min(len(near), MOST_NEAR))
             drawn += self._random.sample(far, min(len(far), MOST_FAR))
-            drawn += [member for member in candidates if member.listing.lifetime == home]
+            drawn += [member for member in candidates if member.record.instance_id == home]
             candidates = drawn
         start = self._random.randrange(len(candidates))
         return candidates[start:] + candidates[:start]
 
-    def _pick(self, seats: list[Seat], work: Work) -> Seat:
+    def _pick(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
         far_s = FAR_S + FAR_BYTE_S * len(work.request.body)
-        return min(seats, key=lambda seat: seat.first_s + self._distance_s(seat.member, far_s))
+        return min(
+            seats, key=lambda seat: seat.first_event_s + self._distance_s(seat.endpoint, far_s)
+        )
 
     def _seat_engines(
-        self, candidates: list[Member], home: str | None, work: Work, size: str, now: float
-    ) -> list[Seat]:
+        self, candidates: list[EndpointState], home: str | None, work: Work, size: str, now: float
+    ) -> list[EndpointEstimate]:
         parts = work.request.parts
         shared_tokens = sum(part.tokens for part in parts[:-1])
         speed = self.speed(work.service, size)
         prompt = max(work.request.prompt_tokens, sum(part.tokens for part in parts))
         seats = []
         for member in candidates:
-            known = float(member.known_tokens(size, parts, now))
-            if member.listing.lifetime == home:
+            known = float(member.count_cached_tokens(size, parts, now))
+            if member.record.instance_id == home:
                 known = max(known, HOME_CERTAINTY * shared_tokens)
             unread = max(0.0, prompt - known)
             read_s = unread * speed.prefill_s_per_token
-            waits_s = member.queue_s + member.load * FULL_BATCH_S + speed.least_first_token_s
-            first_s = (waits_s + read_s) * member.slowness_now(now)
-            seats.append(Seat(member, read_s, first_s, int(unread), member.queue_s, member.load))
+            waits_s = member.queue_s + member.load * FULL_BATCH_S + speed.base_first_token_s
+            first_s = (waits_s + read_s) * member.current_slowdown(now)
+            seats.append(
+                EndpointEstimate(member, read_s, first_s, int(unread), member.queue_s, member.load)
+            )
         return seats
 
     @staticmethod
-    def _seat_plain(member: Member) -> Seat:
-        first_s = (1.0 + member.in_flight + member.others) * PLACE_S * member.slowness
-        return Seat(member, 0.0, first_s, 0)
+    def _seat_plain(member: EndpointState) -> EndpointEstimate:
+        first_s = (1.0 + member.in_flight + member.peer_in_flight) * PLACE_S * member.slowdown
+        return EndpointEstimate(member, 0.0, first_s, 0)
 
-    def _distance_s(self, member: Member, far_s: float) -> float:
+    def _distance_s(self, member: EndpointState, far_s: float) -> float:
         """Return what the way to a member counts in the choice, besides its time."""
-        zone = member.listing.zone
+        zone = member.record.zone
         if zone == self._zone:
             return 0.0
         return far_s + (SILENT_ZONE_S if zone in self.silent_zones else 0.0)
--- a/poplarrun/platform/_records.py
+++ b/poplarrun/platform/_records.py
@@ -5,7 +5,7 @@
 from msgspec import DecodeError, Meta, Struct, ValidationError
 from msgspec.json import Decoder
 
-from poplarrun.placement import Listing
+from poplarrun.placement import EndpointRecord
 from poplarrun.platform._validation import Address
 
 READY = "ready"
@@ -30,7 +30,7 @@
 _DECODER = Decoder(_Record)
 
 
-def decode_listing(lifetime: str, value: bytes) -> Listing | None:
+def decode_listing(lifetime: str, value: bytes) -> EndpointRecord | None:
     """Decode an endpoint's record; None where it isn't one."""
     try:
         record = _DECODER.decode(value)
@@ -38,15 +38,15 @@
         return None
     if record.phase not in (READY, DRAINING):
         return None
-    return Listing(
-        lifetime=lifetime,
+    return EndpointRecord(
+        instance_id=lifetime,
         service=record.service,
         address=record.address,
         zone=record.zone,
         version=record.version,
-        places=record.slots,
+        slots=record.slots,
         is_leaving=record.phase == DRAINING,
-        cold_s=max(0.0, record.cold_left_ms) / MILLISECONDS,
+        warm_up_s=max(0.0, record.cold_left_ms) / MILLISECONDS,
         started_ms=record.born,
         sequence=record.sequence,
     )
--- a/poplarrun/rendezvous/__init__.py
+++ b/poplarrun/rendezvous/__init__.py
@@ -1,5 +1,5 @@
 """Rendezvous hashing: owners that all hosts compute alike, without a message."""
 
-from poplarrun.rendezvous._rendezvous import Ranking, home_of, rank_hosts, salt_of
+from poplarrun.rendezvous._rendezvous import RankingCache, choose_owner, hash_name, rank_hosts
 
-__all__ = ["Ranking", "home_of", "rank_hosts", "salt_of"]
+__all__ = ["RankingCache", "choose_owner", "hash_name", "rank_hosts"]
--- a/poplarrun/rendezvous/_rendezvous.py
+++ b/poplarrun/rendezvous/_rendezvous.py
@@ -17,7 +17,7 @@
     return hashlib.blake2b(f"{key}\0{host}".encode(), digest_size=8).digest()
 
 
-class Ranking:
+class RankingCache:
     """Keeps the orders of ``rank_hosts`` until the hosts change."""
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
         return ranked
 
 
-def salt_of(name: str) -> int:
+def hash_name(name: str) -> int:
     """Return the number that an endpoint's name adds to the rendezvous hash."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest())
 
 
-def home_of(key: int, salts: Sequence[tuple[str, int]]) -> str | None:
+def choose_owner(key: int, salts: Sequence[tuple[str, int]]) -> str | None:
     """Return the endpoint that a prefix usually goes to, by rendezvous hashing.
 
     Every host computes the same home without a message. Tuples of integers
--- a/poplarrun/retries/__init__.py
+++ b/poplarrun/retries/__init__.py
@@ -1,6 +1,6 @@
 """Retries: whether broken work is sent again, when, and at whose expense."""
 
-from poplarrun.retries._budgets import BudgetKey, RetryBudget, RetryBudgets, WindowBudget
+from poplarrun.retries._budgets import BudgetKey, RetryBudget, RetryBudgets, WindowedRetryBudget
 from poplarrun.retries._decisions import (
     MAX_ATTEMPTS,
     MAX_STREAM_ATTEMPTS,
@@ -21,6 +21,6 @@
     "RetryBudget",
     "RetryBudgets",
     "RetryDecision",
-    "WindowBudget",
+    "WindowedRetryBudget",
     "decide_retry",
 ]
--- a/poplarrun/retries/_budgets.py
+++ b/poplarrun/retries/_budgets.py
@@ -36,32 +36,32 @@
 
     Attributes
     ----------
-    tokens : float
+    available : float
         Retries that may be made now.
-    earned : float
+    earned_per_attempt : float
         What a first attempt adds.
-    most : float
+    capacity : float
         Bound on the tokens.
     """
 
-    tokens: float = MOST_TOKENS
-    earned: float = EARNED_BY_ATTEMPT
-    most: float = MOST_TOKENS
+    available: float = MOST_TOKENS
+    earned_per_attempt: float = EARNED_BY_ATTEMPT
+    capacity: float = MOST_TOKENS
 
-    def note_attempt(self) -> None:
+    def record_attempt(self) -> None:
         """Earn a share of a retry by a first attempt."""
-        self.tokens = min(self.most, self.tokens + self.earned)
+        self.available = min(self.capacity, self.available + self.earned_per_attempt)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry, if there is one."""
-        if self.tokens < 1.0:
+        if self.available < 1.0:
             return False
-        self.tokens -= 1.0
+        self.available -= 1.0
         return True
 
 
 @dataclass
-class WindowBudget:
+class WindowedRetryBudget:
     """Retries that the first attempts of the last seconds allow.
 
     Operators bound retries over a window of time. A bucket that holds a few tokens at
@@ -70,34 +70,34 @@
 
     Attributes
     ----------
-    earned : float
+    retries_per_attempt : float
         Retries that each first attempt of the window allows.
-    most : float
+    allowance : float
         Retries that the window may have besides.
     window_s : float
         Length of the window.
     """
 
-    earned: float
-    most: float
+    retries_per_attempt: float
+    allowance: float
     window_s: float
     _firsts: deque[float] = field(default_factory=deque)
     _retries: deque[float] = field(default_factory=deque)
 
-    def note_attempt(self, now: float) -> None:
+    def record_attempt(self, now: float) -> None:
         """Take in a first attempt."""
         self._firsts.append(now)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return how many retries may be made now."""
         for times in (self._firsts, self._retries):
             while times and times[0] <= now - self.window_s:
                 times.popleft()
-        return self.most + self.earned * len(self._firsts) - len(self._retries)
+        return self.allowance + self.retries_per_attempt * len(self._firsts) - len(self._retries)
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Spend one retry, if there is one."""
-        if self.left(now) < 1.0:
+        if self.remaining(now) < 1.0:
             return False
         self._retries.append(now)
         return True
--- a/poplarrun/retries/_decisions.py
+++ b/poplarrun/retries/_decisions.py
@@ -22,24 +22,24 @@
     ----------
     attempts : int
         Attempts so far, this one included.
-    started : bool
+    may_have_started : bool
         Whether the endpoint may have begun.
-    repeatable : bool
+    is_idempotent : bool
         Whether running the work twice is harmless.
     time_left_s : float
         Seconds until the request's deadline.
-    needed_s : float
+    min_needed_s : float
         Seconds that another attempt is expected to take at the least.
-    most_attempts : int
+    max_attempts : int
         Bound on the attempts.
     """
 
     attempts: int
-    started: bool
-    repeatable: bool
+    may_have_started: bool
+    is_idempotent: bool
     time_left_s: float
-    needed_s: float = 0.0
-    most_attempts: int = MAX_ATTEMPTS
+    min_needed_s: float = 0.0
+    max_attempts: int = MAX_ATTEMPTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,16 +67,18 @@
 
     A pause that ends past the deadline is not begun: the caller hears at once.
     """
-    if failed.started and not failed.repeatable:
+    if failed.may_have_started and not failed.is_idempotent:
         return GiveUp(ErrorKind.OPERATION_OUTCOME_UNKNOWN, "it may have run")
-    if failed.attempts >= failed.most_attempts:
-        kind = ErrorKind.ENDPOINT_FAILED if failed.started else ErrorKind.NO_ENDPOINT
+    if failed.attempts >= failed.max_attempts:
+        kind = ErrorKind.ENDPOINT_FAILED if failed.may_have_started else ErrorKind.NO_ENDPOINT
         return GiveUp(kind, f"{failed.attempts} attempts failed")
     ceiling_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (failed.attempts - 1))
     delay_s = source.uniform(0.0, ceiling_s)
-    if delay_s + failed.needed_s >= failed.time_left_s:
-        kind = ErrorKind.ENDPOINT_FAILED if failed.started else ErrorKind.DEADLINE_UNREACHABLE
+    if delay_s + failed.min_needed_s >= failed.time_left_s:
+        kind = (
+            ErrorKind.ENDPOINT_FAILED if failed.may_have_started else ErrorKind.DEADLINE_UNREACHABLE
+        )
         return GiveUp(kind, "no time is left for another attempt")
-    if not budget.take():
+    if not budget.try_spend():
         return GiveUp(ErrorKind.RETRY_BUDGET_EXHAUSTED, "too many attempts fail")
     return RetryAfter(delay_s)
--- a/poplarrun/router/__init__.py
+++ b/poplarrun/router/__init__.py
@@ -1,7 +1,13 @@
 """The decisions about one request, from its arrival to its bill."""
 
 from poplarrun.router._context import RouterContext
-from poplarrun.router._dispatch import Dispatch, Job, NoEndpoint, Sent, Start
+from poplarrun.router._engine_dispatcher import (
+    Dispatched,
+    EngineDispatcher,
+    EngineRequest,
+    NoEndpoint,
+    StartOutcome,
+)
 from poplarrun.router._messages import (
     AnswerAccepted,
     AttemptFailed,
@@ -14,11 +20,11 @@
     Explanation,
     FindOperation,
     FirstToken,
-    HandedOver,
     JudgeChat,
     OperationGrant,
     Replay,
     SendOperation,
+    SendResult,
 )
 from poplarrun.router._router import Router
 
@@ -29,14 +35,14 @@
     "BeginOperation",
     "CallFailed",
     "ChatGrant",
-    "Dispatch",
+    "Dispatched",
     "EndChat",
     "EndOperation",
+    "EngineDispatcher",
+    "EngineRequest",
     "Explanation",
     "FindOperation",
     "FirstToken",
-    "HandedOver",
-    "Job",
     "JudgeChat",
     "NoEndpoint",
     "OperationGrant",
@@ -44,6 +50,6 @@
     "Router",
     "RouterContext",
     "SendOperation",
-    "Sent",
-    "Start",
+    "SendResult",
+    "StartOutcome",
 ]
--- a/poplarrun/router/_chat_versions.py
+++ b/poplarrun/router/_chat_versions.py
@@ -66,7 +66,7 @@
         An engine that dies breaks all its streams, whatever their version; were
         they counted, a dead engine would withdraw good versions.
         """
-        is_empty = end.whole and end.usage.output_tokens == 0
+        is_empty = end.is_complete and end.usage.output_tokens == 0
         return is_empty or len(self.broken_at or ()) >= ENDPOINTS_OF_A_FAULT
 
 
@@ -86,9 +86,9 @@
         now: float,
     ) -> VersionPick | Refusal:
         """Return the version of a new request."""
-        if request.pinned is not None:
-            explanation.considered.append(f"the session keeps {request.pinned}")
-            return self._pick_pinned(request.pinned, account, work_class, now)
+        if request.pinned_version is not None:
+            explanation.considered.append(f"the session keeps {request.pinned_version}")
+            return self._pick_pinned(request.pinned_version, account, work_class, now)
         choice = self._context.versions.choose(
             ChoiceRequest(
                 account,
@@ -132,7 +132,7 @@
         A session, also one that opens now, never moves: other hosts derive its
         version from the same configuration.
         """
-        if request.session is not None or request.pinned is not None:
+        if request.session is not None or request.pinned_version is not None:
             return None
         choice = self._context.versions.choose(
             ChoiceRequest(
@@ -152,7 +152,7 @@
     ) -> None:
         """Tell the versions part how an answer ended."""
         failed = pick.is_failed(end)
-        if not end.whole and not failed:
+        if not end.is_complete and not failed:
             return
         tokens = end.usage.output_tokens
         late, score = _is_late(pick, work_class, tokens, took_s), self._score(end)
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from poplarrun.admission import Held, Refused
+from poplarrun.admission import Queued, Refused
 from poplarrun.billing import Bill
 from poplarrun.clients import Usage
 from poplarrun.contracts import ClientAccount, Unmet, Version, WorkClass
@@ -12,7 +12,13 @@
 from poplarrun.retries import GiveUp
 from poplarrun.router._chat_versions import ChatVersions, VersionPick
 from poplarrun.router._context import RouterContext
-from poplarrun.router._dispatch import Dispatch, Job, NoEndpoint, Sent, Start
+from poplarrun.router._engine_dispatcher import (
+    Dispatched,
+    EngineDispatcher,
+    EngineRequest,
+    NoEndpoint,
+    StartOutcome,
+)
 from poplarrun.router._messages import (
     AnswerAccepted,
     AttemptFailed,
@@ -39,7 +45,7 @@
     pick: VersionPick
     began_at: float
     explanation: Explanation
-    job: Job
+    job: EngineRequest
     shown_tokens: int = 0
     resumes: int = 0
     spent: float = 0.0
@@ -58,7 +64,7 @@
 class ChatRouter:
     """Decides about chat requests; called on the loop only, never blocks."""
 
-    def __init__(self, context: RouterContext, dispatch: Dispatch) -> None:
+    def __init__(self, context: RouterContext, dispatch: EngineDispatcher) -> None:
         self._context = context
         self._dispatch = dispatch
         self._chats: dict[str, _Chat] = {}
@@ -86,7 +92,7 @@
             for chat in self._chats.values()
         ]
 
-    def begin(self, request: BeginChat, now: float) -> ChatGrant | Held | Refusal:
+    def begin(self, request: BeginChat, now: float) -> ChatGrant | Queued | Refusal:
         """Decide on the version and the endpoint of a new chat request.
 
         Returns
@@ -128,32 +134,32 @@
             )
         if isinstance(start, Refused | NoEndpoint):
             start = self._start_other(chat, now) or start
-        if isinstance(start, Held):
+        if isinstance(start, Queued):
             explanation.attempts.append(f"queued, {start.wait_s:.2f} s expected")
         return self._follow_start(chat, start, now)
 
-    def release(self, now: float) -> list[tuple[str, ChatGrant | Refusal]]:
+    def release_queued(self, now: float) -> list[tuple[str, ChatGrant | Refusal]]:
         """Start the held requests that have a place now, and end those that are late."""
         released: list[tuple[str, ChatGrant | Refusal]] = []
-        for job, outcome in self._dispatch.release(now):
+        for job, outcome in self._dispatch.release_queued(now):
             chat = self._chats[job.request_id]
-            refusal = self._check_version(chat) if isinstance(outcome, Sent) else None
+            refusal = self._check_version(chat) if isinstance(outcome, Dispatched) else None
             if refusal is not None:
                 self._dispatch.end(job, False, now)
             started = refusal or self._follow_start(chat, outcome, now)
-            assert not isinstance(started, Held)
+            assert not isinstance(started, Queued)
             released.append((job.request_id, started))
         return released
 
     def retry(self, failure: AttemptFailed, now: float) -> ChatGrant | Refusal:
         """Decide where a broken chat goes on."""
         chat = self._chats[failure.request_id]
-        chat.shown_tokens = failure.position if failure.is_shown else 0
+        chat.shown_tokens = failure.position if failure.is_delivered else 0
         endpoint = chat.endpoint.name if chat.endpoint else ""
         chat.pick.note_broken(endpoint)
         chat.explanation.attempts.append(f"{endpoint}: {failure.reason}")
-        decision = self._dispatch.decide_again(
-            chat.job, failure.reason, failure.started, now, is_stream=failure.position > 0
+        decision = self._dispatch.handle_failed_attempt(
+            chat.job, failure.reason, failure.may_have_started, now, is_stream=failure.position > 0
         )
         refusal = self._check_version(chat)
         if refusal is not None:
@@ -165,7 +171,7 @@
         self._context.metrics.count_retry(failure.reason)
         return self._begin_anew(chat, now, decision.delay_s)
 
-    def note_first_token(self, event: FirstToken, now: float) -> None:
+    def record_first_token(self, event: FirstToken, now: float) -> None:
         """Record the time to the first token.
 
         A cascade's accepted first answer, or an empty one, has ended by then: it was
@@ -174,7 +180,7 @@
         chat = self._chats.get(event.request_id)
         if chat is None:
             return
-        self._dispatch.note_first_token(chat.job, now)
+        self._dispatch.record_first_token(chat.job, now)
         chat.pick.first_token_s = now - chat.began_at
         self._context.metrics.record_latency(
             "first_token", chat.work_class.name, now - chat.began_at
@@ -194,9 +200,9 @@
         job = _make_job(chat.request, chat.account, chat.work_class, second.version, now)
         job.deadline = chat.job.deadline
         # The first step ran: should the second one fail, "not run" would be false.
-        job.started = True
-        start = self._dispatch.send_elsewhere(job, now, 0.0)
-        if not isinstance(start, Sent):
+        job.may_have_started = True
+        start = self._dispatch.retry_elsewhere(job, now, 0.0)
+        if not isinstance(start, Dispatched):
             return AnswerAccepted()
         self._dispatch.end(chat.job, True, now)
         self._versions.note_end(chat.pick, chat.work_class, end, now - chat.began_at)
@@ -208,15 +214,15 @@
     def end(self, end: EndChat, now: float) -> Bill:
         """Close a chat and make its bill."""
         chat = self._chats.pop(end.request_id)
-        self._dispatch.end(chat.job, end.whole, now)
+        self._dispatch.end(chat.job, end.is_complete, now)
         self._context.metrics.record_latency("whole", chat.work_class.name, now - chat.began_at)
         self._versions.note_end(chat.pick, chat.work_class, end, now - chat.began_at)
         bill = _make_bill(chat, end.usage.input_tokens, end.usage.output_tokens)
         self._end_limits(chat.request, chat.account, end.usage, bill.amount)
-        chat.explanation.outcome = "answered" if end.whole else "cut off"
+        chat.explanation.outcome = "answered" if end.is_complete else "cut off"
         return self._context.add_bill(bill, chat.explanation)
 
-    def _start_other(self, chat: _Chat, now: float) -> Sent | Held | None:
+    def _start_other(self, chat: _Chat, now: float) -> Dispatched | Queued | None:
         """Start a chat on another allowed version when the chosen one has no room in time."""
         other = self._versions.pick_other(
             chat.request, chat.account, chat.work_class, chat.version.id, now
@@ -225,7 +231,7 @@
             return None
         job = _make_job(chat.request, chat.account, chat.work_class, other.version, now)
         start = self._dispatch.start(job, now)
-        if not isinstance(start, Sent | Held):
+        if not isinstance(start, Dispatched | Queued):
             return None
         chat.explanation.attempts.append(f"{chat.version.id}: no room in time")
         self._context.metrics.count_event("other_version_for_room")
@@ -250,35 +256,37 @@
             return self._grant(chat, sent, now, resumes=True)
         can_move = is_known and failure.reason != UNREACHABLE and chat.resumes == 2
         if can_move and same is not None:
-            moved = self._dispatch.send_elsewhere(chat.job, now, delay_s)
-            if isinstance(moved, Sent) and moved.choice.endpoint is not same:
+            moved = self._dispatch.retry_elsewhere(chat.job, now, delay_s)
+            if isinstance(moved, Dispatched) and moved.choice.endpoint is not same:
                 self._context.metrics.count_retry("resume_elsewhere")
                 return self._grant(chat, moved, now, resumes=True, cache_from=same.address)
-            if isinstance(moved, Sent):
-                self._dispatch.take_back(chat.job, now)
-        if failure.is_shown:
+            if isinstance(moved, Dispatched):
+                self._dispatch.undo_send(chat.job, now)
+        if failure.is_delivered:
             message = "the stream's engine is gone"
             return self._give_up(chat, ErrorKind.ANSWER_INCOMPLETE, message)
         self._context.metrics.count_retry("anew")
         return self._begin_anew(chat, now, delay_s)
 
     def _begin_anew(self, chat: _Chat, now: float, delay_s: float) -> ChatGrant | Refusal:
-        sent = self._dispatch.send_elsewhere(chat.job, now, delay_s)
+        sent = self._dispatch.retry_elsewhere(chat.job, now, delay_s)
         started = self._follow_start(chat, sent, now)
-        assert not isinstance(started, Held)
+        assert not isinstance(started, Queued)
         return started
 
-    def _follow_start(self, chat: _Chat, start: Start, now: float) -> ChatGrant | Held | Refusal:
+    def _follow_start(
+        self, chat: _Chat, start: StartOutcome, now: float
+    ) -> ChatGrant | Queued | Refusal:
         match start:
-            case Sent():
+            case Dispatched():
                 return self._grant(chat, start, now)
-            case Held():
+            case Queued():
                 return start
             case Refused(kind=kind, reason=reason, retry_after_s=retry_after_s):
                 return self._give_up(chat, kind, reason, retry_after_s)
             case NoEndpoint():
                 message = f"no endpoint holds {chat.version.id}"
-                coming_s = self._context.coming.get(chat.version.id)
+                coming_s = self._context.expected_load_s.get(chat.version.id)
                 return self._give_up(chat, ErrorKind.NO_ENDPOINT, message, coming_s)
 
     def _check_version(self, chat: _Chat) -> Refusal | None:
@@ -296,13 +304,13 @@
         return None
 
     def _grant(
-        self, chat: _Chat, sent: Sent, now: float, resumes: bool = False, cache_from: str = ""
+        self, chat: _Chat, sent: Dispatched, now: float, resumes: bool = False, cache_from: str = ""
     ) -> ChatGrant:
         endpoint = sent.choice.endpoint
         timeout_s = max(0.0, chat.job.deadline - now - sent.delay_s)
         importance = chat.work_class.importance
         if chat.job.attempts == 1:
-            self._context.opened.append(_make_bill(chat, chat.request.prompt_tokens, 0))
+            self._context.opened_bills.append(_make_bill(chat, chat.request.prompt_tokens, 0))
         return ChatGrant(
             endpoint.name,
             endpoint.address,
@@ -310,10 +318,10 @@
             importance,
             timeout_s,
             sent.delay_s,
-            sampled=chat.pick.sampled,
-            is_held=chat.pick.escalation is not None,
+            is_sampled=chat.pick.sampled,
+            must_buffer=chat.pick.escalation is not None,
             session_token=chat.request.session_token,
-            resumes=resumes,
+            is_resume=resumes,
             cache_from=cache_from,
         )
 
@@ -346,10 +354,10 @@
             self._end_limits(chat.request, chat.account, shown, bill.amount)
             self._context.add_bill(bill, chat.explanation)
         else:
-            if chat.job.started and answer_for(kind).not_run is NotRun.YES:
+            if chat.job.may_have_started and answer_for(kind).not_run is NotRun.YES:
                 kind = ErrorKind.ENDPOINT_FAILED
             self._end_limits(chat.request, chat.account)
-            self._context.closed.append(chat.request.request_id)
+            self._context.closed_bill_ids.append(chat.request.request_id)
         chat.explanation.outcome = f"refused: {kind.value}"
         return self._context.refuse(kind, message, retry_after_s=retry_after_s)
 
@@ -361,12 +369,12 @@
 
 def _make_job(
     request: BeginChat, account: ClientAccount, work_class: WorkClass, version: Version, now: float
-) -> Job:
+) -> EngineRequest:
     targets = work_class.targets
     wait_s = targets.first_token_s
     if work_class.unmet is Unmet.BEST_EFFORT:
         wait_s = max(wait_s, min(targets.whole_s, BEST_EFFORT_WAIT_S))
-    return Job(
+    return EngineRequest(
         request_id=request.request_id,
         account=account.name,
         work_class=work_class.name,
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -37,9 +37,9 @@
     bills : list of Bill
         Final bills that are not handed on yet; the host keeps them before it
         answers the message that made them.
-    opened : list of Bill
+    opened_bills : list of Bill
         Entries of requests that began, not handed on yet.
-    closed : list of str
+    closed_bill_ids : list of str
         Ids of requests that ended without a bill, not handed on yet.
     limited_accounts : set of str
         Accounts whose limits were just counted against, for the host to look at.
@@ -53,7 +53,7 @@
         Concurrency limits of plain services, as this host's calls see them.
     demand : DemandCounter
         What requests ask for that no engine holds.
-    coming : dict of VersionId to float
+    expected_load_s : dict of VersionId to float
         Expected seconds until a version is loaded that no engine holds.
     """
 
@@ -62,8 +62,8 @@
     versions: Versions
     configuration: Configuration = field(default_factory=Configuration)
     bills: list[Bill] = field(default_factory=list)
-    opened: list[Bill] = field(default_factory=list)
-    closed: list[str] = field(default_factory=list)
+    opened_bills: list[Bill] = field(default_factory=list)
+    closed_bill_ids: list[str] = field(default_factory=list)
     limited_accounts: set[str] = field(default_factory=set)
     explanations: Explanations = field(default_factory=Explanations)
     limits: AccountLimits | None = None
@@ -71,7 +71,7 @@
     source: random.Random = field(default_factory=random.Random)
     service_limits: dict[str, ServiceLimit] = field(default_factory=dict)
     demand: DemandCounter = field(default_factory=DemandCounter)
-    coming: dict[VersionId, float] = field(default_factory=dict)
+    expected_load_s: dict[VersionId, float] = field(default_factory=dict)
 
     def may_use(self, account: str, version: VersionId) -> bool:
         """Tell whether a client account may use a version by the configuration in force now.
--- a/poplarrun/router/_messages.py
+++ b/poplarrun/router/_messages.py
@@ -26,7 +26,7 @@
         Hashes of the prompt's beginnings, by which engines cache them.
     session_token : str, optional
         The token that an earlier answer of the session carried.
-    pinned : VersionId, optional
+    pinned_version : VersionId, optional
         The version that the session keeps; None while it has none.
     """
 
@@ -38,7 +38,7 @@
     session: str | None = None
     blocks: tuple[int, ...] = ()
     session_token: str | None = None
-    pinned: VersionId | None = None
+    pinned_version: VersionId | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,13 +59,13 @@
         Seconds left until the request's deadline.
     delay_s : float
         Seconds to wait before sending: the pause before a retry.
-    sampled : bool
+    is_sampled : bool
         Whether the worker keeps the answer's text, to be rated.
-    is_held : bool
+    must_buffer : bool
         Whether the worker holds the whole answer back and asks ``JudgeChat``.
     session_token : str, optional
         What the caller may carry to keep the session's version.
-    resumes : bool
+    is_resume : bool
         Whether the stream goes on where it broke; else it begins anew.
     cache_from : str
         Address of the engine whose KV cache of the stream must be moved first.
@@ -77,10 +77,10 @@
     priority: int
     timeout_s: float
     delay_s: float = 0.0
-    sampled: bool = False
-    is_held: bool = False
+    is_sampled: bool = False
+    must_buffer: bool = False
     session_token: str | None = None
-    resumes: bool = False
+    is_resume: bool = False
     cache_from: str = ""
 
 
@@ -97,21 +97,21 @@
 
     Attributes
     ----------
-    started : bool
+    may_have_started : bool
         Whether the endpoint may have begun.
     reason : str
         Counter label.
     position : int
         Tokens that the worker has, in order.
-    is_shown : bool
+    is_delivered : bool
         Whether the caller was given them already.
     """
 
     request_id: str
-    started: bool
+    may_have_started: bool
     reason: str
     position: int
-    is_shown: bool = True
+    is_delivered: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
     ----------
     usage : Usage
         What was used; for a cut-off answer, what was generated.
-    whole : bool
+    is_complete : bool
         Whether the caller got the whole answer.
     text : str, optional
         The answer, when it is to be rated.
@@ -144,7 +144,7 @@
 
     request_id: str
     usage: Usage
-    whole: bool
+    is_complete: bool
     text: str | None = None
 
 
@@ -212,7 +212,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOver:
+class SendResult:
     """The loop let the call go.
 
     Attributes
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -35,10 +35,10 @@
     EndOperation,
     Explanation,
     FindOperation,
-    HandedOver,
     OperationGrant,
     Replay,
     SendOperation,
+    SendResult,
 )
 
 FIRST_ERROR_STATUS = 400
@@ -77,12 +77,12 @@
 
     Attributes
     ----------
-    keeper : ClaimKeeper, optional
+    claims : ClaimKeeper, optional
         The host's claims; without it no keyed operation is taken.
     """
 
     def __init__(self, context: RouterContext) -> None:
-        self.keeper: ClaimKeeper | None = None
+        self.claims: ClaimKeeper | None = None
         self.peers: Peers | None = None
         self._context = context
         self._now: Callable[[], float] = time.monotonic
@@ -118,7 +118,7 @@
             return self._refuse(call, refusal[0], refusal[1])
         return await self._claim_and_choose(call, call.claimed_key)
 
-    def send(self, message: SendOperation) -> HandedOver | Refusal:
+    def send(self, message: SendOperation) -> SendResult | Refusal:
         """Check that the call may still run, and hand its bytes over, in one step.
 
         Nothing runs between the check and the hand-over. A process that was
@@ -132,7 +132,7 @@
             kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else ErrorKind.DEADLINE_UNREACHABLE
             return self._refuse(call, kind, "the deadline passed before it was sent")
         call.is_sent = message.call.hand_over() or call.is_sent
-        return HandedOver(call.is_sent, left_s)
+        return SendResult(call.is_sent, left_s)
 
     def retry(self, failure: CallFailed) -> OperationGrant | Refusal:
         """Decide where a broken call goes on: only if it is safe to send it again."""
@@ -161,9 +161,9 @@
         self._context.endpoints.note_success(call.endpoint)
         ran = end.answer.status < FIRST_ERROR_STATUS
         call.explanation.outcome = "ran" if ran else "refused by the service"
-        if call.claim is not None and self.keeper is not None:
+        if call.claim is not None and self.claims is not None:
             answer = make_ran(end.answer.status, end.answer.content_type, end.answer.body)
-            self.keeper.settle(_outcome(call.claim, answer))
+            self.claims.settle(_outcome(call.claim, answer))
         if not ran:
             return None
         bill = Bill(
@@ -180,9 +180,9 @@
             return account
         if (account.name, message.key) in self._keys_here:
             return KnownOutcome(OutcomeKind.IN_PROGRESS)
-        if self.keeper is None or self.peers is None:
+        if self.claims is None or self.peers is None:
             return self._context.refuse(ErrorKind.NOT_READY, "this host keeps no claims yet")
-        found = await self.keeper.find(account.name, message.key)
+        found = await self.claims.find(account.name, message.key)
         outcome = read_outcome(self._newest(found.holding), self.peers.live())
         if not found.is_current and outcome.kind is OutcomeKind.NOT_RUN:
             text = "the log does not answer, so nothing can be told of this key; ask again"
@@ -253,14 +253,14 @@
             )
         if made_at is not None and made_at > self._wall() + CLOCK_MARGIN_S:
             return ErrorKind.INVALID_REQUEST, "the key's time lies in the future"
-        if self.keeper is None or self.keeper.is_full:
+        if self.claims is None or self.claims.is_full:
             return ErrorKind.LOG_UNAVAILABLE, "the log has taken no outcomes for long"
         if self._choose_endpoint(call) is None:
             return ErrorKind.NO_ENDPOINT, f"no endpoint runs {call.request.service}"
         return None
 
     async def _claim_and_choose(self, call: _Call, key: str) -> OperationGrant | Replay | Refusal:
-        assert self.keeper is not None and self.peers is not None
+        assert self.claims is not None and self.peers is not None
         me = self.peers.me
         request = call.request
         claim = Claim(
@@ -276,7 +276,7 @@
         call.holds_key_here = True
         call.claim = claim
         began = self._now()
-        verdict = await self.keeper.claim(claim, call.deadline - began)
+        verdict = await self.claims.claim(claim, call.deadline - began)
         self._context.metrics.record_latency("claim", request.service, self._now() - began)
         match verdict:
             case Won():
@@ -297,9 +297,9 @@
 
     def _newest(self, holding: Holding | None) -> Holding | None:
         """Add an outcome of this host that the log doesn't hold yet."""
-        if holding is None or self.keeper is None:
+        if holding is None or self.claims is None:
             return holding
-        match self.keeper.settled_here(holding.claim.id):
+        match self.claims.settled_here(holding.claim.id):
             case Outcome(result=result):
                 return Holding(holding.claim, result)
         return holding
@@ -320,7 +320,7 @@
 
     def _note_attempt_end(self, call: _Call, took_s: float | None = None) -> None:
         now = self._now()
-        self._context.service_limit(call.request.service).note_end(took_s, now)
+        self._context.service_limit(call.request.service).record_end(took_s, now)
         self._context.endpoints.note_ended(call.endpoint, now)
 
     def _choose(self, call: _Call, delay_s: float = 0.0) -> OperationGrant | Refusal:
@@ -331,10 +331,10 @@
         call.endpoint, address = name_and_address
         call.attempts += 1
         if call.attempts == 1:
-            self._context.retry_budgets.budget(_budget_key(call)).note_attempt()
+            self._context.retry_budgets.budget(_budget_key(call)).record_attempt()
         call.tried.add(call.endpoint)
         call.sent_at = self._now() + delay_s
-        self._context.service_limit(call.request.service).note_sent()
+        self._context.service_limit(call.request.service).record_sent()
         self._context.endpoints.note_sent(call.endpoint, self._now())
         return OperationGrant(call.endpoint, address, call.operation, delay_s)
 
@@ -346,8 +346,8 @@
 
     def _give_up_sent(self, call: _Call, reason: str) -> Refusal:
         """End a call that went out and got no answer: it is never sent again."""
-        if call.claim is not None and self.keeper is not None:
-            self.keeper.settle(_outcome(call.claim, Lost(reason)))
+        if call.claim is not None and self.claims is not None:
+            self.claims.settle(_outcome(call.claim, Lost(reason)))
         message = "the call went out and no answer came; it may have run"
         return self._refuse(call, ErrorKind.OPERATION_OUTCOME_UNKNOWN, message)
 
@@ -359,8 +359,8 @@
     def _release(self, call: _Call, kind: ErrorKind) -> None:
         """Close a call, and release a claim under which nothing was sent."""
         self._close(call.request.request_id)
-        if call.claim is not None and not call.is_sent and self.keeper is not None:
-            self.keeper.settle(Release(call.claim.id, call.claim.account, call.claim.key))
+        if call.claim is not None and not call.is_sent and self.claims is not None:
+            self.claims.settle(Release(call.claim.id, call.claim.account, call.claim.key))
         call.explanation.outcome = f"refused: {kind.value}"
 
     def _close(self, request_id: str) -> _Call:
--- a/poplarrun/router/_router.py
+++ b/poplarrun/router/_router.py
@@ -6,7 +6,7 @@
 from poplarrun.metrics import Metrics
 from poplarrun.router._chats import ChatRouter
 from poplarrun.router._context import RouterContext
-from poplarrun.router._dispatch import Dispatch
+from poplarrun.router._engine_dispatcher import EngineDispatcher
 from poplarrun.router._operations import OperationRouter
 from poplarrun.router._sessions import SessionRouter
 from poplarrun.versions import Versions
@@ -34,12 +34,12 @@
         endpoints: EndpointTable,
         metrics: Metrics,
         versions: Versions,
-        queue_bound: int = DEFAULT_QUEUE_BOUND,
+        max_queued: int = DEFAULT_QUEUE_BOUND,
         source: random.Random | None = None,
     ) -> None:
         source = source or random.Random()
         self.context = RouterContext(endpoints, metrics, versions, source=source)
-        dispatch = Dispatch(endpoints, queue_bound, source, self.context.retry_budgets)
+        dispatch = EngineDispatcher(endpoints, max_queued, source, self.context.retry_budgets)
         self.chats = ChatRouter(self.context, dispatch)
         self.sessions = SessionRouter(self.context)
         self.operations = OperationRouter(self.context)
--- a/poplarrun/router/_sessions.py
+++ b/poplarrun/router/_sessions.py
@@ -22,7 +22,7 @@
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
-        self.keeper: SessionKeeper | None = None
+        self.sessions: SessionKeeper | None = None
 
     async def pin(self, request: BeginChat) -> BeginChat | Refusal:
         """Return the request with its session's version; unchanged without a session."""
@@ -40,21 +40,21 @@
             message = "the session token was not given out to this client account and session"
             return self._context.refuse(ErrorKind.SESSION_TOKEN_INVALID, message, TOKEN_PARAM)
         session, version = read
-        return replace(request, session=session, pinned=version)
+        return replace(request, session=session, pinned_version=version)
 
     async def _pin_by_id(
         self, request: BeginChat, session: str, account: ClientAccount
     ) -> BeginChat:
-        if self.keeper is None:
+        if self.sessions is None:
             return request
-        pinned = await self.keeper.find(account.name, session)
+        pinned = await self.sessions.find(account.name, session)
         if pinned is None:
             proposal = self._propose(request)
             if proposal is None:
                 return request
-            pinned = await self.keeper.open(account.name, session, proposal.version.id)
+            pinned = await self.sessions.open(account.name, session, proposal.version.id)
         token = sign_session(account, session, pinned)
-        return replace(request, pinned=pinned, session_token=token)
+        return replace(request, pinned_version=pinned, session_token=token)
 
     def _propose(self, request: BeginChat) -> Chosen | None:
         """Choose for a new session; None where the request will be refused anyway.
--- a/poplarrun/server/__init__.py
+++ b/poplarrun/server/__init__.py
@@ -1,8 +1,8 @@
 """The daemon: HTTP to callers and operators, and the crossing into the loop."""
 
-from poplarrun.server._crossing import Crossing, CrossingClosed
 from poplarrun.server._daemon import Daemon, run_daemon
 from poplarrun.server._host import EntryHost
+from poplarrun.server._loop_bridge import LoopBridge, LoopStopped
 from poplarrun.server._messages import HostStatus
 
-__all__ = ["Crossing", "CrossingClosed", "Daemon", "EntryHost", "HostStatus", "run_daemon"]
+__all__ = ["Daemon", "EntryHost", "HostStatus", "LoopBridge", "LoopStopped", "run_daemon"]
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -20,7 +20,7 @@
     render_outcome,
 )
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece, new_request_id
-from poplarrun.server._crossing import Crossing
+from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import ListClasses
 from poplarrun.server._operations import OperationRun
 
@@ -73,7 +73,7 @@
     """``/v1``: chat completions, models and plain services."""
 
     def __init__(
-        self, crossing: Crossing, engine: Engine, services: ServiceCaller, body_bytes: int
+        self, crossing: LoopBridge, engine: Engine, services: ServiceCaller, body_bytes: int
     ) -> None:
         self._crossing = crossing
         self._engine = engine
--- a/poplarrun/server/_chats.py
+++ b/poplarrun/server/_chats.py
@@ -11,7 +11,7 @@
 from poplarrun.errors import Refusal
 from poplarrun.logs import part_logger
 from poplarrun.router import AttemptFailed, BeginChat, ChatGrant, EndChat, FirstToken, JudgeChat
-from poplarrun.server._crossing import Crossing
+from poplarrun.server._loop_bridge import LoopBridge
 
 _log = part_logger("chats")
 
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    crossing : Crossing
+    crossing : LoopBridge
         The way into the loop.
     engine : Engine
         The adapter to model engines.
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        crossing: Crossing,
+        crossing: LoopBridge,
         engine: Engine,
         request: BeginChat,
         prompt: str,
@@ -92,12 +92,12 @@
                 return refusal
             case ChatGrant() as grant:
                 self._open(grant)
-                if grant.is_held:
+                if grant.must_buffer:
                     self._hold_answer()
         first = self._next_piece()
         if isinstance(first, BrokenAnswer):
             return first.refusal
-        self._crossing.tell(FirstToken(self._request.request_id))
+        self._crossing.post(FirstToken(self._request.request_id))
         return first
 
     def pieces(self, first: Piece) -> Iterator[Piece]:
@@ -145,9 +145,9 @@
         self._arrived = []
         self.version = grant.version
         self.session_token = grant.session_token
-        self._sampled = grant.sampled
+        self._sampled = grant.is_sampled
         self._address = grant.address
-        if not grant.resumes:
+        if not grant.is_resume:
             self._reassembly = Reassembly()
             self._texts.clear()
         if grant.cache_from and not self._move_cache(grant):
--- a/poplarrun/server/_daemon.py
+++ b/poplarrun/server/_daemon.py
@@ -19,9 +19,9 @@
 )
 from poplarrun.logs import part_logger, set_up_logs
 from poplarrun.server._callers import CallersApi
-from poplarrun.server._crossing import Crossing
 from poplarrun.server._host import EntryHost
 from poplarrun.server._http_server import CallerCertificate, make_server, start_more_threads
+from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import Leave
 from poplarrun.server._observers import RootApi
 from poplarrun.settings import HostSettings, PlatformTlsSettings
@@ -64,7 +64,7 @@
                 HttpWeightStore(settings.platform.weights) if settings.platform.weights else None
             ),
         )
-        self.crossing = Crossing(self.host.handle)
+        self.crossing = LoopBridge(self.host.handle)
         services_tls = settings.tls.services
         services = HttpServiceCaller(None if services_tls is None else _read_tls(services_tls))
         callers = CallersApi(self.crossing, engine, services, settings.limits.body_bytes)
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any, TypeVar
 
-from poplarrun.admission import Held
+from poplarrun.admission import Queued
 from poplarrun.billing import Bill, BillKeeper, BillSnapshots
 from poplarrun.claims import ClaimKeeper
 from poplarrun.clients import (
@@ -49,7 +49,6 @@
     SendOperation,
 )
 from poplarrun.server._endpoint_tasks import EndpointTasks
-from poplarrun.server._held import HeldChats
 from poplarrun.server._messages import (
     Explain,
     HostStatus,
@@ -61,6 +60,7 @@
 )
 from poplarrun.server._order_tasks import OrderTasks
 from poplarrun.server._peering import keys_of, make_peers, publish_offset, read_zones, sign_log
+from poplarrun.server._queued_chats import QueuedChats
 from poplarrun.server._readiness import Readiness
 from poplarrun.server._status import read_endpoint
 from poplarrun.server._tasks import Tasks
@@ -132,7 +132,7 @@
         self._clock = clock
         self._endpoints = EndpointTable(settings.zone, random.Random(settings.name))
         self._limits = AccountLimits(self.peers)
-        self._held = HeldChats()
+        self._held = QueuedChats()
         self._pool = ThreadPoolExecutor(BLOCKING_THREADS, thread_name_prefix="platform")
         self._endpoint_tasks = EndpointTasks(
             self._endpoints, self.peers, host_list, engine, self.metrics, self._in_thread, clock
@@ -154,9 +154,9 @@
         queue_bound = max(1, int(settings.limits.threads * QUEUED_SHARE_OF_THREADS))
         self.router = Router(self._endpoints, self.metrics, versions, queue_bound)
         self.router.context.limits = self._limits
-        self.router.operations.keeper = self.claims
+        self.router.operations.claims = self.claims
         self.router.operations.peers = self.peers
-        self.router.sessions.keeper = SessionKeeper(self.peers)
+        self.router.sessions.sessions = SessionKeeper(self.peers)
         self._version_tasks = VersionTasks(
             versions,
             self.peers,
@@ -246,11 +246,11 @@
 
     def _hand_entries_on(self) -> None:
         context = self.router.context
-        for bill in context.opened:
+        for bill in context.opened_bills:
             self.billing.open(bill)
-        for bill_id in context.closed:
+        for bill_id in context.closed_bill_ids:
             self.billing.drop(bill_id)
-        context.opened, context.closed = [], []
+        context.opened_bills, context.closed_bill_ids = [], []
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         await asyncio.gather(*(self.billing.keep(bill) for bill in bills))
@@ -276,7 +276,7 @@
             case CallFailed():
                 return self.router.operations.retry(message)
             case FirstToken():
-                return self.router.chats.note_first_token(message, now)
+                return self.router.chats.record_first_token(message, now)
             case JudgeChat():
                 return self.router.chats.judge(message, now)
             case EndChat():
@@ -303,7 +303,7 @@
 
     def _begin_chat(self, message: BeginChat, now: float) -> Any:
         answer = self.router.chats.begin(message, now)
-        if not isinstance(answer, Held):
+        if not isinstance(answer, Queued):
             return answer
         started = self._held.hold(message.request_id)
         # It may have taken the place of a less important one, which hears now.
@@ -323,7 +323,7 @@
         return await answer if asyncio.iscoroutine(answer) else answer
 
     def _answer_held(self) -> None:
-        self._held.answer(self.router.chats.release(self._clock()))
+        self._held.answer(self.router.chats.release_queued(self._clock()))
 
     async def _release_held(self) -> None:
         if len(self._held):
--- a/poplarrun/server/_crossing.py
+++ b/poplarrun/server/_loop_bridge.py
@@ -13,11 +13,11 @@
 ANSWER_TIMEOUT_S = 30.0
 
 
-class CrossingClosed(Exception):
+class LoopStopped(Exception):
     """The loop has stopped; the host is going down."""
 
 
-class Crossing:
+class LoopBridge:
     """Runs the loop on its own thread and hands typed messages into it.
 
     Parameters
@@ -55,7 +55,7 @@
         self._hand_over(message, answer)
         return answer.result(timeout_s)
 
-    def tell(self, message: object) -> None:
+    def post(self, message: object) -> None:
         """Hand a message to the loop without waiting; a failure is only logged.
 
         Raises
@@ -69,7 +69,7 @@
 
     def _hand_over(self, message: object, answer: Future[Any]) -> None:
         if not self._thread.is_alive():
-            raise CrossingClosed
+            raise LoopStopped
         self.loop.call_soon_threadsafe(self._answer, message, answer)
 
     def _answer(self, message: object, answer: Future[Any]) -> None:
@@ -101,7 +101,7 @@
 
 def _pass_on(task: asyncio.Task[Any], answer: Future[Any]) -> None:
     if task.cancelled():
-        answer.set_exception(CrossingClosed())
+        answer.set_exception(LoopStopped())
         return
     error = task.exception()
     if error is not None:
--- a/poplarrun/server/_observers.py
+++ b/poplarrun/server/_observers.py
@@ -7,7 +7,7 @@
 from prometheus_client import CONTENT_TYPE_LATEST
 
 from poplarrun.server._callers import CallersApi, send_json
-from poplarrun.server._crossing import Crossing
+from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import Explain, ReadMetrics, ReadReadiness, ReadStatus
 
 OK = 200
@@ -18,7 +18,7 @@
 class RootApi:
     """``/healthz``, ``/readyz``, ``/metrics``, ``/status``, ``/explain`` and ``/v1``."""
 
-    def __init__(self, crossing: Crossing, callers: CallersApi) -> None:
+    def __init__(self, crossing: LoopBridge, callers: CallersApi) -> None:
         self.v1 = callers
         self._crossing = crossing
 
--- a/poplarrun/server/_operations.py
+++ b/poplarrun/server/_operations.py
@@ -17,12 +17,12 @@
     BeginOperation,
     CallFailed,
     EndOperation,
-    HandedOver,
     OperationGrant,
     Replay,
     SendOperation,
+    SendResult,
 )
-from poplarrun.server._crossing import Crossing
+from poplarrun.server._loop_bridge import LoopBridge
 
 # The loop bounds each step by the operation's own deadline.
 ANSWER_BOUND_S = 3600.0
@@ -33,7 +33,7 @@
 class OperationRun:
     """Runs one call on the calling thread."""
 
-    def __init__(self, crossing: Crossing, services: ServiceCaller) -> None:
+    def __init__(self, crossing: LoopBridge, services: ServiceCaller) -> None:
         self._crossing = crossing
         self._services = services
 
@@ -64,7 +64,7 @@
             prepared.close()
 
     def _finish(
-        self, request_id: str, prepared: PreparedCall, handed: HandedOver
+        self, request_id: str, prepared: PreparedCall, handed: SendResult
     ) -> ServiceAnswer | OperationGrant | Refusal:
         if not handed.is_sent:
             return self._ask_on(CallFailed(request_id, "connect"))
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -282,7 +282,9 @@
         own_zone = self._heard.get(self._zone, OrdersSummary())
         # Room is given up after DWELL_S at the earliest.
         waits = {**dict.fromkeys(own_zone.without_room, DWELL_S), **own_zone.coming}
-        self._context.coming = {VersionId.parse(v): seconds for v, seconds in waits.items()}
+        self._context.expected_load_s = {
+            VersionId.parse(v): seconds for v, seconds in waits.items()
+        }
 
     def _demand(self) -> dict[str, DemandSummary]:
         """Return what each live host of the own zone tells; nothing counts as nothing applied."""
--- a/poplarrun/server/_held.py
+++ b/poplarrun/server/_queued_chats.py
@@ -12,7 +12,7 @@
 Started = ChatGrant | Refusal
 
 
-class HeldChats:
+class QueuedChats:
     """The answers that held requests wait for; used on the loop only."""
 
     def __init__(self) -> None:
--- a/poplarrun/sizes/_sizes.py
+++ b/poplarrun/sizes/_sizes.py
@@ -8,13 +8,13 @@
 import math
 from dataclasses import dataclass
 
-from poplarrun.placement import Seat
+from poplarrun.placement import EndpointEstimate
 from poplarrun.routing import Request, Service, Work
 
 # The confidence with which an answer is as often good as poor, and the steps from there
 # in which the odds change by a factor of e: confidence is a steep sign, so answers well
 # below the middle are nearly all poor and those well above it nearly all good.
-EVEN_CONFIDENCE = 0.5
+MIDPOINT_CONFIDENCE = 0.5
 ODDS_STEP = 0.06
 # Probability that the largest model answers well.
 LARGEST_QUALITY = 0.97
@@ -45,7 +45,7 @@
 
 def chance_good(confidence: float) -> float:
     """Return the probability that an answer of a confidence is good, both 0 to 1."""
-    return 1.0 / (1.0 + math.exp((EVEN_CONFIDENCE - confidence) / ODDS_STEP))
+    return 1.0 / (1.0 + math.exp((MIDPOINT_CONFIDENCE - confidence) / ODDS_STEP))
 
 
 def _price(request: Request) -> float:
@@ -86,7 +86,7 @@
     def __init__(self) -> None:
         self._usual: dict[str, UsualRequest] = {}
 
-    def note_request(self, work: Work) -> None:
+    def record_request(self, work: Work) -> None:
         """Learn how long and dear the requests of a route are."""
         request = work.request
         usual = self._usual.get(work.route.name)
@@ -95,22 +95,22 @@
         else:
             usual.note(request)
 
-    def first(self, work: Work) -> str | None:
+    def first_size(self, work: Work) -> str | None:
         """Return the model that a new request goes to; None where the caller names one."""
         sizes = work.route.sizes
         if not sizes or work.request.model != "*":
             return None
         return sizes[0]
 
-    def largest(self, work: Work) -> str | None:
+    def escalation_size(self, work: Work) -> str | None:
         """Return the model to ask after a doubtful answer; None where there is none."""
         sizes = work.route.sizes
         if not sizes or work.size is None or work.size == sizes[-1]:
             return None
         return sizes[-1]
 
-    def is_worth_more(
-        self, work: Work, confidence: float, seat: Seat, service: Service, now: float
+    def should_escalate(
+        self, work: Work, confidence: float, seat: EndpointEstimate, service: Service, now: float
     ) -> bool:
         """Tell whether the largest model's answer gains more than it costs.
 
@@ -118,16 +118,16 @@
         ----------
         confidence : float
             That of the answer at hand, 0 to 1.
-        seat : Seat
+        seat : EndpointEstimate
             Where the largest model would be asked.
         """
         good = chance_good(confidence)
         at_hand = good + (1.0 - good) * POOR_WORTH
         in_time = work.arrived_at + work.route.pace.target_s
-        is_late = now + seat.first_s / TIME_PART > in_time
+        is_late = now + seat.first_event_s / TIME_PART > in_time
         larger = LARGEST_QUALITY * (LATE_WORTH if is_late else 1.0)
         gain = larger - at_hand - self._cost(work, service)
-        queue_part = min(1.0, seat.member.queue_s / work.route.pace.target_s)
+        queue_part = min(1.0, seat.endpoint.queue_s / work.route.pace.target_s)
         return gain > LEAST_GAIN + QUEUE_GAIN * queue_part
 
     def _cost(self, work: Work, service: Service) -> float:
