--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -142,7 +142,7 @@
 
     def _note_openings(self, peers: ChatPeers) -> None:
         """Write down the homes that are out of a host's sight when it opens a session."""
-        keeper = self.router.sessions.keeper
+        keeper = self.router.sessions.sessions
         open_session = keeper.open
 
         async def note(account: str, session: str, proposal: VersionId) -> VersionId:
@@ -195,7 +195,7 @@
         return choice
 
 
-class _Crossing:
+class _LoopBridge:
     """The way of one worker into its host's loop."""
 
     def __init__(self, host: "SimChatHost", worker: Worker) -> None:
@@ -209,7 +209,7 @@
             self.reach("granted")
         return answer
 
-    def tell(self, message: object) -> None:
+    def post(self, message: object) -> None:
         """Hand a message to the loop."""
         self._worker.wait_for(lambda: self._host.product.answer(message))
 
@@ -243,7 +243,7 @@
 
     def _work(self, call: ChatCall, worker: Worker) -> tuple[ChatAnswer, str | None]:
         """Do what the callers' border does with a chat; runs on the worker's thread."""
-        crossing = _Crossing(self, worker)
+        crossing = _LoopBridge(self, worker)
         crossing.reach("before begin")
         request = BeginChat(
             call.request_id,
@@ -266,7 +266,7 @@
 
 
 def _read(
-    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _Crossing, worker: Worker
+    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _LoopBridge, worker: Worker
 ) -> ChatAnswer:
     """Read a chat to its end, or go away before it."""
     shown: list[str] = []
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -17,11 +17,11 @@
     BeginOperation,
     CallFailed,
     EndOperation,
-    HandedOver,
     OperationGrant,
     Replay,
     Router,
     SendOperation,
+    SendResult,
 )
 from poplarrun.versions import Versions
 from standins.histories._events import Answer, AnswerKind
@@ -88,7 +88,7 @@
         self._operations.use_times(now, wall)
         self.claims = ClaimKeeper(self.peers, log, now, wall)
         self.billing = BillKeeper(self.peers, log, now, wall)
-        self._operations.keeper = self.claims
+        self._operations.claims = self.claims
         self._operations.peers = self.peers
         spawn(self.process, self.tend)
 
@@ -137,7 +137,7 @@
     ) -> OperationGrant | ServiceAnswer | Refusal:
         await reached(self, "before sending")
         handed = self._operations.send(SendOperation(request_id, call))
-        if not isinstance(handed, HandedOver):
+        if not isinstance(handed, SendResult):
             return handed
         await reached(self, "after sending")
         body = await call.answer(handed.timeout_s)
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -42,7 +42,7 @@
     def run_requests(self, requests: int, endpoints: int) -> None:
         """Have each host run so many requests at each of some endpoints."""
         for host in self.hosts:
-            for member in host.placement.members()[:endpoints]:
+            for member in host.placement.endpoints()[:endpoints]:
                 member.in_flight = requests
 
     def talk(self) -> None:
@@ -116,11 +116,11 @@
         """Return the hosts that don't know what the others run."""
         wrong = []
         for host in self.hosts:
-            members = host.placement.members()
+            members = host.placement.endpoints()
             for member in members:
                 expected = member.in_flight * (len(self.hosts) - 1)
-                if member.others != expected:
-                    wrong.append(f"{host.address}: {member.others} of {expected}")
+                if member.peer_in_flight != expected:
+                    wrong.append(f"{host.address}: {member.peer_in_flight} of {expected}")
         return wrong
 
     def count_readers(self) -> dict[tuple[str, str], int]:
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -14,13 +14,13 @@
 from typing import Any, TypeVar, cast
 from unittest.mock import patch
 
-from poplarrun.dispatch import Dispatch, Knowledge, Send
+from poplarrun.dispatch import ConfigView, Dispatcher, SendDecision
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._peering import Peering
 from poplarrun.gateway._reading import SharedReading
 from poplarrun.links import MemoryLinks, MemoryNetwork
 from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook
-from poplarrun.placement import Directory, Listing, Placement
+from poplarrun.placement import EndpointDirectory, EndpointRecord, Placement
 from poplarrun.platform import StoreClient
 from poplarrun.rollouts import Rollouts
 from poplarrun.routing import (
@@ -91,18 +91,18 @@
     def __init__(self, network: MemoryNetwork, address: str, zone: str, seed: int) -> None:
         self.address = address
         self.zone = zone
-        self.knowledge = Knowledge(None)
+        self.knowledge = ConfigView(None)
         self.placement = Placement(zone, random.Random(seed))
         self.rollouts = Rollouts(SESSION_S)
-        self.dispatch = Dispatch(
+        self.dispatch = Dispatcher(
             self.knowledge, self.placement, self.rollouts, SizePolicy(), 0.8, 100.0, 10.0
         )
-        self.knowledge.take(CATALOGUE)
-        self.placement.update(list(_list_endpoints(OLD)))
+        self.knowledge.apply_catalogue(CATALOGUE)
+        self.placement.update_endpoints(list(_list_endpoints(OLD)))
         book = PeerBook(address, zone)
         # Nobody reads the store here: orders are handed to the hosts that would read them.
         store = cast(StoreClient, None)
-        directory = Directory()
+        directory = EndpointDirectory()
         documents = DocumentFollower(
             store, self.knowledge, self.rollouts, lambda: None, SharedReading(DOCUMENTS, book)
         )
@@ -121,7 +121,7 @@
 
     def list_new_version(self) -> None:
         """List endpoints of the new version beside the old ones."""
-        self.placement.update([*_list_endpoints(OLD), *_list_endpoints(NEW)])
+        self.placement.update_endpoints([*_list_endpoints(OLD), *_list_endpoints(NEW)])
 
     async def judge(self, begin_after_s: float) -> None:
         """Judge the roll-out for ever, as each host does; nothing is recorded."""
@@ -138,15 +138,15 @@
         work = self.dispatch.admit(_make_request(session, number), clock())
         assert isinstance(work, Work), work
         await self.peering.sessions.learn(work)
-        step = self.dispatch.choose(work, clock())
-        assert isinstance(step, Send), step
+        step = self.dispatch.choose_endpoint(work, clock())
+        assert isinstance(step, SendDecision), step
         sent_at = clock()
-        attempt = self.dispatch.note_sent(work, step, sent_at)
+        attempt = self.dispatch.record_sent(work, step, sent_at)
         await asyncio.sleep(FIRST_S)
-        self.dispatch.note_first(work, attempt, clock())
+        self.dispatch.record_first_event(work, attempt, clock())
         await asyncio.sleep(took_s - FIRST_S)
-        self.dispatch.note_end(work, attempt, clock())
-        version = step.seat.member.listing.version
+        self.dispatch.record_completed(work, attempt, clock())
+        version = step.estimate.endpoint.record.version
         return Run(session, self.address, version, sent_at, clock())
 
 
@@ -271,11 +271,11 @@
     return asyncio.get_running_loop().time()
 
 
-def _list_endpoints(version: str) -> Iterator[Listing]:
+def _list_endpoints(version: str) -> Iterator[EndpointRecord]:
     for number in range(ENDPOINTS_OF_EACH):
         zone = "abc"[number % 3]
         name = f"{version}-{number}"
-        yield Listing(name, SERVICE, f"{name}:1", zone, version, PLACES, False)
+        yield EndpointRecord(name, SERVICE, f"{name}:1", zone, version, PLACES, False)
 
 
 def _make_request(session: str, number: int) -> Request:
