--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -36,40 +36,43 @@
             return work.sends
 
 
-@given("a dispatch whose configuration was confirmed at {at:f} and keys bound by {bound:f} s")
-def step_dispatch(context, at, bound):
-    context.knowledge = ConfigView(bound)
-    context.knowledge.apply_catalogue(make_catalogue())
-    context.knowledge.confirm(at)
-    context.dispatch = make_dispatch(context.knowledge)
+@given(
+    "a dispatcher whose configuration was confirmed at {at:f} "
+    "with a revocation limit of {limit:f} s"
+)
+def step_dispatcher(context, at, limit):
+    context.config_view = ConfigView(limit)
+    context.config_view.apply_catalogue(make_catalogue())
+    context.config_view.confirm(at)
+    context.dispatch = make_dispatch(context.config_view)
 
 
-@then("a keyed request is admitted at {at:f}")
+@then("a request with a key is admitted at {at:f}")
 def step_admitted(context, at):
     context.work = context.dispatch.admit(make_request(), at)
     assert isinstance(context.work, Work), context.work
 
 
-@then('a keyed request is refused with "{kind}" at {at:f}')
+@then('a request with a key is refused with "{kind}" at {at:f}')
 def step_refused(context, kind, at):
     refusal = context.dispatch.admit(make_request(), at)
     assert isinstance(refusal, Refusal) and refusal.kind.value == kind, refusal
     assert answer_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
 
 
-@then("after a new confirmation at {confirmed:f} a keyed request is admitted at {at:f}")
+@then("after a new confirmation at {confirmed:f} a request with a key is admitted at {at:f}")
 def step_confirmed(context, confirmed, at):
-    context.knowledge.confirm(confirmed)
+    context.config_view.confirm(confirmed)
     step_admitted(context, at)
 
 
-@when("a keyed request is admitted at {at:f} and its host is suspended until {until:f}")
+@when("a request with a key is admitted at {at:f} and its host is suspended until {until:f}")
 def step_suspended(context, at, until):
     step_admitted(context, at)
     context.refusal = context.dispatch.recheck(context.work, until)
 
 
-@when("a keyed request was sent at {at:f} and its endpoint breaks at {broken:f}")
+@when("a request with a key was sent at {at:f} and its connection breaks at {broken:f}")
 def step_sent_and_broken(context, at, broken):
     step_admitted(context, at)
     dispatch, work = context.dispatch, context.work
@@ -88,34 +91,34 @@
     step_refused(context, kind, at)
 
 
-@when("a keyed request is admitted at {at:f} and its key is taken away")
-def step_key_gone(context, at):
+@when("a request with a key is admitted at {at:f} and its key is revoked")
+def step_key_revoked(context, at):
     step_admitted(context, at)
-    context.knowledge.apply_catalogue(make_catalogue(version=2, keys=()))
+    context.config_view.apply_catalogue(make_catalogue(version=2, keys=()))
     context.refusal = context.dispatch.recheck(context.work, at + 0.1)
 
 
 @then('it may not be sent, and the refusal says "not run"')
-def step_not_sent(context):
+def step_refused_not_run(context):
     assert isinstance(context.refusal, Refusal), context.refusal
     assert answer_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
 
 
 @when("the versions {first:d}, {second:d} and {third:d} arrive in this order")
 def step_versions(context, first, second, third):
-    context.taken = [
-        context.knowledge.apply_catalogue(make_catalogue(v)) for v in (first, second, third)
+    context.applied = [
+        context.config_view.apply_catalogue(make_catalogue(v)) for v in (first, second, third)
     ]
 
 
 @then("version {version:d} is in force and {older:d} changed nothing")
 def step_in_force(context, version, older):
-    assert context.taken == [True, False, False]
-    assert context.knowledge.catalogue.version == version
+    assert context.applied == [True, False, False]
+    assert context.config_view.catalogue.version == version
 
 
-@when('a stream fails at its endpoint with "broken" and no endpoint is left')
-def step_broken(context):
+@when('a stream\'s connection fails with "broken" and no endpoint is left')
+def step_stream_broken(context):
     dispatch = context.dispatch
     work = dispatch.admit(make_request(), 100.1)
     step = dispatch.choose_endpoint(work, 100.1)
@@ -127,28 +130,29 @@
 
 
 @then('the refusal doesn\'t say "not run"')
-def step_not_promised(context):
+def step_not_claimed(context):
     assert isinstance(context.refusal, Refusal)
     answer = answer_for(context.refusal.kind)
     assert answer.not_run is not NotRun.YES and answer.status not in (408, 421, 429, 503)
 
 
 @given(
-    "{count:d} dispatches with {ratio:f} second sends for each request and {allowance:d} besides"
+    "{count:d} dispatchers that may make {ratio:f} retries for each request "
+    "and {allowance:d} in addition"
 )
-def step_dispatches(context, count, ratio, allowance):
+def step_dispatchers(context, count, ratio, allowance):
 
     context.dispatches = []
     for _ in range(count):
-        knowledge = ConfigView(None)
-        knowledge.apply_catalogue(make_catalogue())
-        knowledge.confirm(100.0)
+        config_view = ConfigView(None)
+        config_view.apply_catalogue(make_catalogue())
+        config_view.confirm(100.0)
         share = part_of_allowance(allowance, count - 1)
-        context.dispatches.append(make_dispatch(knowledge, 4, RETRY_PART * ratio, share))
+        context.dispatches.append(make_dispatch(config_view, 4, RETRY_PART * ratio, share))
 
 
 @when("each of them gets {count:d} requests that fail at each endpoint")
-def step_all_fail(context, count):
+def step_all_attempts_fail(context, count):
     context.sends = context.requests = 0
     for dispatch in context.dispatches:
         for number in range(count):
@@ -156,16 +160,16 @@
             context.sends += send_until_refused(dispatch, number)
 
 
-@then("{hosts:d} hosts together take no more than {allowance:d} besides")
-def step_more_hosts(context, hosts, allowance):
+@then("{hosts:d} hosts together have an allowance of at most {allowance:d}")
+def step_allowance_of_hosts(context, hosts, allowance):
     assert hosts * part_of_allowance(allowance, hosts - 1) <= allowance
 
 
-@then("all second sends together are at most {ratio:f} times {count:d} and {allowance:d}")
-def step_budget(context, ratio, count, allowance):
+@then("all retries together are at most {ratio:f} times {count:d} and {allowance:d}")
+def step_retry_budget(context, ratio, count, allowance):
     assert context.requests == count
     assert context.sends - context.requests <= ratio * count + allowance, context.sends
-    # A budget that lets nothing through would pass too.
+    # Without this, a budget that allows no retries would pass too.
     assert context.sends > 1.5 * context.requests
 
 
@@ -174,8 +178,8 @@
     context.catalogue = make_catalogue(routes=tuple(make_route(p) for p in (one, two, three)))
 
 
-@then('"{one}" goes to "{first}", "{two}" to "{second}" and "{three}" to "{third}"')
-def step_longest(context, one, first, two, second, three, third):
+@then('"{one}" is routed to "{first}", "{two}" to "{second}" and "{three}" to "{third}"')
+def step_longest_prefix(context, one, first, two, second, three, third):
     found = [context.catalogue.find_route("shop", path).prefix for path in (one, two, three)]
     assert found == [first, second, third], found
     assert context.catalogue.find_route("other", one) is None
@@ -187,21 +191,24 @@
     assert work.rank == whole
 
 
-@then("a stream expected after {one:f} s is left after {first:f} s, {rest}")
-def step_patience(context, one, first, rest):
+@then("a stream expected after {one:f} s times out after {first:f} s, {rest}")
+def step_timeout(context, one, first, rest):
     other, second = (float(number) for number in re.findall(r"[0-9.]+(?= s)", rest))
-    member = make_placement(1).find("engine-0")
-    for expected, patience in ((one, first), (other, second)):
-        seat = EndpointEstimate(member, 0.0, expected, 0)
-        assert first_event_timeout_s(make_work(), seat) == patience
+    endpoint = make_placement(1).find("engine-0")
+    for expected, timeout_s in ((one, first), (other, second)):
+        estimate = EndpointEstimate(endpoint, 0.0, expected, 0)
+        assert first_event_timeout_s(make_work(), estimate) == timeout_s
 
 
-@then("its last attempt, and an order, are never left")
-def step_no_patience(context):
-    seat = EndpointEstimate(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
+@then("its last attempt, and an order, have no timeout")
+def step_no_timeout(context):
+    estimate = EndpointEstimate(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
     last = make_work()
     last.runs = 2
     order = make_work()
     order.route = make_route(repeat=Repeat.ONCE, attempts=1)
-    assert first_event_timeout_s(last, seat) is None and first_event_timeout_s(order, seat) is None
+    assert (
+        first_event_timeout_s(last, estimate) is None
+        and first_event_timeout_s(order, estimate) is None
+    )
     assert event_gap_timeout_s(order) is None
--- a/poplarrun/dispatch/__init__.py
+++ b/poplarrun/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch: whether a request may run, where it goes, and what follows a failure."""
+"""Dispatch: admits requests, chooses their endpoints and decides on retries."""
 
 from poplarrun.dispatch._config_view import ConfigView
 from poplarrun.dispatch._dispatcher import Dispatcher, SendDecision
--- a/poplarrun/dispatch/_config_view.py
+++ b/poplarrun/dispatch/_config_view.py
@@ -1,32 +1,32 @@
-"""What this host believes of the configuration, and how old that belief may be."""
+"""The configuration that this host uses, and how recently it was known to be current."""
 
 import math
 from dataclasses import dataclass
 
 from poplarrun.routing import Catalogue
 
-# Share of the time in which a key must be refused everywhere after it was taken
-# away. A host whose knowledge is older refuses keyed requests: it can't know
-# whether their keys still hold. The rest of the time covers the way of a request
-# to its endpoint and the drift of clocks.
-KEY_AGE_PART = 0.8
-# Older knowledge doesn't deny that a route or key exists, in seconds: it may just
-# not have heard of it.
-DENIAL_AGE_S = 2.0
+# Fraction of the revocation limit, within which every host must refuse a revoked key.
+# A host whose configuration is older than that refuses requests with a key, because it
+# can't know whether the key is still valid. The rest of the limit covers the transfer
+# of a request to its endpoint and clock drift.
+KEY_AGE_FRACTION = 0.8
+# Age in seconds up to which a configuration can prove that a route or key doesn't exist.
+# An older one may merely lack a recent addition.
+MAX_DENIAL_AGE_S = 2.0
 
 
 @dataclass
 class ConfigView:
-    """The newest configuration that this host has, and when it was the newest for sure.
+    """The newest configuration that this host has, and when it was last confirmed.
 
     Attributes
     ----------
     revocation_limit_s : float, optional
-        Time after which a key that was taken away may not be honoured; None where
-        the operators ask for none.
+        Seconds after its revocation from which a key must be refused; None if the
+        operators set no limit.
     confirmed_at : float
-        When nothing newer existed for sure, in seconds of the clock that counts
-        suspension.
+        Latest time at which no newer version existed, in seconds of a clock that also
+        advances while the machine is suspended.
     """
 
     revocation_limit_s: float | None = None
@@ -34,10 +34,10 @@
     confirmed_at: float = -math.inf
 
     def apply_catalogue(self, catalogue: Catalogue) -> bool:
-        """Take in a configuration; False when it isn't newer than the one in force.
+        """Apply a configuration; return False if it isn't newer than the current one.
 
-        Versions only rise: a late record or a peer that lags can't bring back keys
-        and routes that were taken away.
+        The version never decreases, so that a late record or a lagging peer can't
+        restore keys and routes that were removed.
         """
         if self.catalogue is not None and catalogue.version <= self.catalogue.version:
             return False
@@ -45,19 +45,19 @@
         return True
 
     def confirm(self, confirmed_at: float) -> None:
-        """Note that what this host has was the newest at a time."""
+        """Record a time at which this host's configuration was the newest."""
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def age_s(self, now: float) -> float:
-        """Return how old the belief is."""
+        """Return the seconds since the configuration was last confirmed."""
         return now - self.confirmed_at
 
     def can_trust_keys(self, now: float) -> bool:
-        """Tell whether keys can be trusted still to hold."""
+        """Return whether the configuration is recent enough to accept its keys."""
         if self.revocation_limit_s is None:
             return True
-        return self.age_s(now) < KEY_AGE_PART * self.revocation_limit_s
+        return self.age_s(now) < KEY_AGE_FRACTION * self.revocation_limit_s
 
     def can_deny(self, now: float) -> bool:
-        """Tell whether what isn't known can be said not to exist."""
-        return self.age_s(now) < DENIAL_AGE_S
+        """Return whether an unknown route or key can be reported as nonexistent."""
+        return self.age_s(now) < MAX_DENIAL_AGE_S
--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -1,6 +1,6 @@
-"""The decisions about one request, from its arrival to its last send.
+"""Admits requests, chooses an endpoint for each attempt and decides on retries.
 
-All of it is plain state: time and random source are passed in, no network is used.
+The state is held in memory, the time is passed in, and no network is used.
 """
 
 import zlib
@@ -23,43 +23,43 @@
 from poplarrun.routing import Repeat, Request, Service, Work
 from poplarrun.sizes import SizePolicy
 
-# Sends that endpoints refused are no runs, but each costs the caller time: so many
-# more than the route's attempts are made at the most.
-REFUSED_SENDS = 2
-# Connections that may fail before the caller is told to come back.
-MOST_CONNECT_FAILURES = 4
-# Least time that a send must have left, in seconds: one that is cut at once would
-# only occupy the endpoint.
-LEAST_TIME_S = 0.03
-# When a caller should come back after a refusal, in seconds: about the time in which
-# a place becomes free, or another host is found.
-RETRY_SOON_S = 0.3
-# The same where this host waits for its own knowledge.
-RETRY_KNOWLEDGE_S = 0.5
-# Part of the allowance of second sends that larger models leave for failures.
-KEPT_FOR_FAILURES = 0.5
-# Events of an answer under way after which its pace is known well enough.
-EVENTS_JUDGED = 6
-# Load of an endpoint, in requests for each place, from which an answer proves its version
-# under load: what hosts know of each other's requests is some tenths of a second old.
-LOADED_FROM = 0.2
-# Last part of the wait for a silent answer: an endpoint that answered others in it was up
-# when this answer was due.
-AWAKE_PART = 2.0 / 3.0
-# Urgency at an endpoint of the highest rank; each rank below adds one.
-FIRST_URGENCY = 2
+# Sends that endpoints rejected without executing don't count as attempts, but each costs
+# the caller time: at most this many are made beyond the route's attempt limit.
+MAX_REJECTED_SENDS = 2
+# Failed connections after which the caller is told to retry later.
+MAX_CONNECT_FAILURES = 4
+# Least time that must remain until the deadline for another send, in seconds: a request
+# that is cancelled at once would only occupy the endpoint.
+MIN_TIME_LEFT_S = 0.03
+# Delay in seconds after which a refused caller should retry: about the time in which a
+# slot becomes free or the caller reaches another host.
+RETRY_DELAY_S = 0.3
+# The same while this host waits for a current configuration.
+STALE_CONFIG_RETRY_DELAY_S = 0.5
+# Fraction of the retry allowance that escalations to a larger model leave for failures.
+FAILURE_RESERVE_FRACTION = 0.5
+# Number of events after which the pace of an unfinished answer is known well enough.
+MIN_EVIDENCE_EVENTS = 6
+# Load of an endpoint, in requests per slot, from which an answer counts as evidence of its
+# version under load: what hosts know of each other's requests is some tenths of a second old.
+MIN_EVIDENCE_LOAD = 0.2
+# Last fraction of the wait for a silent answer. An endpoint that answered other requests
+# within it was up when this answer was due.
+RESPONSIVE_WINDOW_FRACTION = 2.0 / 3.0
+# Urgency that an endpoint is given for the highest rank; each lower rank adds one.
+HIGHEST_RANK_URGENCY = 2
 
 
 @dataclass(frozen=True, slots=True)
 class SendDecision:
-    """The request goes to an endpoint now.
+    """The decision to send a request to an endpoint now.
 
     Attributes
     ----------
     urgency : int
-        Order at the endpoint, 0 to 9, 0 first.
+        Priority at the endpoint, from 0, which is served first, to 9.
     reason : VersionReason
-        Why the endpoint's version was picked.
+        Why the endpoint's version was chosen.
     """
 
     estimate: EndpointEstimate
@@ -69,16 +69,16 @@
 
 
 class Dispatcher:
-    """Decides about requests; called on the loop only, never blocks.
+    """Decides about requests; used on the event loop only, never blocks.
 
     Parameters
     ----------
     retry_ratio : float
-        Part of a second send that each first one earns.
+        Retries that each first send allows.
     retry_allowance : float
-        Second sends that this host may make beyond that.
+        Retries that this host may make beyond that.
     retry_window_s : float
-        Time over which the operators count second sends.
+        Length of the window over which operators limit retries, in seconds.
     """
 
     def __init__(
@@ -99,75 +99,81 @@
         self.retry_allowance = retry_allowance
         self.retry_window_s = retry_window_s
         self._budgets: dict[str, WindowedRetryBudget] = {}
-        self._open: dict[Attempt, Work] = {}
+        self._open_attempts: dict[Attempt, Work] = {}
 
     def set_retry_allowance(self, allowance: float) -> None:
-        """Take over this host's part of the allowance, as hosts come and go."""
+        """Set this host's share of the retry allowance, which depends on the number of hosts."""
         self.retry_allowance = allowance
         for budget in self._budgets.values():
             budget.allowance = allowance
 
     def admit(self, request: Request, now: float) -> Work | Refusal:
-        """Find a new request's route, account and service, or refuse it."""
+        """Look up a new request's route, account and service, or refuse it."""
         catalogue = self.config_view.catalogue
         if catalogue is None:
-            return self._refuse(ErrorKind.NOT_READY, "no configuration yet", RETRY_KNOWLEDGE_S)
-        may_deny = self.config_view.can_deny(now)
+            return self._refuse(
+                ErrorKind.NOT_READY, "no configuration yet", STALE_CONFIG_RETRY_DELAY_S
+            )
+        can_deny = self.config_view.can_deny(now)
         path = request.target.decode("latin-1").split("?", 1)[0]
         route = catalogue.find_route(request.host, path)
         if route is None:
-            if not may_deny:
-                return self._refuse(ErrorKind.NOT_READY, "configuration is old", RETRY_KNOWLEDGE_S)
+            if not can_deny:
+                return self._refuse(
+                    ErrorKind.NOT_READY, "configuration is old", STALE_CONFIG_RETRY_DELAY_S
+                )
             return Refusal(ErrorKind.ROUTE_UNKNOWN, "no route for this host and path")
         account = None
         if catalogue.accounts is not None and not route.is_public:
             account = catalogue.find_account(request.api_key)
             if account is None:
-                if not may_deny:
-                    return self._refuse(ErrorKind.NOT_READY, "keys are old", RETRY_KNOWLEDGE_S)
+                if not can_deny:
+                    return self._refuse(
+                        ErrorKind.NOT_READY, "keys are old", STALE_CONFIG_RETRY_DELAY_S
+                    )
                 return Refusal(ErrorKind.UNAUTHENTICATED, "the key is not known")
             if not self.config_view.can_trust_keys(now):
-                return self._refuse(ErrorKind.NOT_READY, "keys are old", RETRY_KNOWLEDGE_S)
-        service = route.pick_service(_point(request.session or request.id))
-        time_s = min(request.time_left_s, route.pace.timeout_s)
-        work = Work(request, route, account, service, now, now + time_s)
+                return self._refuse(ErrorKind.NOT_READY, "keys are old", STALE_CONFIG_RETRY_DELAY_S)
+        service = route.pick_service(_hash_to_unit_interval(request.session or request.id))
+        timeout_s = min(request.time_left_s, route.pace.timeout_s)
+        work = Work(request, route, account, service, now, now + timeout_s)
         self.sizes.record_request(work)
         return work
 
     def recheck(self, work: Work, now: float) -> Refusal | None:
-        """Tell why a request may not be sent any more; asked in the step that sends it.
+        """Return why a request may no longer be sent; called immediately before the send.
 
-        A key may be taken away, or the host suspended, while a request waits for a
-        connection. Sent all the same, it would run seconds after its refusal was due.
+        While a request waits for a connection, its key may be revoked or the host be
+        suspended. Sent without this check, it would run seconds after it had to be refused.
         """
-        if work.left_s(now) < LEAST_TIME_S:
+        if work.left_s(now) < MIN_TIME_LEFT_S:
             return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
         if work.account is None:
             return None
         catalogue = self.config_view.catalogue
-        # A request that has begun goes on: its key held when it came, and the bound is
-        # on requests that come later. Only a key that is known to be gone ends it.
-        is_old = work.sends == 0 and not self.config_view.can_trust_keys(now)
-        if catalogue is None or is_old:
+        # A request that was already sent once continues: its key was valid on arrival, and
+        # the revocation limit applies to later requests. Only a revoked key ends it.
+        is_config_stale = work.sends == 0 and not self.config_view.can_trust_keys(now)
+        if catalogue is None or is_config_stale:
             return self._give_up(work, ErrorKind.NOT_READY, "keys are old")
         if catalogue.find_account(work.request.api_key) != work.account:
             return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
         return None
 
     def choose_endpoint(self, work: Work, now: float) -> SendDecision | Refusal:
-        """Choose the endpoint of the next send."""
+        """Choose the endpoint of the next attempt, or refuse the request."""
         refusal = self.recheck(work, now)
         if refusal is not None:
             return refusal
-        service = self._service(work)
+        service = self._find_service(work)
         if service is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
         size = work.size or self.sizes.first_size(work)
-        versions = self._versions(work, now)
+        versions = self._choose_versions(work, now)
         is_proving = versions.only is not None and any(
             self.rollouts.is_proving(work.service, version, now) for version in versions.only
         )
-        seat = self.placement.choose(
+        estimate = self.placement.choose(
             work,
             service,
             now,
@@ -177,59 +183,59 @@
             concentrate_load=is_proving,
         )
         reason = versions.reason
-        if seat is None and versions.only is not None:
-            # Without an endpoint of its version the request rather runs on another.
-            seat = self.placement.choose(work, service, now, size or "", None, versions.avoided)
+        if estimate is None and versions.only is not None:
+            # Running on another version is better than refusing the request.
+            estimate = self.placement.choose(work, service, now, size or "", None, versions.avoided)
             reason = VersionReason.NONE_LEFT
-        if seat is None:
+        if estimate is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
-        return SendDecision(seat, size, self._urgency(work), reason)
+        return SendDecision(estimate, size, self._compute_urgency(work), reason)
 
     def record_sent(self, work: Work, send: SendDecision, now: float) -> Attempt:
-        """Note that the request's bytes went to the socket."""
-        member = send.estimate.endpoint
+        """Record that the request's bytes were handed to the socket."""
+        endpoint = send.estimate.endpoint
         if work.sends == 0:
-            self._budget(work.service).record_attempt(now)
+            self._retry_budget(work.service).record_attempt(now)
         work.sends += 1
         work.size = send.size
-        work.tried.add(member.record.instance_id)
-        work.version = member.record.version
-        member.in_flight += 1
-        member.pending_prefill_s += send.estimate.prefill_s
+        work.tried.add(endpoint.record.instance_id)
+        work.version = endpoint.record.version
+        endpoint.in_flight += 1
+        endpoint.pending_prefill_s += send.estimate.prefill_s
         if send.size is not None:
-            member.record_prompt(send.size, work.request.parts, now)
+            endpoint.record_prompt(send.size, work.request.parts, now)
         attempt = Attempt(send.estimate, send.size, now)
-        is_past = self.rollouts.is_past_trial(work.service, member.record.version, now)
-        attempt.is_under_load = is_past and send.estimate.load >= LOADED_FROM
-        self._open[attempt] = work
-        self.rollouts.note_sent(work, member.record.version, now)
+        is_past = self.rollouts.is_past_trial(work.service, endpoint.record.version, now)
+        attempt.is_under_load = is_past and send.estimate.load >= MIN_EVIDENCE_LOAD
+        self._open_attempts[attempt] = work
+        self.rollouts.note_sent(work, endpoint.record.version, now)
         return attempt
 
     def try_escalate(self, work: Work, attempt: Attempt, confidence: float, now: float) -> bool:
-        """Tell whether a larger model is asked instead; the caller has seen nothing yet.
+        """Try to replace an answer by a larger model's; return whether that is done.
 
-        The dropped answer counts as a run, and the next send takes from the budget of
-        second sends, of which a part is kept for failures.
+        Called before the caller has received anything. The discarded answer counts as a
+        run, and the next send spends a retry; part of that budget is reserved for failures.
         """
         largest = self.sizes.escalation_size(work)
-        service = self._service(work)
+        service = self._find_service(work)
         if largest is None or service is None:
             return False
         if work.runs + 1 >= work.route.most_attempts or work.last_event is not None:
             return False
-        budget = self._budget(work.service)
-        if budget.remaining(now) < 1.0 + KEPT_FOR_FAILURES * budget.allowance:
+        budget = self._retry_budget(work.service)
+        if budget.remaining(now) < 1.0 + FAILURE_RESERVE_FRACTION * budget.allowance:
             return False
         versions = frozenset((attempt.estimate.endpoint.record.version,))
-        seat = self.placement.choose(work, service, now, largest, versions, include_tried=True)
-        if seat is None:
+        estimate = self.placement.choose(work, service, now, largest, versions, include_tried=True)
+        if estimate is None:
             return False
-        if not self.sizes.should_escalate(work, confidence, seat, service, now):
+        if not self.sizes.should_escalate(work, confidence, estimate, service, now):
             return False
         budget.try_spend(now)
-        self._leave(attempt)
+        self._close_attempt(attempt)
         attempt.first_event_at = now
-        self._note_evidence(work, attempt, False, attempt.compute_times(now))
+        self._record_evidence(work, attempt, False, attempt.compute_times(now))
         work.runs += 1
         work.may_have_run = True
         work.size = largest
@@ -237,151 +243,156 @@
         return True
 
     def record_first_event(self, work: Work, attempt: Attempt, now: float) -> None:
-        """Note that the first event came, or the answer of a plain service."""
+        """Record the arrival of the first event, or of a plain service's answer."""
         attempt.first_event_at = now
-        seat = attempt.estimate
-        seat.endpoint.last_response_at = now
-        seat.endpoint.pending_prefill_s = max(0.0, seat.endpoint.pending_prefill_s - seat.prefill_s)
-        taken_s = now - attempt.sent_at
-        seat.endpoint.record_first_event(seat.first_event_s, taken_s, now)
-        if seat.uncached_tokens:
+        estimate = attempt.estimate
+        estimate.endpoint.last_response_at = now
+        estimate.endpoint.pending_prefill_s = max(
+            0.0, estimate.endpoint.pending_prefill_s - estimate.prefill_s
+        )
+        first_event_s = now - attempt.sent_at
+        estimate.endpoint.record_first_event(estimate.first_event_s, first_event_s, now)
+        if estimate.uncached_tokens:
             speed = self.placement.speed(work.service, attempt.size or "")
-            speed.record_first_token(seat.uncached_tokens, taken_s)
+            speed.record_first_token(estimate.uncached_tokens, first_event_s)
 
     def record_completed(self, work: Work, attempt: Attempt, now: float) -> None:
-        """Note that an answer is whole."""
-        self._leave(attempt)
+        """Record that an answer is complete."""
+        self._close_attempt(attempt)
         attempt.estimate.endpoint.record_success()
-        self._note_evidence(work, attempt, False, attempt.compute_times(now))
+        self._record_evidence(work, attempt, False, attempt.compute_times(now))
         self.rollouts.note_end(work, attempt.estimate.endpoint.record.version, now)
 
     def record_cancelled(self, attempt: Attempt) -> None:
-        """Note that an attempt was ended by this side."""
-        self._leave(attempt)
+        """Record that this host cancelled an attempt."""
+        self._close_attempt(attempt)
 
     def handle_failure(
         self,
         work: Work,
-        member: EndpointState,
+        endpoint: EndpointState,
         attempt: Attempt | None,
         failure: Failure,
         now: float,
     ) -> Refusal | None:
-        """Learn from a failure, and tell whether the request ends with it.
+        """Record a failure; return a refusal if the request can't be retried.
 
         Parameters
         ----------
         attempt : Attempt, optional
-            None where nothing was sent.
+            None if nothing was sent.
         """
         if attempt is not None:
-            self._leave(attempt)
+            self._close_attempt(attempt)
         match failure:
             case NotExecuted(is_other_instance=True):
-                member.record_failure(now)
+                endpoint.record_failure(now)
             case NotExecuted():
-                member.record_overloaded(now)
+                endpoint.record_overloaded(now)
             case ErrorResponse():
                 if attempt is not None:
-                    self._note_evidence(work, attempt, True, Times())
+                    self._record_evidence(work, attempt, True, Times())
             case NoConnection():
                 work.connect_failures += 1
-                work.tried.add(member.record.instance_id)
-                member.record_failure(now)
-            case ResponseTimeout(waited_s) if attempt is not None and _is_awake(
-                member, waited_s, now
+                work.tried.add(endpoint.record.instance_id)
+                endpoint.record_failure(now)
+            case ResponseTimeout(waited_s) if attempt is not None and _was_responsive(
+                endpoint, waited_s, now
             ):
-                self._note_evidence(work, attempt, True, Times())
-                member.record_failure(now)
+                self._record_evidence(work, attempt, True, Times())
+                endpoint.record_failure(now)
             case _:
                 if attempt is not None:
-                    self._note_broken(work, attempt)
-                member.record_failure(now)
+                    self._record_broken(work, attempt)
+                endpoint.record_failure(now)
         if may_have_run(failure):
             work.runs += 1
             work.failures += 1
             work.may_have_run = True
-        return self._may_go_on(work, failure, now)
+        return self._check_retry(work, failure, now)
 
-    def _may_go_on(self, work: Work, failure: Failure, now: float) -> Refusal | None:
+    def _check_retry(self, work: Work, failure: Failure, now: float) -> Refusal | None:
         kind = ErrorKind.ENDPOINT_FAILED if work.may_have_run else ErrorKind.NO_ENDPOINT
         if may_have_run(failure) and not work.route.may_repeat:
             return Refusal(kind, "it may have run")
         if work.runs >= work.route.most_attempts:
             return Refusal(kind, f"{work.runs} attempts failed")
-        if work.sends >= work.route.most_attempts + REFUSED_SENDS:
+        if work.sends >= work.route.most_attempts + MAX_REJECTED_SENDS:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
-        if work.connect_failures >= MOST_CONNECT_FAILURES:
+        if work.connect_failures >= MAX_CONNECT_FAILURES:
             text = f"{work.connect_failures} connections failed"
             return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
-        if work.left_s(now) < LEAST_TIME_S:
+        if work.left_s(now) < MIN_TIME_LEFT_S:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
-        if work.sends and not self._budget(work.service).try_spend(now):
+        if work.sends and not self._retry_budget(work.service).try_spend(now):
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
         return None
 
-    def _service(self, work: Work) -> Service | None:
+    def _find_service(self, work: Work) -> Service | None:
         catalogue = self.config_view.catalogue
         return None if catalogue is None else catalogue.services.get(work.service)
 
-    def _versions(self, work: Work, now: float) -> VersionChoice:
-        # A stream goes on in the version that it began in.
+    def _choose_versions(self, work: Work, now: float) -> VersionChoice:
+        # A stream is resumed on the version that it began on.
         if work.version is not None and work.last_event is not None:
             return VersionChoice(frozenset((work.version,)), None, VersionReason.STREAM)
         return self.rollouts.pick_version(work, now)
 
-    def _urgency(self, work: Work) -> int:
+    def _compute_urgency(self, work: Work) -> int:
         match work.route.repeat:
             case Repeat.STREAM:
-                return FIRST_URGENCY + work.rank
+                return HIGHEST_RANK_URGENCY + work.rank
             case _:
-                return FIRST_URGENCY
+                return HIGHEST_RANK_URGENCY
 
     def record_open_evidence(self, now: float) -> None:
-        """Count answers under way whose pace is known, or that take much too long already.
+        """Count unfinished answers as evidence once their pace is known or they are far too slow.
 
-        Those that end first are the fast ones. A version that takes eight times as
-        long would look good until it has had many more requests than it may.
+        The answers that finish first are the fast ones. If only finished answers counted, a
+        version that takes eight times as long would look good until it had served many more
+        requests than a trial allows.
         """
-        for attempt, work in list(self._open.items()):
+        for attempt, work in list(self._open_attempts.items()):
             if attempt.is_counted:
                 continue
-            kind = _kind_of(work, attempt)
-            times = attempt.compute_times(now, is_ended=False)
-            is_slow = self.rollouts.evidence.is_slow(work.service, kind, times)
-            if is_slow or attempt.event_count >= EVENTS_JUDGED:
-                self._note_evidence(work, attempt, False, times)
-
-    def _note_evidence(self, work: Work, attempt: Attempt, is_bad: bool, times: Times) -> None:
+            kind = _evidence_kind(work, attempt)
+            latencies = attempt.compute_times(now, is_ended=False)
+            is_slow = self.rollouts.evidence.is_slow(work.service, kind, latencies)
+            if is_slow or attempt.event_count >= MIN_EVIDENCE_EVENTS:
+                self._record_evidence(work, attempt, False, latencies)
+
+    def _record_evidence(
+        self, work: Work, attempt: Attempt, is_failure: bool, latencies: Times
+    ) -> None:
         version = attempt.estimate.endpoint.record.version
-        key = (work.service, version, _kind_of(work, attempt))
+        key = (work.service, version, _evidence_kind(work, attempt))
         if attempt.is_counted:
-            if is_bad:
+            if is_failure:
                 self.rollouts.evidence.note_late_failure(key)
             return
         attempt.is_counted = True
         if attempt.is_under_load:
-            times = Times()
+            latencies = Times()
         rollout = self.rollouts.find(work.service)
         is_trial = rollout is not None and rollout.is_open and version == rollout.order.target
-        self.rollouts.evidence.note(key, is_bad, times, is_trial)
+        self.rollouts.evidence.note(key, is_failure, latencies, is_trial)
 
-    def _note_broken(self, work: Work, attempt: Attempt) -> None:
-        listing = attempt.estimate.endpoint.record
-        key = (work.service, listing.version, _kind_of(work, attempt))
-        self.rollouts.evidence.note_broken(key, listing.instance_id, attempt.is_counted)
+    def _record_broken(self, work: Work, attempt: Attempt) -> None:
+        record = attempt.estimate.endpoint.record
+        key = (work.service, record.version, _evidence_kind(work, attempt))
+        self.rollouts.evidence.note_broken(key, record.instance_id, attempt.is_counted)
         attempt.is_counted = True
 
-    def _leave(self, attempt: Attempt) -> None:
-        self._open.pop(attempt, None)
-        member = attempt.estimate.endpoint
-        member.in_flight = max(0, member.in_flight - 1)
+    def _close_attempt(self, attempt: Attempt) -> None:
+        self._open_attempts.pop(attempt, None)
+        endpoint = attempt.estimate.endpoint
+        endpoint.in_flight = max(0, endpoint.in_flight - 1)
         if attempt.first_event_at is None:
-            member.pending_prefill_s = max(
-                0.0, member.pending_prefill_s - attempt.estimate.prefill_s
+            endpoint.pending_prefill_s = max(
+                0.0, endpoint.pending_prefill_s - attempt.estimate.prefill_s
             )
 
-    def _budget(self, service: str) -> WindowedRetryBudget:
+    def _retry_budget(self, service: str) -> WindowedRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
             budget = WindowedRetryBudget(
@@ -391,26 +402,26 @@
         return budget
 
     def _give_up(self, work: Work, kind: ErrorKind, text: str) -> Refusal:
-        """Refuse a request; one that may have run is never said not to have run."""
+        """Refuse a request; one that may have run is never reported as not run."""
         if work.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_FAILED, text)
-        return self._refuse(kind, text, RETRY_SOON_S)
+        return self._refuse(kind, text, RETRY_DELAY_S)
 
     @staticmethod
     def _refuse(kind: ErrorKind, text: str, retry_after_s: float) -> Refusal:
         return Refusal(kind, text, retry_after_s=retry_after_s)
 
 
-def _kind_of(work: Work, attempt: Attempt) -> str:
+def _evidence_kind(work: Work, attempt: Attempt) -> str:
     if attempt.is_under_load:
         return LOADED
     return f"{work.route.name}/{attempt.size or ''}"
 
 
-def _is_awake(member: EndpointState, waited_s: float, now: float) -> bool:
-    """Tell whether an endpoint answered others while one of its answers did not come."""
-    return now - member.last_response_at < AWAKE_PART * waited_s
+def _was_responsive(endpoint: EndpointState, waited_s: float, now: float) -> bool:
+    """Return whether an endpoint answered other requests late in the wait for this one."""
+    return now - endpoint.last_response_at < RESPONSIVE_WINDOW_FRACTION * waited_s
 
 
-def _point(text: str) -> float:
+def _hash_to_unit_interval(text: str) -> float:
     return zlib.crc32(text.encode()) / 2.0**32
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -1,29 +1,29 @@
-"""How a send to an endpoint can fail, and what each way says about "has it run"."""
+"""The ways an attempt can fail, and whether the request may have run in each case."""
 
 from dataclasses import dataclass
 
 from poplarrun.placement import EndpointEstimate
 from poplarrun.rollouts import Times
 
-# Events of which the mean pause tells the pace of an answer.
-FEWEST_PACED = 3
+# Number of events from which the mean interval between them is meaningful.
+MIN_PACE_EVENTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class NoConnection:
-    """No connection came about, so no byte of the request left this host."""
+    """No connection was established, so no byte of the request left this host."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotExecuted:
-    """The endpoint states that it did not run the request.
+    """The endpoint reported that it did not run the request.
 
     Attributes
     ----------
     is_other_instance : bool
-        Whether another endpoint has the address now.
+        Whether another endpoint instance now has the address.
     """
 
     status: int
@@ -32,28 +32,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """The endpoint ran the request and answered with a failure of its own."""
+    """The endpoint ran the request and answered with an error."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """The connection ended before the answer was whole; the request may have run."""
+    """The connection closed before the answer was complete; the request may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Garbled:
-    """What came is no answer of this endpoint to this request, which may have run."""
+    """The response isn't this endpoint's answer to this request, which may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseTimeout:
-    """Nothing came for so long that another endpoint is asked; it may have run."""
+    """The endpoint was silent until its timeout; the request may have run."""
 
     waited_s: float
 
@@ -62,12 +62,12 @@
 
 
 def may_have_run(failure: Failure) -> bool:
-    """Tell whether the endpoint may have begun to work on the request."""
+    """Return whether the endpoint may have started to execute the request."""
     return not isinstance(failure, NoConnection | NotExecuted)
 
 
 def failure_label(failure: Failure) -> str:
-    """Return the label under which a failure is counted."""
+    """Return the metric label of a failure."""
     match failure:
         case NoConnection():
             return "no_connection"
@@ -87,26 +87,26 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One send of a request.
+    """One send of a request to an endpoint.
 
     Attributes
     ----------
     sent_at : float
-        When its bytes were handed to the socket.
+        When the request's bytes were handed to the socket.
     first_event_at : float, optional
-        When the first event came, or the answer of a plain service.
+        When the first event, or the answer of a plain service, arrived.
     event_count : int
-        Events so far.
+        Events received so far.
     last_event_at : float, optional
-        When the newest of them came.
+        When the most recent event arrived.
     max_gap_s : float
-        Longest pause between two of them.
+        Longest time between two events.
     confidence : float, optional
-        The model's own, 0 to 1.
+        The model's confidence in its answer, 0 to 1.
     is_under_load : bool
-        Whether it proves a version under load.
+        Whether the attempt is evidence of how its version performs under load.
     is_counted : bool
-        Whether it counts already as evidence of its version.
+        Whether the attempt was already counted as evidence about its version.
     """
 
     estimate: EndpointEstimate
@@ -121,7 +121,7 @@
     is_counted: bool = False
 
     def record_events(self, count: int, now: float) -> None:
-        """Take in events that came together."""
+        """Record events that arrived together."""
         if self.last_event_at is not None:
             self.max_gap_s = max(self.max_gap_s, now - self.last_event_at)
         self.last_event_at = now
@@ -129,19 +129,21 @@
         self.event_count += count
 
     def compute_times(self, now: float, is_ended: bool = True) -> Times:
-        """Return how long the answer took, or has taken so far.
+        """Return the latencies of the answer, final or so far.
 
-        Prompts that were known to wait before it say nothing of its version. The first
-        pause after the start of an answer under way says little of its pace.
+        The known queue ahead of the request is subtracted, since it says nothing about
+        the version. There is no pace before ``MIN_PACE_EVENTS`` events, because the first
+        gap of an unfinished answer says little about it. The time since the last event of
+        an unfinished answer counts as one more gap.
         """
         if self.first_event_at is None:
             return Times(None if is_ended else self._without_queue(now))
-        pace_s = None
-        if self.event_count >= FEWEST_PACED:
-            pace_s = (now - self.first_event_at) / (
+        event_interval_s = None
+        if self.event_count >= MIN_PACE_EVENTS:
+            event_interval_s = (now - self.first_event_at) / (
                 self.event_count - 1 if is_ended else self.event_count
             )
-        return Times(self._without_queue(self.first_event_at), pace_s)
+        return Times(self._without_queue(self.first_event_at), event_interval_s)
 
     def _without_queue(self, at: float) -> float:
         return max(0.0, at - self.sent_at - self.estimate.queue_s)
--- a/poplarrun/dispatch/_timeouts.py
+++ b/poplarrun/dispatch/_timeouts.py
@@ -1,39 +1,41 @@
-"""How long an endpoint may send nothing before another one is asked.
+"""Timeouts after which a silent endpoint is abandoned and another one is tried.
 
-Endpoints that went dark or mute say nothing for ever; slow ones are left to finish,
-since a send elsewhere costs from a bounded budget and begins anew.
+An endpoint that became unreachable or hangs would stay silent forever. A slow one is
+left to finish, since a retry spends from a bounded budget and starts from the beginning.
 """
 
 from poplarrun.placement import EndpointEstimate
 from poplarrun.routing import Repeat, Work
 
-# So many times the expected time to the first event, and so many seconds at the least:
-# callers leave after four times the time that is in time, eight seconds here.
-FIRST_PATIENCE = 4.0
-LEAST_FIRST_PATIENCE_S = 2.5
-# A pause inside a stream, as a multiple of the pause that is in time.
-GAP_PATIENCE = 2.5
-# A plain service, as a multiple of the time that is in time: its slowest answers take
-# five times its mean, which is a third of that time.
-ANSWER_PATIENCE = 2.0
+# Timeout of the first event, as a multiple of its expected time, and its minimum in
+# seconds. Callers give up after four times the target latency, eight seconds here.
+FIRST_EVENT_TIMEOUT_FACTOR = 4.0
+MIN_FIRST_EVENT_TIMEOUT_S = 2.5
+# Timeout between two events of a stream, as a multiple of the target gap.
+GAP_TIMEOUT_FACTOR = 2.5
+# Timeout of a plain service's answer, as a multiple of the target latency. Its slowest
+# answers take five times the mean, and the mean is a third of the target.
+ANSWER_TIMEOUT_FACTOR = 2.0
 
 
-def first_event_timeout_s(work: Work, seat: EndpointEstimate) -> float | None:
-    """Return the patience until the first event or the answer, in seconds.
+def first_event_timeout_s(work: Work, estimate: EndpointEstimate) -> float | None:
+    """Return the timeout for the first event or the whole answer, in seconds.
 
-    None where nothing else could be asked, so that all the time that is left is given.
+    None if no retry is possible, so that the attempt may use all the remaining time.
     """
     if not work.route.may_repeat or work.runs + 1 >= work.route.most_attempts:
         return None
     match work.route.repeat:
         case Repeat.STREAM:
-            return max(LEAST_FIRST_PATIENCE_S, FIRST_PATIENCE * seat.first_event_s)
+            return max(
+                MIN_FIRST_EVENT_TIMEOUT_S, FIRST_EVENT_TIMEOUT_FACTOR * estimate.first_event_s
+            )
         case _:
-            return ANSWER_PATIENCE * work.route.pace.target_s
+            return ANSWER_TIMEOUT_FACTOR * work.route.pace.target_s
 
 
 def event_gap_timeout_s(work: Work) -> float | None:
-    """Return the patience with a pause inside a stream, in seconds; None for no bound."""
+    """Return the timeout between two events of a stream, in seconds; None for no limit."""
     if not work.route.may_repeat:
         return None
-    return GAP_PATIENCE * work.route.pace.gap_s
+    return GAP_TIMEOUT_FACTOR * work.route.pace.gap_s
