--- a/bench/gateway_load.py
+++ b/bench/gateway_load.py
@@ -19,23 +19,23 @@
 class RandomPlacement(Placement):
     """A baseline: any engine."""
 
-    def _pick(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
         return self._random.choice(seats)
 
 
 class LeastLoadedPlacement(Placement):
     """A baseline: the engine that runs the fewest requests, by its last word."""
 
-    def _pick(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
         return min(seats, key=lambda seat: seat.endpoint.load)
 
 
 class OwnZonePlacement(Placement):
     """A baseline: engines of the own zone only."""
 
-    def _pick(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
         near = [seat for seat in seats if seat.endpoint.record.zone == self._zone]
-        return super()._pick(near or seats, work)
+        return super()._select(near or seats, work)
 
 
 class FixedSize(SizePolicy):
--- a/features/steps/sizes.py
+++ b/features/steps/sizes.py
@@ -7,109 +7,122 @@
 from poplarrun.placement import EndpointEstimate
 from poplarrun.sizes import SizePolicy
 
-# The small model answers requests up to this difficulty well, of 0 to 1.
-SMALL_QUALITY = 0.54
-# Confidence lost for each unit of difficulty, and how far it is off.
+# Greatest difficulty, 0 to 1, of a request that the small model answers well.
+MAX_SMALL_MODEL_DIFFICULTY = 0.54
+# Decrease of the confidence per unit of difficulty, and its standard error.
 CONFIDENCE_SLOPE = 1.6
-CONFIDENCE_NOISE = 0.1
-# That of an answer which is as often good as poor.
-EVEN = 0.5
+CONFIDENCE_STANDARD_ERROR = 0.1
+# Confidence of an answer that is good with a probability of one half.
+MIDPOINT = 0.5
 
 
-def make_seat(queue_s=0.0):
-    member = make_placement(1).endpoints()[0]
-    member.pending_prefill_s = queue_s
-    return EndpointEstimate(member, 0.1, 0.1 + queue_s, 1000)
+def make_estimate(queue_s=0.0):
+    endpoint = make_placement(1).endpoints()[0]
+    endpoint.pending_prefill_s = queue_s
+    return EndpointEstimate(endpoint, 0.1, 0.1 + queue_s, 1000)
 
 
-def is_asked_again(confidence, seat, request=None, policy=None, engines=ENGINES):
+def is_escalated(confidence, estimate, request=None, policy=None, engines=ENGINES):
     work = make_work()
     work.size = "small"
     work.request = request or work.request
-    return (policy or SizePolicy()).should_escalate(work, confidence, seat, engines, 100.1)
+    return (policy or SizePolicy()).should_escalate(work, confidence, estimate, engines, 100.1)
 
 
-def make_sized_request(prompt, most):
-    return dataclasses.replace(make_work().request, prompt_tokens=prompt, most_tokens=most)
+def make_request_of_length(prompt_tokens, max_tokens):
+    return dataclasses.replace(
+        make_work().request, prompt_tokens=prompt_tokens, most_tokens=max_tokens
+    )
 
 
-@given("a policy of sizes before empty engines")
-def step_policy(context):
-    context.seat = make_seat()
+@given("a size policy with idle engines")
+def step_idle_policy(context):
+    context.estimate = make_estimate()
 
 
-@given("a policy of sizes before engines with {queue:f} s of prompts waiting")
-def step_policy_full(context, queue):
-    context.seat = make_seat(queue)
+@given("a size policy with engines where {queue_s:f} s of prompts wait")
+def step_loaded_policy(context, queue_s):
+    context.estimate = make_estimate(queue_s)
 
 
-@then("an answer of confidence {low:f} is asked again and one of {high:f} is kept")
-def step_asked(context, low, high):
-    assert is_asked_again(low, context.seat) and not is_asked_again(high, context.seat)
+@then("an answer of confidence {low:f} is escalated and one of {high:f} is kept")
+def step_escalated(context, low, high):
+    assert is_escalated(low, context.estimate) and not is_escalated(high, context.estimate)
 
 
-@then("an answer of confidence {confidence:f} is asked again on empty engines only")
-def step_asked_empty(context, confidence):
-    assert is_asked_again(confidence, make_seat())
-    assert not is_asked_again(confidence, context.seat)
+@then("an answer of confidence {confidence:f} is escalated on idle engines only")
+def step_escalated_if_idle(context, confidence):
+    assert is_escalated(confidence, make_estimate())
+    assert not is_escalated(confidence, context.estimate)
 
 
 @then(
-    "a doubtful note of {prompt:d} tokens in and {most:d} out at most is asked again "
-    "where its caller expects {hint:d}"
+    "a doubtful answer to {prompt_tokens:d} prompt tokens with at most {max_tokens:d} tokens "
+    "is escalated if {hinted_tokens:d} are hinted"
 )
-def step_asked_short(context, prompt, most, hint):
-    request = make_sized_request(prompt, most)
-    assert not is_asked_again(EVEN, context.seat, request)
-    request = dataclasses.replace(request, hinted_tokens=hint)
-    assert is_asked_again(EVEN, context.seat, request)
+def step_escalated_with_hint(context, prompt_tokens, max_tokens, hinted_tokens):
+    request = make_request_of_length(prompt_tokens, max_tokens)
+    assert not is_escalated(MIDPOINT, context.estimate, request)
+    request = dataclasses.replace(request, hinted_tokens=hinted_tokens)
+    assert is_escalated(MIDPOINT, context.estimate, request)
 
 
 @when("{count:d} requests of mixed difficulty are answered")
-def step_answer(context, count):
+def step_answer_requests(context, count):
     source = random.Random(7)
     context.count, context.good, context.in_vain = count, 0, 0
     for _ in range(count):
         difficulty = source.random()
-        is_good = difficulty <= SMALL_QUALITY
-        confidence = 0.5 + CONFIDENCE_SLOPE * (SMALL_QUALITY - difficulty)
-        confidence = min(1.0, max(0.0, source.gauss(confidence, CONFIDENCE_NOISE)))
-        is_larger = is_asked_again(confidence, context.seat)
-        context.good += is_good or is_larger
-        context.in_vain += is_good and is_larger
+        is_good = difficulty <= MAX_SMALL_MODEL_DIFFICULTY
+        confidence = 0.5 + CONFIDENCE_SLOPE * (MAX_SMALL_MODEL_DIFFICULTY - difficulty)
+        confidence = min(1.0, max(0.0, source.gauss(confidence, CONFIDENCE_STANDARD_ERROR)))
+        escalated = is_escalated(confidence, context.estimate)
+        context.good += is_good or escalated
+        context.in_vain += is_good and escalated
 
 
-@then("at least {share:f} of the callers get a good answer")
-def step_good(context, share):
-    assert context.good >= share * context.count, context.good / context.count
+@then("at least {fraction:f} of the callers get a good answer")
+def step_good_answers(context, fraction):
+    assert context.good >= fraction * context.count, context.good / context.count
 
 
-@then("at most {share:f} of them wait for the larger model in vain")
-def step_in_vain(context, share):
-    assert context.in_vain <= share * context.count, context.in_vain / context.count
+@then("at most {fraction:f} of them wait for the larger model in vain")
+def step_unneeded_escalations(context, fraction):
+    assert context.in_vain <= fraction * context.count, context.in_vain / context.count
 
 
-@given("{count:d} usual requests of {prompt:d} tokens in and {most:d} out")
-def step_usual(context, count, prompt, most):
+@given(
+    "{count:d} typical requests of {prompt_tokens:d} prompt tokens "
+    "and {max_tokens:d} generated tokens"
+)
+def step_typical_requests(context, count, prompt_tokens, max_tokens):
     context.policy = SizePolicy()
     work = make_work()
-    work.request = make_sized_request(prompt, most)
+    work.request = make_request_of_length(prompt_tokens, max_tokens)
     for _ in range(count):
         context.policy.record_request(work)
 
 
-@then("a doubtful one of {prompt:d} tokens in and {most:d} out is {outcome}")
-def step_doubtful(context, prompt, most, outcome):
-    request = make_sized_request(prompt, most)
-    is_asked = is_asked_again(EVEN, context.seat, request, context.policy)
-    assert is_asked == (outcome == "asked again"), is_asked
-
-
-@then("the same confidences are asked again at prices a thousand times as high")
-def step_unit(context):
-    dear = tuple(dataclasses.replace(size, cost=size.cost * 1000.0) for size in ENGINES.sizes)
-    engines = dataclasses.replace(ENGINES, sizes=dear)
+@then(
+    "a doubtful one of {prompt_tokens:d} prompt tokens "
+    "and {max_tokens:d} generated tokens is {outcome}"
+)
+def step_doubtful_answer(context, prompt_tokens, max_tokens, outcome):
+    request = make_request_of_length(prompt_tokens, max_tokens)
+    escalated = is_escalated(MIDPOINT, context.estimate, request, context.policy)
+    assert escalated == (outcome == "escalated"), escalated
+
+
+@then("answers of the same confidences are escalated at prices a thousand times as high")
+def step_price_unit(context):
+    expensive_sizes = tuple(
+        dataclasses.replace(size, cost=size.cost * 1000.0) for size in ENGINES.sizes
+    )
+    engines = dataclasses.replace(ENGINES, sizes=expensive_sizes)
     for percent in range(101):
         confidence = percent / 100.0
-        at_usual = is_asked_again(confidence, context.seat)
-        assert is_asked_again(confidence, context.seat, engines=engines) == at_usual, percent
+        is_escalated_at_usual_price = is_escalated(confidence, context.estimate)
+        assert (
+            is_escalated(confidence, context.estimate, engines=engines)
+            == is_escalated_at_usual_price
+        ), percent
--- a/poplarrun/placement/__init__.py
+++ b/poplarrun/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: which endpoints there are, and which one gets the next request."""
+"""Placement: the directory of endpoints, and the choice of one for each request."""
 
 from poplarrun.placement._endpoint_directory import (
     LAPSE_GRACE_S,
--- a/poplarrun/placement/_endpoint_directory.py
+++ b/poplarrun/placement/_endpoint_directory.py
@@ -1,34 +1,34 @@
-"""The endpoints that the platform lists, folded from records in log order."""
+"""The directory of endpoints, folded from the platform's records in log order."""
 
 import enum
 from dataclasses import dataclass, field
 
-# The records of an endpoint that was removed are remembered for so long, in
-# seconds: a late one of before must not bring it back to life.
-TOMBSTONE_S = 60.0
-# After an outage of the store the records that lapsed meanwhile come back within
-# about two seconds, as the platform promises; one missing after that is gone.
+# Time for which the last revision of a removed endpoint is remembered, in seconds, so
+# that a late record of before its removal doesn't list it again.
+TOMBSTONE_TTL_S = 60.0
+# Time in seconds that a lapsed endpoint stays listed after an outage of the store. The
+# platform guarantees that the records of live endpoints are back within about two seconds.
 LAPSE_GRACE_S = 2.2
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What an endpoint says of itself.
+    """What an endpoint reports about itself.
 
     Attributes
     ----------
     instance_id : str
-        Id of this start of the endpoint; most starts have a new one.
+        Id of the endpoint's process; usually new after each start.
     version : str
         Version of its software or weights.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs concurrently.
     warm_up_s : float
         Seconds for which it is still slow after its start.
     started_ms : int
-        When it started, by its own clock; 0 where it doesn't say.
+        When it started, by its own clock; 0 if it doesn't report that.
     sequence : int
-        Counts its records, from each start anew.
+        Number of the record, counted from each start.
     """
 
     instance_id: str
@@ -44,12 +44,12 @@
 
     @property
     def revision(self) -> tuple[int, int]:
-        """Order of the records of one id."""
+        """Position of the record among those of the same instance id."""
         return self.started_ms, self.sequence
 
 
 class DirectoryEvent(enum.Enum):
-    """What a record changed."""
+    """The change that a record made to the directory."""
 
     NOTHING = "nothing"
     ADDED = "added"
@@ -60,90 +60,90 @@
 
 
 @dataclass(slots=True)
-class _Known:
-    listing: EndpointRecord
+class _Entry:
+    record: EndpointRecord
     lapsed_at: float | None = None
 
 
 @dataclass
 class EndpointDirectory:
-    """Endpoints by lifetime id.
+    """Endpoints by instance id.
 
     Attributes
     ----------
     next_offset : int
-        Next record to read.
+        Offset of the next record to read from the log.
     """
 
     next_offset: int = 0
-    _known: dict[str, _Known] = field(default_factory=dict)
+    _entries: dict[str, _Entry] = field(default_factory=dict)
     _tombstones: dict[str, tuple[tuple[int, int], float]] = field(default_factory=dict)
 
     def records(self) -> list[EndpointRecord]:
-        """Return the endpoints that are listed, leaving ones included."""
-        return [known.listing for known in self._known.values()]
+        """Return the records of the listed endpoints, including those that are leaving."""
+        return [entry.record for entry in self._entries.values()]
 
     def removed_ids(self) -> list[str]:
-        """Return the endpoints that were removed lately."""
+        """Return the instance ids of the endpoints that were removed recently."""
         return list(self._tombstones)
 
-    def find(self, lifetime: str) -> EndpointRecord | None:
-        """Return what an endpoint last said of itself."""
-        known = self._known.get(lifetime)
-        return None if known is None else known.listing
-
-    def apply(self, listing: EndpointRecord, now: float) -> DirectoryEvent:
-        """Take in an endpoint's record."""
-        known = self._known.get(listing.instance_id)
-        if known is None:
-            tombstone = self._tombstones.get(listing.instance_id)
-            if tombstone is not None and listing.revision <= tombstone[0]:
+    def find(self, instance_id: str) -> EndpointRecord | None:
+        """Return the latest record of an endpoint."""
+        entry = self._entries.get(instance_id)
+        return None if entry is None else entry.record
+
+    def apply(self, record: EndpointRecord, now: float) -> DirectoryEvent:
+        """Apply an endpoint's record, unless it is older than the latest one."""
+        entry = self._entries.get(record.instance_id)
+        if entry is None:
+            tombstone = self._tombstones.get(record.instance_id)
+            if tombstone is not None and record.revision <= tombstone[0]:
                 return DirectoryEvent.NOTHING
-            self._tombstones.pop(listing.instance_id, None)
-            self._known[listing.instance_id] = _Known(listing)
+            self._tombstones.pop(record.instance_id, None)
+            self._entries[record.instance_id] = _Entry(record)
             return DirectoryEvent.ADDED
-        known.lapsed_at = None
-        before = known.listing
-        if listing.revision < before.revision:
+        entry.lapsed_at = None
+        previous = entry.record
+        if record.revision < previous.revision:
             return DirectoryEvent.NOTHING
-        known.listing = listing
-        if listing.started_ms != before.started_ms:
+        entry.record = record
+        if record.started_ms != previous.started_ms:
             return DirectoryEvent.RESTARTED
-        if listing.is_leaving and not before.is_leaving:
+        if record.is_leaving and not previous.is_leaving:
             return DirectoryEvent.LEAVING
-        return DirectoryEvent.NOTHING if listing == before else DirectoryEvent.CHANGED
+        return DirectoryEvent.NOTHING if record == previous else DirectoryEvent.CHANGED
 
-    def remove(self, lifetime: str, now: float, is_lapse: bool = False) -> DirectoryEvent:
-        """Take in that a record was removed.
+    def remove(self, instance_id: str, now: float, is_lapse: bool = False) -> DirectoryEvent:
+        """Apply the removal of an endpoint's record.
 
         Parameters
         ----------
         is_lapse : bool
-            Whether the store was away, so that records of endpoints that live may
-            have been removed too. Taken for gone at once, all endpoints would be
-            out after an outage, and every request refused for seconds.
+            Whether the store was unavailable, so that records of live endpoints may have
+            been removed too. If they were dropped at once, no endpoint would be left after
+            an outage, and every request would be refused for seconds.
         """
-        known = self._known.get(lifetime)
-        if known is None:
+        entry = self._entries.get(instance_id)
+        if entry is None:
             return DirectoryEvent.NOTHING
-        if is_lapse and not known.listing.is_leaving:
-            if known.lapsed_at is None:
-                known.lapsed_at = now
+        if is_lapse and not entry.record.is_leaving:
+            if entry.lapsed_at is None:
+                entry.lapsed_at = now
             return DirectoryEvent.NOTHING
-        del self._known[lifetime]
-        self._tombstones[lifetime] = (known.listing.revision, now)
+        del self._entries[instance_id]
+        self._tombstones[instance_id] = (entry.record.revision, now)
         return DirectoryEvent.REMOVED
 
     def expire(self, now: float, grace_s: float = LAPSE_GRACE_S) -> list[str]:
-        """Remove what lapsed and did not come back in time; return the ids."""
-        gone = [
-            lifetime
-            for lifetime, known in self._known.items()
-            if known.lapsed_at is not None and now - known.lapsed_at >= grace_s
+        """Remove the lapsed endpoints that weren't listed again in time; return their ids."""
+        expired = [
+            instance_id
+            for instance_id, entry in self._entries.items()
+            if entry.lapsed_at is not None and now - entry.lapsed_at >= grace_s
         ]
-        for lifetime in gone:
-            self.remove(lifetime, now)
-        for lifetime, (_, removed_at) in list(self._tombstones.items()):
-            if now - removed_at > TOMBSTONE_S:
-                del self._tombstones[lifetime]
-        return gone
+        for instance_id in expired:
+            self.remove(instance_id, now)
+        for instance_id, (_, removed_at) in list(self._tombstones.items()):
+            if now - removed_at > TOMBSTONE_TTL_S:
+                del self._tombstones[instance_id]
+        return expired
--- a/poplarrun/placement/_placement.py
+++ b/poplarrun/placement/_placement.py
@@ -1,8 +1,8 @@
-"""The choice of an endpoint: least expected time to the first event.
+"""Chooses the endpoint with the least expected time to the first event.
 
-It answers a load of long prompts of which large beginnings are shared: an endpoint
-that has read a beginning before starts up to four times sooner, and one that reads
-another long prompt meanwhile starts later.
+The load consists of long prompts that share large prefixes. An endpoint that has the
+prefix cached starts up to four times sooner, and one that is prefilling another long
+prompt starts later.
 """
 
 import random
@@ -15,46 +15,46 @@
 from poplarrun.routing import Service, Work
 from poplarrun.speeds import PoolSpeed
 
-# Time that a full batch adds to the first event, in seconds.
-FULL_BATCH_S = 0.6
-# What one more call costs at a plain service for each taken place, in seconds.
-PLACE_S = 0.1
-# What a call to another zone counts besides its time, in seconds: for the packets that
-# links between zones lose, each of which holds an event up for 0.2 s, and for each byte
-# of the request, whose way is paid for.
-FAR_S = 0.07
-FAR_BYTE_S = 25e-6
-# Added for an endpoint in a zone of which no host is heard any more, in seconds: the
-# zone is most likely cut off, and a send there costs the patience of a silent answer.
-SILENT_ZONE_S = 2.5
-# How far the home of a beginning is trusted to hold it while nobody told so.
-HOME_CERTAINTY = 0.5
-# Endpoints of the own zone and of others that are weighed in one choice: all those of a
+# Time that a full batch adds before the first event, in seconds.
+FULL_BATCH_DELAY_S = 0.6
+# Time that each running call at a plain service adds to another one, in seconds.
+SLOT_DELAY_S = 0.1
+# Penalty of a call to another zone, in seconds, and in seconds for each byte of the
+# request. The first is for packet loss between zones, since each lost packet delays an
+# event by 0.2 s; the second is for the price of the traffic.
+CROSS_ZONE_DELAY_S = 0.07
+CROSS_ZONE_DELAY_S_PER_BYTE = 25e-6
+# Penalty in seconds of an endpoint in a zone from which no host is heard any more. The
+# zone is most likely cut off, and a send there costs the timeout of a silent answer.
+SILENT_ZONE_DELAY_S = 2.5
+# Fraction of a shared prefix that its owner is assumed to have cached without evidence.
+OWNER_CACHE_FRACTION = 0.5
+# Endpoints of the own zone and of other zones that are compared in one choice: all of a
 # small installation, and enough of a large one.
-MOST_NEAR = 32
-MOST_FAR = 16
-# Load, in requests for each place, up to which a version is proven at one endpoint.
-PROVING_LOAD = 0.9
-# Prompt tokens that an endpoint reads in a second until some were measured.
-FIRST_TOKENS_PER_S = 25_000.0
+MAX_LOCAL_CANDIDATES = 32
+MAX_REMOTE_CANDIDATES = 16
+# Load, in requests per slot, up to which a version's load is concentrated on one endpoint.
+MAX_CONCENTRATED_LOAD = 0.9
+# Prefill speed that is assumed until one is measured, in prompt tokens per second.
+INITIAL_TOKENS_PER_S = 25_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEstimate:
-    """A chosen endpoint and what is expected of it.
+    """The expected latency of a request at an endpoint.
 
     Attributes
     ----------
     prefill_s : float
-        Time to read the part of the prompt that it does not remember.
+        Time to prefill the part of the prompt that the endpoint hasn't cached.
     first_event_s : float
         Time to the first event, or to the answer of a plain service.
     uncached_tokens : int
-        Prompt tokens that it has to read.
+        Prompt tokens that the endpoint hasn't cached.
     queue_s : float
-        Time that the prompts take which are known to wait there.
+        Prefill time of the prompts that are known to wait there.
     load : float
-        Requests for each of its places.
+        Requests per slot of the endpoint.
     """
 
     endpoint: EndpointState
@@ -66,7 +66,7 @@
 
 
 class Placement:
-    """Chooses among the members; called on the loop only.
+    """Chooses among the listed endpoints; used on the event loop only.
 
     Parameters
     ----------
@@ -76,58 +76,62 @@
     Attributes
     ----------
     silent_zones : frozenset of str
-        Zones that had hosts, of which none is heard any more.
+        Zones that had hosts, none of which is heard any more.
     """
 
     def __init__(self, zone: str, source: random.Random) -> None:
         self._zone = zone
         self._random = source
-        self._members: dict[str, EndpointState] = {}
+        self._endpoints: dict[str, EndpointState] = {}
         self.silent_zones: frozenset[str] = frozenset()
-        self._others: dict[str, dict[str, tuple[int, float]]] = {}
+        self._peer_loads: dict[str, dict[str, tuple[int, float]]] = {}
         self._ranking = RankingCache()
         self._speeds: dict[tuple[str, str], PoolSpeed] = {}
 
-    def update_endpoints(self, listings: list[EndpointRecord]) -> None:
-        """Take over the listed endpoints."""
-        members: dict[str, EndpointState] = {}
-        for listing in listings:
-            member = self._members.get(listing.instance_id)
-            if member is None or member.record.started_ms != listing.started_ms:
-                member = EndpointState(listing)
-            member.record = listing
-            members[listing.instance_id] = member
-        self._members = members
-        self._sum_others()
+    def update_endpoints(self, records: list[EndpointRecord]) -> None:
+        """Replace the endpoints by those listed; the state of a restarted one is reset."""
+        endpoints: dict[str, EndpointState] = {}
+        for record in records:
+            endpoint = self._endpoints.get(record.instance_id)
+            if endpoint is None or endpoint.record.started_ms != record.started_ms:
+                endpoint = EndpointState(record)
+            endpoint.record = record
+            endpoints[record.instance_id] = endpoint
+        self._endpoints = endpoints
+        self._sum_peer_loads()
 
     def apply_peer_load(self, host: str, loads: dict[str, tuple[int, float]]) -> None:
-        """Take over what another host runs: requests and pending seconds by lifetime."""
-        self._others[host] = loads
-        self._sum_others()
+        """Apply another host's load: requests and pending prefill seconds by instance id."""
+        self._peer_loads[host] = loads
+        self._sum_peer_loads()
 
-    def _sum_others(self) -> None:
-        for lifetime, member in self._members.items():
-            loads = [known[lifetime] for known in self._others.values() if lifetime in known]
-            member.peer_in_flight = float(sum(requests for requests, _ in loads))
-            member.peer_pending_prefill_s = sum(pending_s for _, pending_s in loads)
+    def _sum_peer_loads(self) -> None:
+        for instance_id, endpoint in self._endpoints.items():
+            loads = [
+                cached_tokens[instance_id]
+                for cached_tokens in self._peer_loads.values()
+                if instance_id in cached_tokens
+            ]
+            endpoint.peer_in_flight = float(sum(request_count for request_count, _ in loads))
+            endpoint.peer_pending_prefill_s = sum(pending_s for _, pending_s in loads)
 
     def endpoints(self, service: str | None = None) -> list[EndpointState]:
-        """Return the members of a service, leaving ones included, or all."""
+        """Return the endpoints of a service, or all, including those that are leaving."""
         return [
-            member
-            for member in self._members.values()
-            if service is None or member.record.service == service
+            endpoint
+            for endpoint in self._endpoints.values()
+            if service is None or endpoint.record.service == service
         ]
 
-    def find(self, lifetime: str) -> EndpointState | None:
-        """Return a member by its id."""
-        return self._members.get(lifetime)
+    def find(self, instance_id: str) -> EndpointState | None:
+        """Return an endpoint by its instance id."""
+        return self._endpoints.get(instance_id)
 
     def speed(self, service: str, size: str) -> PoolSpeed:
-        """Return what was learnt of how fast a model reads prompts."""
+        """Return the measured prefill speed of a model."""
         speed = self._speeds.get((service, size))
         if speed is None:
-            speed = PoolSpeed(prefill_s_per_token=1.0 / FIRST_TOKENS_PER_S)
+            speed = PoolSpeed(prefill_s_per_token=1.0 / INITIAL_TOKENS_PER_S)
             self._speeds[(service, size)] = speed
         return speed
 
@@ -142,112 +146,128 @@
         include_tried: bool = False,
         concentrate_load: bool = False,
     ) -> EndpointEstimate | None:
-        """Return the member that should answer first; None where none may be asked.
+        """Return the endpoint expected to answer first; None if there is no usable one.
 
         Parameters
         ----------
         versions : container of str, optional
-            Only members of these versions.
+            Use endpoints of these versions only.
         avoided_version : str, optional
-            No members of this version.
+            Use no endpoints of this version.
         include_tried : bool
-            Whether members that it was sent to before count like all others.
+            Whether endpoints that the request was already sent to are no worse than others.
         concentrate_load : bool
-            Whether one member, the same for all hosts, is filled first. A version that is
-            bad under load only looks good on many idle endpoints, until it has all traffic.
+            Whether to fill one endpoint first, the same on all hosts. A version that fails
+            only under load looks good on many idle endpoints, until it has all traffic.
         """
         usable = [
-            member
-            for member in self._members.values()
-            if member.record.service == work.service
-            and not member.record.is_leaving
-            and (versions is None or member.record.version in versions)
-            and member.record.version != avoided_version
+            endpoint
+            for endpoint in self._endpoints.values()
+            if endpoint.record.service == work.service
+            and not endpoint.record.is_leaving
+            and (versions is None or endpoint.record.version in versions)
+            and endpoint.record.version != avoided_version
         ]
-        free = [member for member in usable if not member.is_paused(now)]
+        available = [endpoint for endpoint in usable if not endpoint.is_paused(now)]
         tried = set() if include_tried else work.tried
-        fresh = [member for member in free if member.record.instance_id not in tried]
-        candidates = fresh or free or usable
+        untried = [endpoint for endpoint in available if endpoint.record.instance_id not in tried]
+        candidates = untried or available or usable
         if not candidates:
             return None
         if concentrate_load:
-            candidates = self._proving(candidates)
-        home = self._home(candidates, work, size)
-        candidates = self._draw(candidates, home)
+            candidates = self._concentrate(candidates)
+        owner = self._choose_owner(candidates, work, size)
+        candidates = self._sample(candidates, owner)
         if service.cache_tokens == 0:
-            seats = [self._seat_plain(member) for member in candidates]
+            estimates = [self._estimate_plain(endpoint) for endpoint in candidates]
         else:
-            seats = self._seat_engines(candidates, home, work, size, now)
-        return self._pick(seats, work)
+            estimates = self._estimate_engines(candidates, owner, work, size, now)
+        return self._select(estimates, work)
 
-    def _proving(self, candidates: list[EndpointState]) -> list[EndpointState]:
-        """Return the one member that all hosts fill first, or all once it is full."""
-        names = tuple(member.record.instance_id for member in candidates)
-        first = self._members[self._ranking.rank("proving", names)[0]]
-        return [first] if first.load < PROVING_LOAD else candidates
+    def _concentrate(self, candidates: list[EndpointState]) -> list[EndpointState]:
+        """Return the one endpoint that all hosts fill first, or all once it is full."""
+        instance_ids = tuple(endpoint.record.instance_id for endpoint in candidates)
+        first = self._endpoints[self._ranking.rank("proving", instance_ids)[0]]
+        return [first] if first.load < MAX_CONCENTRATED_LOAD else candidates
 
     @staticmethod
-    def _home(candidates: list[EndpointState], work: Work, size: str) -> str | None:
-        """Return the member that prompts with the same beginning usually go to."""
+    def _choose_owner(candidates: list[EndpointState], work: Work, size: str) -> str | None:
+        """Return the endpoint to which prompts with the same prefix usually go."""
         parts = work.request.parts
         shared = parts[-2:-1] or parts[-1:]
         if not shared:
             return None
-        salts = [(member.record.instance_id, member.salt) for member in candidates]
+        salts = [(endpoint.record.instance_id, endpoint.salt) for endpoint in candidates]
         return choose_owner(hash_name(size + shared[0].key), salts)
 
-    def _draw(self, candidates: list[EndpointState], home: str | None) -> list[EndpointState]:
-        """Return the members to weigh, in a drawn order: all, or some of very many.
+    def _sample(self, candidates: list[EndpointState], owner: str | None) -> list[EndpointState]:
+        """Return the endpoints to compare, in random order: all, or a sample of very many.
 
-        The time of a choice grows with the members weighed. The best of a few dozen
-        drawn ones waits hardly longer than the best of all, and each host draws others,
-        so that they don't all go to the same one on old news.
+        The time of a choice grows with the number of endpoints compared. The best of a few
+        dozen sampled ones is hardly slower than the best of all. Each host samples others, so
+        that they don't all choose the same endpoint on outdated load reports.
         """
-        near = [member for member in candidates if member.record.zone == self._zone]
-        if len(near) > MOST_NEAR or len(candidates) - len(near) > MOST_FAR:
-            far = [member for member in candidates if member.record.zone != self._zone]
-            drawn = self._random.sample(near, min(len(near), MOST_NEAR))
-            drawn += self._random.sample(far, min(len(far), MOST_FAR))
-            drawn += [member for member in candidates if member.record.instance_id == home]
-            candidates = drawn
+        local = [endpoint for endpoint in candidates if endpoint.record.zone == self._zone]
+        if (
+            len(local) > MAX_LOCAL_CANDIDATES
+            or len(candidates) - len(local) > MAX_REMOTE_CANDIDATES
+        ):
+            remote = [endpoint for endpoint in candidates if endpoint.record.zone != self._zone]
+            sampled = self._random.sample(local, min(len(local), MAX_LOCAL_CANDIDATES))
+            sampled += self._random.sample(remote, min(len(remote), MAX_REMOTE_CANDIDATES))
+            sampled += [endpoint for endpoint in candidates if endpoint.record.instance_id == owner]
+            candidates = sampled
         start = self._random.randrange(len(candidates))
         return candidates[start:] + candidates[:start]
 
-    def _pick(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
-        far_s = FAR_S + FAR_BYTE_S * len(work.request.body)
+    def _select(self, estimates: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+        remote_delay_s = CROSS_ZONE_DELAY_S + CROSS_ZONE_DELAY_S_PER_BYTE * len(work.request.body)
         return min(
-            seats, key=lambda seat: seat.first_event_s + self._distance_s(seat.endpoint, far_s)
+            estimates,
+            key=lambda estimate: estimate.first_event_s
+            + self._cross_zone_delay_s(estimate.endpoint, remote_delay_s),
         )
 
-    def _seat_engines(
-        self, candidates: list[EndpointState], home: str | None, work: Work, size: str, now: float
+    def _estimate_engines(
+        self, candidates: list[EndpointState], owner: str | None, work: Work, size: str, now: float
     ) -> list[EndpointEstimate]:
         parts = work.request.parts
         shared_tokens = sum(part.tokens for part in parts[:-1])
         speed = self.speed(work.service, size)
-        prompt = max(work.request.prompt_tokens, sum(part.tokens for part in parts))
-        seats = []
-        for member in candidates:
-            known = float(member.count_cached_tokens(size, parts, now))
-            if member.record.instance_id == home:
-                known = max(known, HOME_CERTAINTY * shared_tokens)
-            unread = max(0.0, prompt - known)
-            read_s = unread * speed.prefill_s_per_token
-            waits_s = member.queue_s + member.load * FULL_BATCH_S + speed.base_first_token_s
-            first_s = (waits_s + read_s) * member.current_slowdown(now)
-            seats.append(
-                EndpointEstimate(member, read_s, first_s, int(unread), member.queue_s, member.load)
+        prompt_tokens = max(work.request.prompt_tokens, sum(part.tokens for part in parts))
+        estimates = []
+        for endpoint in candidates:
+            cached_tokens = float(endpoint.count_cached_tokens(size, parts, now))
+            if endpoint.record.instance_id == owner:
+                cached_tokens = max(cached_tokens, OWNER_CACHE_FRACTION * shared_tokens)
+            uncached_tokens = max(0.0, prompt_tokens - cached_tokens)
+            prefill_s = uncached_tokens * speed.prefill_s_per_token
+            queue_delay_s = (
+                endpoint.queue_s + endpoint.load * FULL_BATCH_DELAY_S + speed.base_first_token_s
             )
-        return seats
+            first_event_s = (queue_delay_s + prefill_s) * endpoint.current_slowdown(now)
+            estimates.append(
+                EndpointEstimate(
+                    endpoint,
+                    prefill_s,
+                    first_event_s,
+                    int(uncached_tokens),
+                    endpoint.queue_s,
+                    endpoint.load,
+                )
+            )
+        return estimates
 
     @staticmethod
-    def _seat_plain(member: EndpointState) -> EndpointEstimate:
-        first_s = (1.0 + member.in_flight + member.peer_in_flight) * PLACE_S * member.slowdown
-        return EndpointEstimate(member, 0.0, first_s, 0)
+    def _estimate_plain(endpoint: EndpointState) -> EndpointEstimate:
+        first_event_s = (
+            (1.0 + endpoint.in_flight + endpoint.peer_in_flight) * SLOT_DELAY_S * endpoint.slowdown
+        )
+        return EndpointEstimate(endpoint, 0.0, first_event_s, 0)
 
-    def _distance_s(self, member: EndpointState, far_s: float) -> float:
-        """Return what the way to a member counts in the choice, besides its time."""
-        zone = member.record.zone
+    def _cross_zone_delay_s(self, endpoint: EndpointState, remote_delay_s: float) -> float:
+        """Return the penalty of an endpoint for being in another zone, in seconds."""
+        zone = endpoint.record.zone
         if zone == self._zone:
             return 0.0
-        return far_s + (SILENT_ZONE_S if zone in self.silent_zones else 0.0)
+        return remote_delay_s + (SILENT_ZONE_DELAY_S if zone in self.silent_zones else 0.0)
--- a/poplarrun/sizes/__init__.py
+++ b/poplarrun/sizes/__init__.py
@@ -1,4 +1,4 @@
-"""Model sizes: which model answers first, and whether a larger one is asked."""
+"""Model sizes: the model that answers first, and the escalation to a larger one."""
 
 from poplarrun.sizes._sizes import MIDPOINT_CONFIDENCE, SizePolicy
 
