--- a/features/steps/retries_window.py
+++ b/features/steps/retries_window.py
@@ -5,26 +5,29 @@
 NOW = 100.0
 
 
-def take_many(budget, count, now):
+def count_granted(budget, count, now):
     return sum(budget.try_spend(now) for _ in range(count))
 
 
-@given("a budget of {earned:f} retries for each request of {window:d} s and {most:d} besides")
-def step_budget(context, earned, window, most):
-    context.budget = WindowedRetryBudget(earned, float(most), float(window))
+@given(
+    "a budget of {retries_per_request:f} retries per request over {window_s:d} s "
+    "and {allowance:d} in addition"
+)
+def step_window_budget(context, retries_per_request, window_s, allowance):
+    context.budget = WindowedRetryBudget(retries_per_request, float(allowance), float(window_s))
 
 
-@when("{count:d} requests come in {seconds:d} s and none is repeated")
-def step_come(context, count, seconds):
+@when("{count:d} requests come in {duration_s:d} s and none is retried")
+def step_requests(context, count, duration_s):
     for number in range(count):
-        context.budget.record_attempt(NOW - seconds * number / count)
+        context.budget.record_attempt(NOW - duration_s * number / count)
 
 
-@then("{made:d} of {count:d} retries that come at once are made")
-def step_made(context, made, count):
-    assert take_many(context.budget, count, NOW) == made
+@then("{granted:d} of {count:d} retries that come at once are made")
+def step_burst(context, granted, count):
+    assert count_granted(context.budget, count, NOW) == granted
 
 
-@then("{made:d} more are made after {seconds:d} s without requests")
-def step_later(context, made, seconds):
-    assert take_many(context.budget, 10, NOW + seconds) == made
+@then("{granted:d} more are made after {duration_s:d} s without requests")
+def step_after_window(context, granted, duration_s):
+    assert count_granted(context.budget, 10, NOW + duration_s) == granted
--- a/poplarrun/admission/__init__.py
+++ b/poplarrun/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: whether work starts now, waits, or is refused before it costs anything."""
+"""Admission control: whether a request starts now, is queued, or is refused at once."""
 
 from poplarrun.admission._admission import (
     Admission,
--- a/poplarrun/admission/_admission.py
+++ b/poplarrun/admission/_admission.py
@@ -1,4 +1,4 @@
-"""The decision whether a request starts, waits in the queue, or is refused."""
+"""Decides whether a request starts, waits in the queue, or is refused."""
 
 from collections import deque
 from collections.abc import Hashable
@@ -8,29 +8,31 @@
 from poplarrun.admission._queue import FairQueue, Ticket
 from poplarrun.errors import ErrorKind
 
-# Load of an endpoint, in requests for each place, up to which it gets more. What
-# waited there would be out of reach of importance and fairness.
-FULL_LOAD = 1.0
-# Share of the places kept free for more important work while some of it comes.
-RESERVED_SHARE = 0.05
+# Load of an endpoint, in requests per slot, up to which it gets more requests. Requests
+# queued at an endpoint can't be ordered by importance and fairness any more.
+MAX_LOAD = 1.0
+# Fraction of the slots that is reserved for more important requests while some arrive.
+RESERVED_FRACTION = 0.05
+# Length of the window over which arrival and start rates are measured, in seconds.
 RATE_WINDOW_S = 2.0
-SHORTEST_RETRY_S = 0.2
-LONGEST_RETRY_S = 30.0
-# Share of the starts that the more important classes never take in the forecast:
-# their present rate is not for ever.
-LEAST_LEFT_SHARE = 0.02
+# Limits of the delay after which a refused caller should retry, in seconds.
+MIN_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 30.0
+# Least fraction of the start rate that the wait estimate assumes to be left by the more
+# important classes, since their current rate won't last.
+MIN_REMAINING_START_FRACTION = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class CandidateLoad:
-    """Load of the place that a request would get, in requests for each place.
+    """Load of the candidate endpoint and of its pool, in requests per slot.
 
     Attributes
     ----------
     endpoint : float
-        Of the endpoint, with half of the request.
+        Load of the endpoint, including half of the request.
     pool : float
-        Mean of all endpoints that it could have got.
+        Mean load of all endpoints that the request could be sent to.
     """
 
     endpoint: float
@@ -39,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """It starts now."""
+    """The request starts now."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """It waits in the queue."""
+    """The request waits in the queue for an estimated time."""
 
     wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """It never starts; the caller hears why, and when to come back."""
+    """The request is refused; the caller gets the reason and the time of a retry."""
 
     kind: ErrorKind
     reason: str
@@ -63,17 +65,17 @@
 
 @dataclass
 class _Rate:
-    """Events a second over the last seconds."""
+    """Rate of events over a sliding window."""
 
-    times: deque[float] = field(default_factory=deque)
+    timestamps: deque[float] = field(default_factory=deque)
 
-    def note(self, now: float) -> None:
-        self.times.append(now)
+    def record(self, now: float) -> None:
+        self.timestamps.append(now)
 
     def per_s(self, now: float) -> float:
-        while self.times and self.times[0] < now - RATE_WINDOW_S:
-            self.times.popleft()
-        return len(self.times) / RATE_WINDOW_S
+        while self.timestamps and self.timestamps[0] < now - RATE_WINDOW_S:
+            self.timestamps.popleft()
+        return len(self.timestamps) / RATE_WINDOW_S
 
 
 class Admission:
@@ -82,19 +84,21 @@
     Parameters
     ----------
     max_queued : int
-        Most requests that wait at once.
+        Maximum number of queued requests.
 
     Attributes
     ----------
     in_flight : int
         Requests of this host at the version's endpoints.
+    evicted : list of Ticket
+        Requests that were evicted from the queue and are not refused yet.
     """
 
     def __init__(self, max_queued: int) -> None:
         self.queue = FairQueue(max_queued)
         self.limit = AimdLimit()
         self.in_flight = 0
-        self.dropped: list[Ticket] = []
+        self.evicted: list[Ticket] = []
         self._starts = _Rate()
         self._arrivals: dict[int, _Rate] = {}
 
@@ -106,124 +110,130 @@
         ticket : Ticket
             The request.
         load : CandidateLoad
-            Load of the best endpoint found, and of all.
+            Load of the best endpoint found, and of its pool.
         now : float
-            The time.
+            The current time.
         """
-        self._arrivals.setdefault(ticket.importance, _Rate()).note(now)
-        ahead = self.queue.count_ahead(ticket.importance)
-        if ahead == 0 and self.has_room(load, ticket.importance, now):
-            self._starts.note(now)
+        self._arrivals.setdefault(ticket.importance, _Rate()).record(now)
+        queued_ahead = self.queue.count_ahead(ticket.importance)
+        if queued_ahead == 0 and self.has_room(load, ticket.importance, now):
+            self._starts.record(now)
             return Admitted()
-        wait_s = self._forecast_wait(ahead, ticket.importance, now)
+        wait_s = self._estimate_wait_s(queued_ahead, ticket.importance, now)
         if now + wait_s > ticket.start_by:
-            late_s = now + wait_s - ticket.start_by
+            excess_wait_s = now + wait_s - ticket.start_by
             return Refused(
                 ErrorKind.DEADLINE_UNREACHABLE,
-                f"it would wait {wait_s:.1f} s, {late_s:.1f} s too long for its class",
-                _bound_retry(late_s),
+                f"it would wait {wait_s:.1f} s, {excess_wait_s:.1f} s too long for its class",
+                _clamp_retry_delay_s(excess_wait_s),
             )
         if len(self.queue) >= self.queue.max_size:
-            dropped = self.queue.make_room(ticket.importance)
-            if dropped is None:
+            evicted = self.queue.make_room(ticket.importance)
+            if evicted is None:
                 return Refused(
                     ErrorKind.QUEUE_FULL,
                     f"{self.queue.max_size} requests of this or more importance wait",
-                    _bound_retry(wait_s),
+                    _clamp_retry_delay_s(wait_s),
                 )
-            self.dropped.append(dropped)
+            self.evicted.append(evicted)
         self.queue.push(ticket)
         return Queued(wait_s)
 
     def has_room(self, load: CandidateLoad, importance: int, now: float) -> bool:
-        """Tell whether an endpoint that would have this load may be given more."""
+        """Return whether a request may start at an endpoint that would have this load."""
         if not self.can_accept(load, importance, now):
             return False
-        return self.limit.has_room(self.in_flight, load.pool) or self._goes_first(importance, now)
+        return self.limit.has_room(self.in_flight, load.pool) or self._has_endpoint_priority(
+            importance, now
+        )
 
     def can_accept(self, load: CandidateLoad, importance: int, now: float) -> bool:
-        """Tell whether a place that became free may be used again."""
-        reserved = RESERVED_SHARE if self._higher_per_s(importance, now) > 0.0 else 0.0
-        return load.endpoint <= FULL_LOAD - reserved
+        """Return whether a request may take a slot that has just become free."""
+        reserved = RESERVED_FRACTION if self._higher_priority_rate(importance, now) > 0.0 else 0.0
+        return load.endpoint <= MAX_LOAD - reserved
 
     def estimate_backlog_s(self, now: float) -> float:
-        """Return how long those that wait need to start, at the present rate."""
+        """Return the time until all queued requests have started, at the current rate."""
         return len(self.queue) / max(self._starts.per_s(now), 1.0 / RATE_WINDOW_S)
 
     def record_wait(self, wait_s: float, now: float, pool_load: float) -> None:
-        """Take in how long a request waited at its endpoint before it began."""
+        """Record how long a request waited at its endpoint before it started."""
         self.limit.record_wait(wait_s, self.in_flight, now, pool_load)
 
     def start_next(self, now: float) -> Ticket:
-        """Take the waiting request that starts now."""
-        self._starts.note(now)
+        """Remove and return the queued request that starts now."""
+        self._starts.record(now)
         return self.queue.pop()
 
     def refuse_expired(self, now: float) -> list[tuple[Ticket, Refused]]:
-        """Refuse those that can't start in time, and those that made room for others."""
-        given_up = []
+        """Refuse the queued requests that can't start in time, and those that were evicted."""
+        refusals = []
         for ticket in self.queue.remove_expired(now):
             reason = "no endpoint became free in time for its class"
-            wait_s = self._forecast_wait(
+            wait_s = self._estimate_wait_s(
                 self.queue.count_ahead(ticket.importance), ticket.importance, now
             )
-            refused = Refused(ErrorKind.DEADLINE_UNREACHABLE, reason, _bound_retry(wait_s))
-            given_up.append((ticket, refused))
-        for ticket in self.dropped:
-            wait_s = self._forecast_wait(len(self.queue), ticket.importance, now)
+            refused = Refused(ErrorKind.DEADLINE_UNREACHABLE, reason, _clamp_retry_delay_s(wait_s))
+            refusals.append((ticket, refused))
+        for ticket in self.evicted:
+            wait_s = self._estimate_wait_s(len(self.queue), ticket.importance, now)
             reason = "more important work took its place in the queue"
-            refused = Refused(ErrorKind.QUEUE_FULL, reason, _bound_retry(wait_s))
-            given_up.append((ticket, refused))
-        self.dropped.clear()
-        return given_up
+            refused = Refused(ErrorKind.QUEUE_FULL, reason, _clamp_retry_delay_s(wait_s))
+            refusals.append((ticket, refused))
+        self.evicted.clear()
+        return refusals
 
-    def _goes_first(self, importance: int, now: float) -> bool:
-        """Tell whether work of this importance passes all other work at the endpoints.
+    def _has_endpoint_priority(self, importance: int, now: float) -> bool:
+        """Return whether the endpoints serve this importance before all other requests.
 
-        What the limit holds back is then the less important work: held by it, the
-        urgent would wait for places that the endpoints give to it first anyway.
+        The concurrency limit is then meant for the less important requests. If it applied to
+        urgent ones, they would wait here for slots that the endpoints give to them first.
         """
-        lower = sum(rate.per_s(now) for at, rate in self._arrivals.items() if at < importance)
-        return lower > 0.0 and self._higher_per_s(importance, now) == 0.0
+        lower_priority_rate = sum(
+            rate.per_s(now) for at, rate in self._arrivals.items() if at < importance
+        )
+        return lower_priority_rate > 0.0 and self._higher_priority_rate(importance, now) == 0.0
 
-    def _higher_per_s(self, importance: int, now: float) -> float:
+    def _higher_priority_rate(self, importance: int, now: float) -> float:
         return sum(rate.per_s(now) for at, rate in self._arrivals.items() if at > importance)
 
-    def _forecast_wait(self, ahead: int, importance: int, now: float) -> float:
-        """Return the expected wait behind so many others.
+    def _estimate_wait_s(self, queued_ahead: int, importance: int, now: float) -> float:
+        """Return the expected wait behind a number of queued requests, in seconds.
 
-        More important requests that come later go first, too: only the starts
-        that they leave count.
+        More important requests that arrive later start first, so that only the remaining
+        part of the start rate counts.
         """
-        starts = max(self._starts.per_s(now), 1.0 / RATE_WINDOW_S)
-        higher = self._higher_per_s(importance, now)
-        return (ahead + 1) / max(starts - higher, starts * LEAST_LEFT_SHARE)
+        starts_per_s = max(self._starts.per_s(now), 1.0 / RATE_WINDOW_S)
+        higher_priority_rate = self._higher_priority_rate(importance, now)
+        return (queued_ahead + 1) / max(
+            starts_per_s - higher_priority_rate, starts_per_s * MIN_REMAINING_START_FRACTION
+        )
 
 
 class Admissions:
-    """Admission to everything, one queue a version.
+    """Admission control of one host, with one queue for each version.
 
     Parameters
     ----------
     max_queued : int
-        Most requests that wait for one version.
+        Maximum number of queued requests for each version.
     """
 
     def __init__(self, max_queued: int) -> None:
-        self._bound = max_queued
-        self._by_work: dict[Hashable, Admission] = {}
+        self._max_queued = max_queued
+        self._by_version: dict[Hashable, Admission] = {}
 
-    def for_version(self, work: Hashable) -> Admission:
-        """Return the admission to a version."""
-        admission = self._by_work.get(work)
+    def for_version(self, version: Hashable) -> Admission:
+        """Return the admission control of a version."""
+        admission = self._by_version.get(version)
         if admission is None:
-            admission = self._by_work[work] = Admission(self._bound)
+            admission = self._by_version[version] = Admission(self._max_queued)
         return admission
 
     def list_active(self) -> list[tuple[Hashable, Admission]]:
-        """Return those with requests that wait, or that have yet to hear of their end."""
-        return [(w, a) for w, a in self._by_work.items() if len(a.queue) or a.dropped]
+        """Return the versions with queued requests, or with evicted ones to be refused."""
+        return [(v, a) for v, a in self._by_version.items() if len(a.queue) or a.evicted]
 
 
-def _bound_retry(seconds: float) -> float:
-    return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, seconds))
+def _clamp_retry_delay_s(seconds: float) -> float:
+    return min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, seconds))
--- a/poplarrun/rendezvous/__init__.py
+++ b/poplarrun/rendezvous/__init__.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: owners that all hosts compute alike, without a message."""
+"""Rendezvous hashing: every host computes the same owner of a key without communication."""
 
 from poplarrun.rendezvous._rendezvous import RankingCache, choose_owner, hash_name, rank_hosts
 
--- a/poplarrun/rendezvous/_rendezvous.py
+++ b/poplarrun/rendezvous/_rendezvous.py
@@ -1,14 +1,14 @@
-"""Rendezvous hashing: who usually does a job, without asking anyone."""
+"""Rendezvous (highest random weight) hashing of keys to hosts and endpoints."""
 
 import hashlib
 from collections.abc import Iterable, Sequence
 
 
 def rank_hosts(key: str, hosts: Iterable[str]) -> list[str]:
-    """Order hosts by their claim to a key, the usual owner first.
+    """Return the hosts in descending order of their score for a key, the owner first.
 
-    Two hosts with different views of who is live may name different owners;
-    that costs a repeated append and no more, because the log's fold decides.
+    Hosts that disagree about which hosts are live may compute different owners. That only
+    costs a duplicate append, because the fold of the log decides which one counts.
     """
     return sorted(hosts, key=lambda host: _score(key, host), reverse=True)
 
@@ -18,34 +18,43 @@
 
 
 class RankingCache:
-    """Keeps the orders of ``rank_hosts`` until the hosts change."""
+    """Caches the results of ``rank_hosts`` until the set of hosts changes."""
 
     def __init__(self) -> None:
         self._hosts: tuple[str, ...] = ()
-        self._ranked: dict[str, list[str]] = {}
+        self._rankings: dict[str, list[str]] = {}
 
     def rank(self, key: str, hosts: tuple[str, ...]) -> list[str]:
-        """Order hosts by their claim to a key, the usual owner first."""
+        """Return the hosts in descending order of their score for a key, the owner first."""
         if hosts != self._hosts:
             self._hosts = hosts
-            self._ranked.clear()
-        ranked = self._ranked.get(key)
-        if ranked is None:
-            ranked = self._ranked[key] = rank_hosts(key, hosts)
-        return ranked
+            self._rankings.clear()
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            ranking = self._rankings[key] = rank_hosts(key, hosts)
+        return ranking
 
 
 def hash_name(name: str) -> int:
-    """Return the number that an endpoint's name adds to the rendezvous hash."""
+    """Return a 56-bit hash of a name, the same in all processes."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest())
 
 
 def choose_owner(key: int, salts: Sequence[tuple[str, int]]) -> str | None:
-    """Return the endpoint that a prefix usually goes to, by rendezvous hashing.
-
-    Every host computes the same home without a message. Tuples of integers
-    hash alike in all processes, unlike strings.
+    """Return the name of the endpoint that owns a prefix, by rendezvous hashing.
+
+    Parameters
+    ----------
+    key : int
+        Hash of the prefix.
+    salts : sequence of tuple of str and int
+        Name of each endpoint, and the hash of its name.
+
+    Notes
+    -----
+    All hosts compute the same owner without communication, since the hash of a tuple of
+    integers is the same in all processes, unlike that of a string.
     """
     if not salts:
         return None
-    return max(salts, key=lambda entry: hash((key, entry[1])))[0]
+    return max(salts, key=lambda candidate: hash((key, candidate[1])))[0]
--- a/poplarrun/retries/__init__.py
+++ b/poplarrun/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Retries: whether broken work is sent again, when, and at whose expense."""
+"""Retries: whether a failed attempt is retried, after which delay, and from which budget."""
 
 from poplarrun.retries._budgets import BudgetKey, RetryBudget, RetryBudgets, WindowedRetryBudget
 from poplarrun.retries._decisions import (
--- a/poplarrun/retries/_decisions.py
+++ b/poplarrun/retries/_decisions.py
@@ -1,4 +1,4 @@
-"""The decision whether a failed attempt is followed by another."""
+"""Decides whether a failed attempt is retried, and after which delay."""
 
 import random
 from dataclasses import dataclass
@@ -7,31 +7,31 @@
 from poplarrun.retries._budgets import RetryBudget
 
 MAX_ATTEMPTS = 3
-# A stream that broke may go on in each way once: at the same engine, at another
-# one with the KV cache, anew.
+# A broken stream may be continued once in each way: on the same engine, on another one
+# with its KV cache, and from the beginning.
 MAX_STREAM_ATTEMPTS = 4
-FIRST_BACKOFF_S = 0.02
-LONGEST_BACKOFF_S = 1.0
+INITIAL_BACKOFF_DELAY_S = 0.02
+MAX_BACKOFF_DELAY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """An attempt that broke.
+    """A failed attempt.
 
     Attributes
     ----------
     attempts : int
-        Attempts so far, this one included.
+        Attempts so far, including this one.
     may_have_started : bool
-        Whether the endpoint may have begun.
+        Whether the endpoint may have started to run the request.
     is_idempotent : bool
-        Whether running the work twice is harmless.
+        Whether running the request twice is harmless.
     time_left_s : float
         Seconds until the request's deadline.
     min_needed_s : float
-        Seconds that another attempt is expected to take at the least.
+        Minimum duration that is expected of another attempt, in seconds.
     max_attempts : int
-        Bound on the attempts.
+        Maximum number of attempts.
     """
 
     attempts: int
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """Send again, after a pause."""
+    """Retry after a delay."""
 
     delay_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Answer the caller now; nothing is sent again."""
+    """Answer the caller with an error now; there is no retry."""
 
     kind: ErrorKind
     reason: str
@@ -61,22 +61,24 @@
 
 
 def decide_retry(
-    failed: FailedAttempt, budget: RetryBudget, source: random.Random
+    attempt: FailedAttempt, budget: RetryBudget, random_source: random.Random
 ) -> RetryDecision:
-    """Decide on another attempt; spends from the budget when there is one.
+    """Decide on a retry, which is spent from the budget.
 
-    A pause that ends past the deadline is not begun: the caller hears at once.
+    If the delay would end past the deadline, the caller gets the error at once.
     """
-    if failed.may_have_started and not failed.is_idempotent:
+    if attempt.may_have_started and not attempt.is_idempotent:
         return GiveUp(ErrorKind.OPERATION_OUTCOME_UNKNOWN, "it may have run")
-    if failed.attempts >= failed.max_attempts:
-        kind = ErrorKind.ENDPOINT_FAILED if failed.may_have_started else ErrorKind.NO_ENDPOINT
-        return GiveUp(kind, f"{failed.attempts} attempts failed")
-    ceiling_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (failed.attempts - 1))
-    delay_s = source.uniform(0.0, ceiling_s)
-    if delay_s + failed.min_needed_s >= failed.time_left_s:
+    if attempt.attempts >= attempt.max_attempts:
+        kind = ErrorKind.ENDPOINT_FAILED if attempt.may_have_started else ErrorKind.NO_ENDPOINT
+        return GiveUp(kind, f"{attempt.attempts} attempts failed")
+    max_delay_s = min(MAX_BACKOFF_DELAY_S, INITIAL_BACKOFF_DELAY_S * 2.0 ** (attempt.attempts - 1))
+    delay_s = random_source.uniform(0.0, max_delay_s)
+    if delay_s + attempt.min_needed_s >= attempt.time_left_s:
         kind = (
-            ErrorKind.ENDPOINT_FAILED if failed.may_have_started else ErrorKind.DEADLINE_UNREACHABLE
+            ErrorKind.ENDPOINT_FAILED
+            if attempt.may_have_started
+            else ErrorKind.DEADLINE_UNREACHABLE
         )
         return GiveUp(kind, "no time is left for another attempt")
     if not budget.try_spend():
--- a/poplarrun/speeds/__init__.py
+++ b/poplarrun/speeds/__init__.py
@@ -1,4 +1,4 @@
-"""Speeds that are learnt from what is observed."""
+"""Estimates of endpoint latency from observed requests."""
 
 from poplarrun.speeds._pool_speed import PoolSpeed
 
