--- a/poplarrun/router/__init__.py
+++ b/poplarrun/router/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions about one request, from its arrival to its bill."""
+"""Request routing of an entry host: versions, endpoints, retries and bills."""
 
 from poplarrun.router._context import RouterContext
 from poplarrun.router._engine_dispatcher import (
--- a/poplarrun/router/_chat_versions.py
+++ b/poplarrun/router/_chat_versions.py
@@ -1,4 +1,4 @@
-"""The version of each chat request: asked of the versions part, and told how it went."""
+"""Selects the model version of each chat request, and reports the outcome."""
 
 from dataclasses import dataclass
 
@@ -21,74 +21,75 @@
     SampledAnswer,
 )
 
-SESSION = "session"
-# Broken streams at so many endpoints are the version's fault, not theirs.
-ENDPOINTS_OF_A_FAULT = 2
+SESSION_REASON = "session"
+# Number of endpoints with broken streams from which the version is considered faulty and
+# not the endpoints.
+MIN_FAILED_ENDPOINTS = 2
 
 
 @dataclass
-class VersionPick:
-    """The version of one request.
+class SelectedVersion:
+    """The version that was selected for one request.
 
     Attributes
     ----------
     version : Version
-        What must generate the answer.
-    sampled : bool
+        The version that must generate the answer.
+    is_sampled : bool
         Whether the answer is to be rated.
-    why : str
-        Counter label of the choice.
+    reason : str
+        Metric label of the choice.
     first_token_s : float, optional
-        Time to the first token, once it came.
-    broken_at : set of str
-        Endpoints at which attempts broke.
+        Time to the first token; None before it arrived.
+    failed_endpoints : set of str, optional
+        Endpoints at which attempts failed.
     escalation : Escalation, optional
-        The second step of a cascade, while this is the first.
-    is_second : bool
-        Whether this is the second step.
+        The second step of a cascade, if this is the first.
+    is_second_step : bool
+        Whether this is the second step of a cascade.
     """
 
     version: Version
-    sampled: bool
-    why: str
+    is_sampled: bool
+    reason: str
     first_token_s: float | None = None
-    broken_at: set[str] | None = None
+    failed_endpoints: set[str] | None = None
     escalation: Escalation | None = None
-    is_second: bool = False
+    is_second_step: bool = False
 
-    def note_broken(self, endpoint: str) -> None:
-        """Remember that an attempt broke at an endpoint."""
-        self.broken_at = (self.broken_at or set()) | {endpoint}
+    def record_failed_endpoint(self, endpoint: str) -> None:
+        """Record that an attempt failed at an endpoint."""
+        self.failed_endpoints = (self.failed_endpoints or set()) | {endpoint}
 
-    def is_failed(self, end: EndChat) -> bool:
-        """Tell whether the version itself failed.
+    def has_version_failed(self, end: EndChat) -> bool:
+        """Return whether the version itself failed.
 
-        An engine that dies breaks all its streams, whatever their version; were
-        they counted, a dead engine would withdraw good versions.
+        An engine that dies breaks all its streams, whatever their version. If these were
+        counted, a dead engine would cause the withdrawal of good versions.
         """
         is_empty = end.is_complete and end.usage.output_tokens == 0
-        return is_empty or len(self.broken_at or ()) >= ENDPOINTS_OF_A_FAULT
+        return is_empty or len(self.failed_endpoints or ()) >= MIN_FAILED_ENDPOINTS
 
 
 class ChatVersions:
-    """Picks versions; called on the loop only."""
+    """Selects the versions of chat requests; used on the event loop only."""
 
     def __init__(self, context: RouterContext, judge: Judge | None = None) -> None:
         self._context = context
         self._judge = judge or ConfidenceJudge()
 
-    def pick(
+    def choose(
         self,
         request: BeginChat,
         account: ClientAccount,
         work_class: WorkClass,
         explanation: Explanation,
         now: float,
-    ) -> VersionPick | Refusal:
-        """Return the version of a new request."""
+    ) -> SelectedVersion | Refusal:
+        """Return the version for a new request."""
         if request.pinned_version is not None:
             explanation.considered.append(f"the session keeps {request.pinned_version}")
-            return self._pick_pinned(request.pinned_version, account, work_class, now)
+            return self._select_pinned(request.pinned_version, account, work_class, now)
         choice = self._context.versions.choose(
             ChoiceRequest(
                 account,
@@ -100,13 +101,13 @@
             )
         )
         match choice:
-            case Chosen(version=version, why=why, considered=considered, escalation=escalation):
+            case Chosen(version=version, why=reason, considered=considered, escalation=escalation):
                 explanation.considered = considered
-                explanation.considered.append(f"chosen: {version.id}, {why}")
-                self._context.metrics.count_event(f"choice_{why.replace('-', '_')}")
-                pick = self._make_pick(version, work_class, why, now)
-                pick.escalation = escalation
-                return pick
+                explanation.considered.append(f"chosen: {version.id}, {reason}")
+                self._context.metrics.count_event(f"choice_{reason.replace('-', '_')}")
+                selected = self._make_selected(version, work_class, reason, now)
+                selected.escalation = escalation
+                return selected
             case NothingAllowed():
                 message = f"client account {account.name} has no offered version"
                 return self._context.refuse(ErrorKind.VERSION_NOT_ALLOWED, message, "model")
@@ -119,18 +120,18 @@
                 message = f"no allowed version meets the targets of class {work_class.name}"
                 return self._context.refuse(ErrorKind.TARGET_UNREACHABLE, message, "model")
 
-    def pick_other(
+    def choose_alternative(
         self,
         request: BeginChat,
         account: ClientAccount,
         work_class: WorkClass,
         without: VersionId,
         now: float,
-    ) -> VersionPick | None:
-        """Return a version for a request that another has no room for.
+    ) -> SelectedVersion | None:
+        """Return another version for a request that a version has no capacity for.
 
-        A session, also one that opens now, never moves: other hosts derive its
-        version from the same configuration.
+        A session keeps its version, even if it starts with this request, because other hosts
+        derive it from the same configuration.
         """
         if request.session is not None or request.pinned_version is not None:
             return None
@@ -145,82 +146,90 @@
         )
         if not isinstance(choice, Chosen):
             return None
-        return self._make_pick(choice.version, work_class, choice.why, now)
+        return self._make_selected(choice.version, work_class, choice.why, now)
 
-    def note_end(
-        self, pick: VersionPick, work_class: WorkClass, end: EndChat, took_s: float
+    def record_end(
+        self, selected: SelectedVersion, work_class: WorkClass, end: EndChat, duration_s: float
     ) -> None:
-        """Tell the versions part how an answer ended."""
-        failed = pick.is_failed(end)
+        """Report the outcome of an answer to the version estimates."""
+        failed = selected.has_version_failed(end)
         if not end.is_complete and not failed:
             return
         tokens = end.usage.output_tokens
-        late, score = _is_late(pick, work_class, tokens, took_s), self._score(end)
-        seen = AnswerSeen(failed, late, tokens, took_s, score)
+        late, score = _is_late(selected, work_class, tokens, duration_s), self._score_answer(end)
+        observation = AnswerSeen(failed, late, tokens, duration_s, score)
         versions = self._context.versions
-        key = CellKey(work_class.name, pick.version.id)
-        versions.note_answer(key.as_second if pick.is_second else key, seen)
+        key = CellKey(work_class.name, selected.version.id)
+        versions.note_answer(key.as_second if selected.is_second_step else key, observation)
         if end.text is not None:
-            step = "2" if pick.is_second else "1"
+            step = "2" if selected.is_second_step else "1"
             sample_id = f"{end.request_id}.{step}"
-            sample = SampledAnswer(sample_id, key, end.text, score, pick.is_second)
+            sample = SampledAnswer(sample_id, key, end.text, score, selected.is_second_step)
             versions.keep_sample(sample)
 
     def escalate(
         self,
-        pick: VersionPick,
+        selected: SelectedVersion,
         account: ClientAccount,
         work_class: WorkClass,
         end: EndChat,
         now: float,
-    ) -> VersionPick | None:
-        """Return the second step of a cascade; None when the first answer is accepted.
+    ) -> SelectedVersion | None:
+        """Return the second step of a cascade; None if the first answer is accepted.
 
-        The second version is checked like any other before new work: where it
-        may not be used any more, the caller gets the first answer.
+        The second version is checked like that of a new request. If it may no longer be used,
+        the caller gets the first answer.
         """
-        if pick.escalation is None:
+        if selected.escalation is None:
             return None
-        second = pick.escalation.version
-        score = self._score(end)
-        is_accepted = score is None or score >= pick.escalation.least_score
-        allowed = self._context.may_use(account.name, second.id)
-        if is_accepted or not allowed or self._context.configuration.is_withdrawn(second.id):
+        second_version = selected.escalation.version
+        score = self._score_answer(end)
+        is_accepted = score is None or score >= selected.escalation.least_score
+        allowed = self._context.may_use(account.name, second_version.id)
+        if (
+            is_accepted
+            or not allowed
+            or self._context.configuration.is_withdrawn(second_version.id)
+        ):
             return None
         self._context.metrics.count_event("cascade_escalated")
-        key = CellKey(work_class.name, second.id).as_second
+        key = CellKey(work_class.name, second_version.id).as_second
         sampled = self._context.versions.wants_rating(key, "cascade", now)
-        return VersionPick(second, sampled, "cascade", is_second=True)
+        return SelectedVersion(second_version, sampled, "cascade", is_second_step=True)
 
-    def _score(self, end: EndChat) -> float | None:
+    def _score_answer(self, end: EndChat) -> float | None:
         return self._judge.score(JudgedAnswer(end.request_id, end.usage.confidence))
 
-    def _pick_pinned(
-        self, pinned: VersionId, account: ClientAccount, work_class: WorkClass, now: float
-    ) -> VersionPick | Refusal:
+    def _select_pinned(
+        self, pinned_version: VersionId, account: ClientAccount, work_class: WorkClass, now: float
+    ) -> SelectedVersion | Refusal:
         configuration = self._context.configuration
-        if configuration.is_withdrawn(pinned):
-            message = f"the session's version {pinned} was withdrawn; start a new session"
+        if configuration.is_withdrawn(pinned_version):
+            message = f"the session's version {pinned_version} was withdrawn; start a new session"
             return self._context.refuse(ErrorKind.SESSION_VERSION_WITHDRAWN, message)
-        if not account.allows_version(pinned):
-            message = f"client account {account.name} may no longer use {pinned}"
+        if not account.allows_version(pinned_version):
+            message = f"client account {account.name} may no longer use {pinned_version}"
             return self._context.refuse(ErrorKind.VERSION_NOT_ALLOWED, message)
-        return self._make_pick(configuration.document.versions[pinned], work_class, SESSION, now)
+        return self._make_selected(
+            configuration.document.versions[pinned_version], work_class, SESSION_REASON, now
+        )
 
-    def _make_pick(
-        self, version: Version, work_class: WorkClass, why: str, now: float
-    ) -> VersionPick:
+    def _make_selected(
+        self, version: Version, work_class: WorkClass, reason: str, now: float
+    ) -> SelectedVersion:
         key = CellKey(work_class.name, version.id)
-        sampled = self._context.versions.wants_rating(key, why, now)
-        return VersionPick(version, sampled, why)
+        sampled = self._context.versions.wants_rating(key, reason, now)
+        return SelectedVersion(version, sampled, reason)
 
 
-def _is_late(pick: VersionPick, work_class: WorkClass, tokens: int, took_s: float) -> bool:
+def _is_late(
+    selected: SelectedVersion, work_class: WorkClass, tokens: int, duration_s: float
+) -> bool:
     targets = work_class.targets
-    first_token_s = took_s if pick.first_token_s is None else pick.first_token_s
-    between_s = (took_s - first_token_s) / max(1, tokens - 1)
+    first_token_s = duration_s if selected.first_token_s is None else selected.first_token_s
+    token_interval_s = (duration_s - first_token_s) / max(1, tokens - 1)
     return (
         first_token_s > targets.first_token_s
-        or took_s > targets.whole_s
-        or between_s > targets.between_tokens_s
+        or duration_s > targets.whole_s
+        or token_interval_s > targets.between_tokens_s
     )
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -1,4 +1,4 @@
-"""The decisions about one chat request, from its arrival to its bill."""
+"""Routes chat requests, from their arrival to their bills."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
 from poplarrun.orders import OpenWork
 from poplarrun.retries import GiveUp
-from poplarrun.router._chat_versions import ChatVersions, VersionPick
+from poplarrun.router._chat_versions import ChatVersions, SelectedVersion
 from poplarrun.router._context import RouterContext
 from poplarrun.router._engine_dispatcher import (
     Dispatched,
@@ -30,11 +30,11 @@
     JudgeChat,
 )
 
-# Longest time in the queue of a class whose latency targets are best effort.
-BEST_EFFORT_WAIT_S = 10.0
+# Maximum queueing time of a class whose latency targets are best effort, in seconds.
+BEST_EFFORT_QUEUE_TIMEOUT_S = 10.0
 NO_USAGE = Usage(0, 0)
-# The stream's engine can't be reached, so it can't give out its KV cache either.
-UNREACHABLE = "connect"
+# Failure reason of an engine that can't be reached, and so can't transfer its KV cache.
+UNREACHABLE_REASON = "connect"
 
 
 @dataclass
@@ -42,46 +42,46 @@
     request: BeginChat
     account: ClientAccount
     work_class: WorkClass
-    pick: VersionPick
-    began_at: float
+    selected_version: SelectedVersion
+    arrived_at: float
     explanation: Explanation
-    job: EngineRequest
-    shown_tokens: int = 0
+    engine_request: EngineRequest
+    delivered_tokens: int = 0
     resumes: int = 0
-    spent: float = 0.0
+    first_step_cost: float = 0.0
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """The endpoint of the newest attempt."""
-        return self.job.choice.endpoint if self.job.choice else None
+        """The endpoint of the latest attempt."""
+        return self.engine_request.choice.endpoint if self.engine_request.choice else None
 
     @property
     def version(self) -> Version:
-        """What must generate the answer."""
-        return self.pick.version
+        """The version that must generate the answer."""
+        return self.selected_version.version
 
 
 class ChatRouter:
-    """Decides about chat requests; called on the loop only, never blocks."""
+    """Decides about chat requests; used on the event loop only, never blocks."""
 
-    def __init__(self, context: RouterContext, dispatch: EngineDispatcher) -> None:
+    def __init__(self, context: RouterContext, dispatcher: EngineDispatcher) -> None:
         self._context = context
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._chats: dict[str, _Chat] = {}
         self._versions = ChatVersions(context)
 
     @property
     def open_requests(self) -> int:
-        """Chats that have begun and not ended."""
+        """Number of chat requests in progress."""
         return len(self._chats)
 
     @property
     def open_request_ids(self) -> list[str]:
-        """Ids of those requests."""
+        """Ids of the chat requests in progress."""
         return list(self._chats)
 
     def list_open_work(self) -> list[OpenWork]:
-        """Return what the open chats ask of the engines."""
+        """Return the demand of the open chat requests for engines."""
         return [
             OpenWork(
                 chat.version.id,
@@ -97,8 +97,8 @@
 
         Returns
         -------
-        ChatGrant or Held or Refusal
-            For a held request ``release`` gives the grant or refusal later.
+        ChatGrant or Queued or Refusal
+            For a queued request ``release_queued`` returns the grant or refusal later.
         """
         document = self._context.configuration.document
         self._context.metrics.count_request(
@@ -115,201 +115,229 @@
             message = f"client account {account.name} may not use class {work_class.name}"
             return self._context.refuse(ErrorKind.CLASS_NOT_ALLOWED, message, "model")
         tokens = request.prompt_tokens + request.max_tokens
-        limited = self._context.check_limits(account, tokens, now)
-        if limited is not None:
-            return limited
+        limit_refusal = self._context.check_limits(account, tokens, now)
+        if limit_refusal is not None:
+            return limit_refusal
         explanation = self._context.open_explanation(request.request_id, account, work_class.name)
-        pick = self._versions.pick(request, account, work_class, explanation, now)
-        if isinstance(pick, Refusal):
-            explanation.outcome = f"refused: {pick.kind.value}"
-            self._end_limits(request, account)
-            return pick
-        job = _make_job(request, account, work_class, pick.version, now)
-        chat = _Chat(request, account, work_class, pick, now, explanation, job)
+        selected = self._versions.choose(request, account, work_class, explanation, now)
+        if isinstance(selected, Refusal):
+            explanation.outcome = f"refused: {selected.kind.value}"
+            self._settle_limits(request, account)
+            return selected
+        engine_request = _make_engine_request(request, account, work_class, selected.version, now)
+        chat = _Chat(request, account, work_class, selected, now, explanation, engine_request)
         self._chats[request.request_id] = chat
-        start = self._dispatch.start(job, now)
-        if isinstance(start, NoEndpoint):
+        outcome = self._dispatcher.start(engine_request, now)
+        if isinstance(outcome, NoEndpoint):
             self._context.demand.note_missed(
-                pick.version.id, work_class.importance, request.session is not None
+                selected.version.id, work_class.importance, request.session is not None
             )
-        if isinstance(start, Refused | NoEndpoint):
-            start = self._start_other(chat, now) or start
-        if isinstance(start, Queued):
-            explanation.attempts.append(f"queued, {start.wait_s:.2f} s expected")
-        return self._follow_start(chat, start, now)
+        if isinstance(outcome, Refused | NoEndpoint):
+            outcome = self._start_on_alternative(chat, now) or outcome
+        if isinstance(outcome, Queued):
+            explanation.attempts.append(f"queued, {outcome.wait_s:.2f} s expected")
+        return self._handle_start(chat, outcome, now)
 
     def release_queued(self, now: float) -> list[tuple[str, ChatGrant | Refusal]]:
-        """Start the held requests that have a place now, and end those that are late."""
+        """Start the queued requests that have a slot now, and refuse those that are late."""
         released: list[tuple[str, ChatGrant | Refusal]] = []
-        for job, outcome in self._dispatch.release_queued(now):
-            chat = self._chats[job.request_id]
+        for engine_request, outcome in self._dispatcher.release_queued(now):
+            chat = self._chats[engine_request.request_id]
             refusal = self._check_version(chat) if isinstance(outcome, Dispatched) else None
             if refusal is not None:
-                self._dispatch.end(job, False, now)
-            started = refusal or self._follow_start(chat, outcome, now)
+                self._dispatcher.end(engine_request, False, now)
+            started = refusal or self._handle_start(chat, outcome, now)
             assert not isinstance(started, Queued)
-            released.append((job.request_id, started))
+            released.append((engine_request.request_id, started))
         return released
 
     def retry(self, failure: AttemptFailed, now: float) -> ChatGrant | Refusal:
-        """Decide where a broken chat goes on."""
+        """Decide where a chat continues after a failed attempt."""
         chat = self._chats[failure.request_id]
-        chat.shown_tokens = failure.position if failure.is_delivered else 0
+        chat.delivered_tokens = failure.position if failure.is_delivered else 0
         endpoint = chat.endpoint.name if chat.endpoint else ""
-        chat.pick.note_broken(endpoint)
+        chat.selected_version.record_failed_endpoint(endpoint)
         chat.explanation.attempts.append(f"{endpoint}: {failure.reason}")
-        decision = self._dispatch.handle_failed_attempt(
-            chat.job, failure.reason, failure.may_have_started, now, is_stream=failure.position > 0
+        decision = self._dispatcher.handle_failed_attempt(
+            chat.engine_request,
+            failure.reason,
+            failure.may_have_started,
+            now,
+            is_stream=failure.position > 0,
         )
         refusal = self._check_version(chat)
         if refusal is not None:
             return refusal
         if isinstance(decision, GiveUp):
-            return self._give_up(chat, decision.kind, f"{decision.reason} ({failure.reason})")
+            return self._refuse_chat(chat, decision.kind, f"{decision.reason} ({failure.reason})")
         if failure.position > 0:
-            return self._resume(chat, failure, now, decision.delay_s)
+            return self._resume_stream(chat, failure, now, decision.delay_s)
         self._context.metrics.count_retry(failure.reason)
-        return self._begin_anew(chat, now, decision.delay_s)
+        return self._restart(chat, now, decision.delay_s)
 
     def record_first_token(self, event: FirstToken, now: float) -> None:
         """Record the time to the first token.
 
-        A cascade's accepted first answer, or an empty one, has ended by then: it was
-        whole before its caller got anything. The message would fail as an error each time.
+        The chat has already ended if the answer is empty or the accepted first answer of a
+        cascade, which is complete before the caller gets any of it. This isn't an error.
         """
         chat = self._chats.get(event.request_id)
         if chat is None:
             return
-        self._dispatch.record_first_token(chat.job, now)
-        chat.pick.first_token_s = now - chat.began_at
+        self._dispatcher.record_first_token(chat.engine_request, now)
+        chat.selected_version.first_token_s = now - chat.arrived_at
         self._context.metrics.record_latency(
-            "first_token", chat.work_class.name, now - chat.began_at
+            "first_token", chat.work_class.name, now - chat.arrived_at
         )
 
     def judge(self, message: JudgeChat, now: float) -> AnswerAccepted | ChatGrant:
-        """Give a cascade's first answer out, or send the request to the second version.
+        """Accept a cascade's first answer, or send the request to the second version.
 
-        Where the second step can't start, the caller gets the first answer: it
-        is whole, and poorer than the class asks rather than none.
+        If the second step can't start, the caller gets the first answer: a complete answer of
+        lower quality than the class requires is better than none.
         """
         end = message.end
         chat = self._chats[end.request_id]
-        second = self._versions.escalate(chat.pick, chat.account, chat.work_class, end, now)
-        if second is None:
+        second_step = self._versions.escalate(
+            chat.selected_version, chat.account, chat.work_class, end, now
+        )
+        if second_step is None:
             return AnswerAccepted()
-        job = _make_job(chat.request, chat.account, chat.work_class, second.version, now)
-        job.deadline = chat.job.deadline
-        # The first step ran: should the second one fail, "not run" would be false.
-        job.may_have_started = True
-        start = self._dispatch.retry_elsewhere(job, now, 0.0)
-        if not isinstance(start, Dispatched):
+        engine_request = _make_engine_request(
+            chat.request, chat.account, chat.work_class, second_step.version, now
+        )
+        engine_request.deadline = chat.engine_request.deadline
+        # The first step ran, so that a failure of the second one must not say "not run".
+        engine_request.may_have_started = True
+        outcome = self._dispatcher.retry_elsewhere(engine_request, now, 0.0)
+        if not isinstance(outcome, Dispatched):
             return AnswerAccepted()
-        self._dispatch.end(chat.job, True, now)
-        self._versions.note_end(chat.pick, chat.work_class, end, now - chat.began_at)
-        chat.spent += chat.version.price.cost(end.usage.input_tokens, end.usage.output_tokens)
-        chat.explanation.attempts.append(f"{chat.version.id} answered poorly: {second.version.id}")
-        chat.pick, chat.job = second, job
-        return self._grant(chat, start, now)
+        self._dispatcher.end(chat.engine_request, True, now)
+        self._versions.record_end(
+            chat.selected_version, chat.work_class, end, now - chat.arrived_at
+        )
+        chat.first_step_cost += chat.version.price.cost(
+            end.usage.input_tokens, end.usage.output_tokens
+        )
+        chat.explanation.attempts.append(
+            f"{chat.version.id} answered poorly: {second_step.version.id}"
+        )
+        chat.selected_version, chat.engine_request = second_step, engine_request
+        return self._grant(chat, outcome, now)
 
     def end(self, end: EndChat, now: float) -> Bill:
-        """Close a chat and make its bill."""
+        """Close a chat and create its bill."""
         chat = self._chats.pop(end.request_id)
-        self._dispatch.end(chat.job, end.is_complete, now)
-        self._context.metrics.record_latency("whole", chat.work_class.name, now - chat.began_at)
-        self._versions.note_end(chat.pick, chat.work_class, end, now - chat.began_at)
+        self._dispatcher.end(chat.engine_request, end.is_complete, now)
+        self._context.metrics.record_latency("whole", chat.work_class.name, now - chat.arrived_at)
+        self._versions.record_end(
+            chat.selected_version, chat.work_class, end, now - chat.arrived_at
+        )
         bill = _make_bill(chat, end.usage.input_tokens, end.usage.output_tokens)
-        self._end_limits(chat.request, chat.account, end.usage, bill.amount)
+        self._settle_limits(chat.request, chat.account, end.usage, bill.amount)
         chat.explanation.outcome = "answered" if end.is_complete else "cut off"
         return self._context.add_bill(bill, chat.explanation)
 
-    def _start_other(self, chat: _Chat, now: float) -> Dispatched | Queued | None:
-        """Start a chat on another allowed version when the chosen one has no room in time."""
-        other = self._versions.pick_other(
+    def _start_on_alternative(self, chat: _Chat, now: float) -> Dispatched | Queued | None:
+        """Start a chat on another allowed version if the selected one has no slot in time."""
+        alternative = self._versions.choose_alternative(
             chat.request, chat.account, chat.work_class, chat.version.id, now
         )
-        if other is None:
+        if alternative is None:
             return None
-        job = _make_job(chat.request, chat.account, chat.work_class, other.version, now)
-        start = self._dispatch.start(job, now)
-        if not isinstance(start, Dispatched | Queued):
+        engine_request = _make_engine_request(
+            chat.request, chat.account, chat.work_class, alternative.version, now
+        )
+        outcome = self._dispatcher.start(engine_request, now)
+        if not isinstance(outcome, Dispatched | Queued):
             return None
         chat.explanation.attempts.append(f"{chat.version.id}: no room in time")
         self._context.metrics.count_event("other_version_for_room")
-        chat.pick, chat.job = other, job
-        return start
+        chat.selected_version, chat.engine_request = alternative, engine_request
+        return outcome
 
-    def _resume(
+    def _resume_stream(
         self, chat: _Chat, failure: AttemptFailed, now: float, delay_s: float
     ) -> ChatGrant | Refusal:
-        """Go on where the stream broke, so that the rest fits what there is.
+        """Resume a broken stream, so that the rest continues the part that was received.
 
-        The same engine still has the stream; another one gets its KV cache. Only
-        an answer of which nothing was shown may be generated anew, for no two
-        generations are alike and the caller would get a mixed one.
+        The first retry resumes on the same engine, which still has the stream; the second one
+        moves the KV cache to another engine. An answer is generated from the beginning only if
+        the caller has received none of it: two generations differ, and would be mixed.
         """
         chat.resumes += 1
-        same = chat.endpoint
-        is_known = same is not None and self._context.endpoints.find(same.name) is same
-        if chat.resumes == 1 and is_known:
+        previous_endpoint = chat.endpoint
+        is_previous_known = (
+            previous_endpoint is not None
+            and self._context.endpoints.find(previous_endpoint.name) is previous_endpoint
+        )
+        if chat.resumes == 1 and is_previous_known:
             self._context.metrics.count_retry("resume")
-            sent = self._dispatch.resend(chat.job, now, delay_s)
+            sent = self._dispatcher.resend(chat.engine_request, now, delay_s)
             return self._grant(chat, sent, now, resumes=True)
-        can_move = is_known and failure.reason != UNREACHABLE and chat.resumes == 2
-        if can_move and same is not None:
-            moved = self._dispatch.retry_elsewhere(chat.job, now, delay_s)
-            if isinstance(moved, Dispatched) and moved.choice.endpoint is not same:
+        can_move_cache = (
+            is_previous_known and failure.reason != UNREACHABLE_REASON and chat.resumes == 2
+        )
+        if can_move_cache and previous_endpoint is not None:
+            dispatched = self._dispatcher.retry_elsewhere(chat.engine_request, now, delay_s)
+            if (
+                isinstance(dispatched, Dispatched)
+                and dispatched.choice.endpoint is not previous_endpoint
+            ):
                 self._context.metrics.count_retry("resume_elsewhere")
-                return self._grant(chat, moved, now, resumes=True, cache_from=same.address)
-            if isinstance(moved, Dispatched):
-                self._dispatch.undo_send(chat.job, now)
+                return self._grant(
+                    chat, dispatched, now, resumes=True, cache_from=previous_endpoint.address
+                )
+            if isinstance(dispatched, Dispatched):
+                self._dispatcher.undo_send(chat.engine_request, now)
         if failure.is_delivered:
             message = "the stream's engine is gone"
-            return self._give_up(chat, ErrorKind.ANSWER_INCOMPLETE, message)
+            return self._refuse_chat(chat, ErrorKind.ANSWER_INCOMPLETE, message)
         self._context.metrics.count_retry("anew")
-        return self._begin_anew(chat, now, delay_s)
+        return self._restart(chat, now, delay_s)
 
-    def _begin_anew(self, chat: _Chat, now: float, delay_s: float) -> ChatGrant | Refusal:
-        sent = self._dispatch.retry_elsewhere(chat.job, now, delay_s)
-        started = self._follow_start(chat, sent, now)
+    def _restart(self, chat: _Chat, now: float, delay_s: float) -> ChatGrant | Refusal:
+        sent = self._dispatcher.retry_elsewhere(chat.engine_request, now, delay_s)
+        started = self._handle_start(chat, sent, now)
         assert not isinstance(started, Queued)
         return started
 
-    def _follow_start(
-        self, chat: _Chat, start: StartOutcome, now: float
+    def _handle_start(
+        self, chat: _Chat, outcome: StartOutcome, now: float
     ) -> ChatGrant | Queued | Refusal:
-        match start:
+        match outcome:
             case Dispatched():
-                return self._grant(chat, start, now)
+                return self._grant(chat, outcome, now)
             case Queued():
-                return start
+                return outcome
             case Refused(kind=kind, reason=reason, retry_after_s=retry_after_s):
-                return self._give_up(chat, kind, reason, retry_after_s)
+                return self._refuse_chat(chat, kind, reason, retry_after_s)
             case NoEndpoint():
                 message = f"no endpoint holds {chat.version.id}"
-                coming_s = self._context.expected_load_s.get(chat.version.id)
-                return self._give_up(chat, ErrorKind.NO_ENDPOINT, message, coming_s)
+                expected_load_s = self._context.expected_load_s.get(chat.version.id)
+                return self._refuse_chat(chat, ErrorKind.NO_ENDPOINT, message, expected_load_s)
 
     def _check_version(self, chat: _Chat) -> Refusal | None:
-        """Check permission anew before each attempt.
+        """Check before each attempt that the version may still be used.
 
-        A version withdrawn between two attempts would otherwise get new work
-        after its withdrawal was in force at this host.
+        Otherwise a version that was withdrawn between two attempts would get new work
+        although its withdrawal is in force at this host.
         """
         if self._context.configuration.is_withdrawn(chat.version.id):
             message = f"version {chat.version.id} was withdrawn"
-            return self._give_up(chat, ErrorKind.VERSION_NOT_ALLOWED, message)
+            return self._refuse_chat(chat, ErrorKind.VERSION_NOT_ALLOWED, message)
         if not self._context.may_use(chat.account.name, chat.version.id):
             message = f"client account {chat.account.name} may no longer use {chat.version.id}"
-            return self._give_up(chat, ErrorKind.VERSION_NOT_ALLOWED, message)
+            return self._refuse_chat(chat, ErrorKind.VERSION_NOT_ALLOWED, message)
         return None
 
     def _grant(
         self, chat: _Chat, sent: Dispatched, now: float, resumes: bool = False, cache_from: str = ""
     ) -> ChatGrant:
         endpoint = sent.choice.endpoint
-        timeout_s = max(0.0, chat.job.deadline - now - sent.delay_s)
+        timeout_s = max(0.0, chat.engine_request.deadline - now - sent.delay_s)
         importance = chat.work_class.importance
-        if chat.job.attempts == 1:
+        if chat.engine_request.attempts == 1:
             self._context.opened_bills.append(_make_bill(chat, chat.request.prompt_tokens, 0))
         return ChatGrant(
             endpoint.name,
@@ -318,62 +346,62 @@
             importance,
             timeout_s,
             sent.delay_s,
-            is_sampled=chat.pick.sampled,
-            must_buffer=chat.pick.escalation is not None,
+            is_sampled=chat.selected_version.is_sampled,
+            must_buffer=chat.selected_version.escalation is not None,
             session_token=chat.request.session_token,
             is_resume=resumes,
             cache_from=cache_from,
         )
 
-    def _end_limits(
+    def _settle_limits(
         self,
         request: BeginChat,
         account: ClientAccount,
         usage: Usage = NO_USAGE,
         amount: float = 0.0,
     ) -> None:
-        """Give back what a request was expected to take of its account's limits and didn't."""
+        """Replace a request's expected usage in its account's limits by the actual usage."""
         if self._context.limits is not None:
             expected = request.prompt_tokens + request.max_tokens
             used = usage.input_tokens + usage.output_tokens
             self._context.limits.end(account, expected, used, amount)
 
-    def _give_up(
+    def _refuse_chat(
         self, chat: _Chat, kind: ErrorKind, message: str, retry_after_s: float | None = None
     ) -> Refusal:
-        """End a chat without a whole answer, and bill what its caller was shown.
+        """End a chat without a complete answer, and bill the part that the caller received.
 
-        A kind that says "not run" is true only while no engine began: after
-        that the caller is told what became of its answer instead.
+        An error kind that says "not run" is correct only if no engine started; otherwise it is
+        replaced by one that says what happened to the answer.
         """
         self._chats.pop(chat.request.request_id, None)
-        if chat.shown_tokens:
+        if chat.delivered_tokens:
             kind = ErrorKind.ANSWER_INCOMPLETE
-            bill = _make_bill(chat, chat.request.prompt_tokens, chat.shown_tokens)
-            shown = Usage(chat.request.prompt_tokens, chat.shown_tokens)
-            self._end_limits(chat.request, chat.account, shown, bill.amount)
+            bill = _make_bill(chat, chat.request.prompt_tokens, chat.delivered_tokens)
+            delivered_usage = Usage(chat.request.prompt_tokens, chat.delivered_tokens)
+            self._settle_limits(chat.request, chat.account, delivered_usage, bill.amount)
             self._context.add_bill(bill, chat.explanation)
         else:
-            if chat.job.may_have_started and answer_for(kind).not_run is NotRun.YES:
+            if chat.engine_request.may_have_started and answer_for(kind).not_run is NotRun.YES:
                 kind = ErrorKind.ENDPOINT_FAILED
-            self._end_limits(chat.request, chat.account)
+            self._settle_limits(chat.request, chat.account)
             self._context.closed_bill_ids.append(chat.request.request_id)
         chat.explanation.outcome = f"refused: {kind.value}"
         return self._context.refuse(kind, message, retry_after_s=retry_after_s)
 
 
 def _make_bill(chat: _Chat, input_tokens: int, output_tokens: int) -> Bill:
-    amount = chat.spent + chat.version.price.cost(input_tokens, output_tokens)
+    amount = chat.first_step_cost + chat.version.price.cost(input_tokens, output_tokens)
     return Bill(chat.request.request_id, chat.account.name, str(chat.version.id), amount)
 
 
-def _make_job(
+def _make_engine_request(
     request: BeginChat, account: ClientAccount, work_class: WorkClass, version: Version, now: float
 ) -> EngineRequest:
     targets = work_class.targets
-    wait_s = targets.first_token_s
+    queue_timeout_s = targets.first_token_s
     if work_class.unmet is Unmet.BEST_EFFORT:
-        wait_s = max(wait_s, min(targets.whole_s, BEST_EFFORT_WAIT_S))
+        queue_timeout_s = max(queue_timeout_s, min(targets.whole_s, BEST_EFFORT_QUEUE_TIMEOUT_S))
     return EngineRequest(
         request_id=request.request_id,
         account=account.name,
@@ -381,6 +409,6 @@
         importance=work_class.importance,
         version=version.id,
         demand=Demand(request.prompt_tokens, request.blocks),
-        start_by=now + wait_s,
+        start_by=now + queue_timeout_s,
         deadline=now + targets.whole_s,
     )
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one host share."""
+"""The state that all routing decisions of a host share."""
 
 import random
 from dataclasses import dataclass, field
@@ -33,28 +33,28 @@
     configuration : Configuration
         The configuration in force at this host.
     versions : Versions
-        Estimates, choice and roll-outs.
+        Estimates, choice and roll-outs of versions.
     bills : list of Bill
-        Final bills that are not handed on yet; the host keeps them before it
-        answers the message that made them.
+        Final bills that are not passed to the billing yet; the host stores them before it
+        answers the message that created them.
     opened_bills : list of Bill
-        Entries of requests that began, not handed on yet.
+        Provisional bills of requests that started, not passed to the billing yet.
     closed_bill_ids : list of str
-        Ids of requests that ended without a bill, not handed on yet.
+        Ids of requests that ended without a bill, not passed to the billing yet.
     limited_accounts : set of str
-        Accounts whose limits were just counted against, for the host to look at.
+        Accounts whose limits were used since the host last checked whether to borrow more.
     limits : AccountLimits, optional
-        Limits of the client accounts; without them none holds.
+        Limits of the client accounts; if None, there are no limits.
     retry_budgets : RetryBudgets
-        What first attempts have earned, for chats and operations.
-    source : random.Random
-        Random source of pauses.
+        Retry budgets of chats and operations.
+    random_source : random.Random
+        Random source of retry delays.
     service_limits : dict of str to ServiceLimit
-        Concurrency limits of plain services, as this host's calls see them.
+        Concurrency limits of plain services, from this host's calls.
     demand : DemandCounter
-        What requests ask for that no engine holds.
+        Demand for versions.
     expected_load_s : dict of VersionId to float
-        Expected seconds until a version is loaded that no engine holds.
+        Expected seconds until a version that no engine has loaded is available.
     """
 
     endpoints: EndpointTable
@@ -68,16 +68,16 @@
     explanations: Explanations = field(default_factory=Explanations)
     limits: AccountLimits | None = None
     retry_budgets: RetryBudgets = field(default_factory=RetryBudgets)
-    source: random.Random = field(default_factory=random.Random)
+    random_source: random.Random = field(default_factory=random.Random)
     service_limits: dict[str, ServiceLimit] = field(default_factory=dict)
     demand: DemandCounter = field(default_factory=DemandCounter)
     expected_load_s: dict[VersionId, float] = field(default_factory=dict)
 
     def may_use(self, account: str, version: VersionId) -> bool:
-        """Tell whether a client account may use a version by the configuration in force now.
+        """Return whether the current configuration allows a client account to use a version.
 
-        An account as it was when its request began would let work start on a
-        version that operators took from it meanwhile.
+        The account as it was when its request arrived is outdated: operators may have removed
+        the permission since then.
         """
         in_force = self.configuration.document.accounts.get(account)
         return in_force is not None and in_force.allows_version(version)
@@ -89,12 +89,12 @@
         param: str | None = None,
         retry_after_s: float | None = None,
     ) -> Refusal:
-        """Make a refusal and count it."""
+        """Create a refusal and count it."""
         self.metrics.count_refusal(kind)
         return Refusal(kind, message, param, retry_after_s)
 
     def spend_left(self, account: ClientAccount) -> float | None:
-        """Return what an account may still spend through this host; None without a limit."""
+        """Return the amount that an account may still spend at this host; None if unlimited."""
         return None if self.limits is None else self.limits.spend_left(account)
 
     def check_limits(
@@ -114,11 +114,11 @@
         return self.service_limits.setdefault(service, ServiceLimit())
 
     def decide_retry(self, failed: FailedAttempt, key: BudgetKey) -> RetryDecision:
-        """Decide on another attempt, at the expense of a budget."""
-        return decide_retry(failed, self.retry_budgets.budget(key), self.source)
+        """Decide on a retry, which is spent from the budget of a key."""
+        return decide_retry(failed, self.retry_budgets.budget(key), self.random_source)
 
     def find_account(self, api_key: str) -> ClientAccount | Refusal:
-        """Return the client account that a key names."""
+        """Return the client account that an API key belongs to."""
         account = self.configuration.document.account_for_key(api_key)
         if account is None:
             return self.refuse(ErrorKind.UNAUTHENTICATED, "the API key is not known")
@@ -127,12 +127,12 @@
     def open_explanation(
         self, request_id: str, account: ClientAccount, subject: str
     ) -> Explanation:
-        """Begin the explanation of a request under the configuration in force."""
+        """Create the explanation of a request under the current configuration."""
         offset = self.configuration.offset
         return self.explanations.open(request_id, account.name, subject, offset)
 
     def add_bill(self, bill: Bill, explanation: Explanation) -> Bill:
-        """Keep a bill until it is handed on."""
+        """Add a final bill, to be passed to the billing."""
         explanation.bill = bill
         self.bills.append(bill)
         return bill
--- a/poplarrun/router/_engine_dispatcher.py
+++ b/poplarrun/router/_engine_dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of one request to an endpoint: admission, choice, retries."""
+"""Sends requests to model engines: admission, endpoint choice and retries."""
 
 import random
 from dataclasses import dataclass, field
@@ -25,31 +25,34 @@
     decide_retry,
 )
 
-# Below this load an endpoint starts a request at once, so that the time to its
-# first token shows the prefill alone.
-QUIET_LOAD = 0.7
-# An endpoint where a request waited longer has a queue: its place is not passed on.
-MOST_WAIT_OF_FREED_S = 0.1
-# So long a request waits for a place among the host's own engines.
-OWN_PLACE_WAIT_S = 0.1
-# A pool that was full while requests waited here for this long counts as full for
-# some time: reports are late.
-BACKLOG_S = 0.05
-FULL_FOR_S = 2.0
+# Load up to which an endpoint starts a request at once, so that the time to the first token
+# measures the prefill only.
+MAX_UNQUEUED_LOAD = 0.7
+# An endpoint where a request waited longer than this, in seconds, has a queue of its own, so
+# that a slot that becomes free there is not given to a queued request.
+MAX_FREED_SLOT_WAIT_S = 0.1
+# Time for which a request waits for a slot at the host's own engines, in seconds.
+OWN_ENGINES_TIMEOUT_S = 0.1
+# A pool that is full while the queue here takes longer than this, in seconds, counts as full
+# for some time, because load reports are late.
+MIN_FULL_BACKLOG_S = 0.05
+FULL_POOL_TTL_S = 2.0
 
 
 @dataclass
 class EngineRequest:
-    """A request on its way to a model engine.
+    """A request to a model engine, and the state of its attempts.
 
     Attributes
     ----------
     start_by : float
-        Latest time of the first token that its class accepts.
+        Latest time of the first token that meets the latency target of its class.
     deadline : float
-        When the whole answer must be there.
+        Latest time of the complete answer.
     may_have_started : bool
-        Whether any attempt may have begun at an endpoint.
+        Whether any attempt may have started at an endpoint.
+    queue_wait_s : float
+        Estimated time that the latest attempt waited at its endpoint.
     """
 
     request_id: str
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatched:
-    """The request goes to an endpoint, after a pause."""
+    """The request is sent to an endpoint, after a delay."""
 
     choice: Choice
     delay_s: float = 0.0
@@ -80,212 +83,220 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEndpoint:
-    """Nothing holds the version."""
+    """No endpoint has the version loaded."""
 
 
 StartOutcome = Dispatched | Queued | Refused | NoEndpoint
 
 
 class EngineDispatcher:
-    """Admission, endpoint choice and retries of one host; called on the loop only."""
+    """Admission, endpoint choice and retries of one host; used on the event loop only."""
 
     def __init__(
         self,
         endpoints: EndpointTable,
         max_queued: int,
-        source: random.Random,
+        random_source: random.Random,
         budgets: RetryBudgets | None = None,
     ) -> None:
         self._endpoints = endpoints
         self._admissions = Admissions(max_queued)
         self._budgets = budgets or RetryBudgets()
-        self._random = source
-        self._held: dict[str, EngineRequest] = {}
-        self._freed: list[tuple[VersionId, str]] = []
+        self._random = random_source
+        self._queued: dict[str, EngineRequest] = {}
+        self._freed_slots: list[tuple[VersionId, str]] = []
         self._full_until: dict[VersionId, float] = {}
 
-    def start(self, job: EngineRequest, now: float) -> StartOutcome:
-        """Start a new request, hold it, or refuse it."""
-        job.arrived_at = now
-        choice = self._choose(job, now)
+    def start(self, request: EngineRequest, now: float) -> StartOutcome:
+        """Start, queue or refuse a new request."""
+        request.arrived_at = now
+        choice = self._choose(request, now)
         if choice is None:
             return NoEndpoint()
-        start_by = job.start_by - choice.prefill_s
-        ticket = Ticket(job.request_id, job.account, job.importance, 1.0, start_by)
-        verdict = self._admissions.for_version(job.version).offer(
-            ticket, self._load(job, choice), now
+        start_by = request.start_by - choice.prefill_s
+        ticket = Ticket(request.request_id, request.account, request.importance, 1.0, start_by)
+        verdict = self._admissions.for_version(request.version).offer(
+            ticket, self._load(request, choice), now
         )
         match verdict:
             case Admitted():
-                self._budgets.budget(_budget_key(job)).record_attempt()
-                return self._send(job, choice, now)
+                self._budgets.budget(_budget_key(request)).record_attempt()
+                return self._send(request, choice, now)
             case Queued():
-                self._held[job.request_id] = job
+                self._queued[request.request_id] = request
         return verdict
 
     def release_queued(self, now: float) -> list[tuple[EngineRequest, Dispatched | Refused]]:
-        """Start the held requests that have a place now, and end those that are late."""
-        released = self._pass_on_places(now)
+        """Start the queued requests that have a slot now, and refuse those that are late."""
+        released = self._reuse_freed_slots(now)
         for _, admission in self._admissions.list_active():
             for ticket, refused in admission.refuse_expired(now):
-                released.append((self._held.pop(ticket.request_id), refused))
-            released += self._release_from(admission, now)
+                released.append((self._queued.pop(ticket.request_id), refused))
+            released += self._release_version(admission, now)
         return released
 
     def handle_failed_attempt(
         self,
-        job: EngineRequest,
+        request: EngineRequest,
         reason: str,
         may_have_started: bool,
         now: float,
         is_stream: bool = False,
     ) -> RetryAfter | GiveUp:
-        """Close a broken attempt and decide whether another may follow."""
-        assert job.choice is not None
-        name = job.choice.endpoint.name
-        self._admissions.for_version(job.version).in_flight -= 1
+        """Close a failed attempt and decide whether to retry."""
+        assert request.choice is not None
+        name = request.choice.endpoint.name
+        self._admissions.for_version(request.version).in_flight -= 1
         self._endpoints.note_ended(name, now)
         self._endpoints.note_failure(name, now, reason)
-        job.may_have_started = job.may_have_started or may_have_started
-        # Generating twice is harmless: the caller gets one answer and one bill.
+        request.may_have_started = request.may_have_started or may_have_started
+        # Generating twice is harmless, since the caller gets one answer and one bill.
         failed = FailedAttempt(
-            job.attempts,
-            job.may_have_started,
+            request.attempts,
+            request.may_have_started,
             is_idempotent=True,
-            time_left_s=job.deadline - now,
+            time_left_s=request.deadline - now,
             max_attempts=MAX_STREAM_ATTEMPTS if is_stream else MAX_ATTEMPTS,
         )
-        return decide_retry(failed, self._budgets.budget(_budget_key(job)), self._random)
+        return decide_retry(failed, self._budgets.budget(_budget_key(request)), self._random)
 
     def retry_elsewhere(
-        self, job: EngineRequest, now: float, delay_s: float
+        self, request: EngineRequest, now: float, delay_s: float
     ) -> Dispatched | NoEndpoint:
-        """Send a request again, to an endpoint that was not tried if there is one."""
-        choice = self._choose(job, now)
-        return NoEndpoint() if choice is None else self._send(job, choice, now, delay_s)
-
-    def resend(self, job: EngineRequest, now: float, delay_s: float) -> Dispatched:
-        """Send the rest of a broken stream to the same engine."""
-        assert job.choice is not None
-        return self._send(job, job.choice, now, delay_s)
-
-    def undo_send(self, job: EngineRequest, now: float) -> None:
-        """Undo an attempt that was chosen and not sent."""
-        assert job.choice is not None
-        job.attempts -= 1
-        self._admissions.for_version(job.version).in_flight -= 1
-        self._endpoints.note_ended(job.choice.endpoint.name, now)
-
-    def record_first_token(self, job: EngineRequest, now: float) -> None:
-        """Learn from the time to a first token."""
-        choice = job.choice
+        """Send a request again, preferably to an endpoint that was not tried yet."""
+        choice = self._choose(request, now)
+        return NoEndpoint() if choice is None else self._send(request, choice, now, delay_s)
+
+    def resend(self, request: EngineRequest, now: float, delay_s: float) -> Dispatched:
+        """Resume a broken stream on the same engine."""
+        assert request.choice is not None
+        return self._send(request, request.choice, now, delay_s)
+
+    def undo_send(self, request: EngineRequest, now: float) -> None:
+        """Undo an attempt that was chosen but not sent."""
+        assert request.choice is not None
+        request.attempts -= 1
+        self._admissions.for_version(request.version).in_flight -= 1
+        self._endpoints.note_ended(request.choice.endpoint.name, now)
+
+    def record_first_token(self, request: EngineRequest, now: float) -> None:
+        """Record the time to the first token."""
+        choice = request.choice
         if choice is None:
             return
-        job.first_token_at = now
-        speed = self._pool(job).speed
-        taken_s = now - job.sent_at
-        if choice.load < QUIET_LOAD:
-            speed.record_first_token(choice.uncached_tokens, taken_s)
-        wait_s = max(0.0, taken_s - speed.estimate_first_token_s(choice.uncached_tokens))
-        job.queue_wait_s = wait_s
-        self._admissions.for_version(job.version).record_wait(
-            wait_s, now, self._pool(job).mean_load()
+        request.first_token_at = now
+        speed = self._pool(request).speed
+        first_token_s = now - request.sent_at
+        if choice.load < MAX_UNQUEUED_LOAD:
+            speed.record_first_token(choice.uncached_tokens, first_token_s)
+        queue_wait_s = max(
+            0.0, first_token_s - speed.estimate_first_token_s(choice.uncached_tokens)
+        )
+        request.queue_wait_s = queue_wait_s
+        self._admissions.for_version(request.version).record_wait(
+            queue_wait_s, now, self._pool(request).mean_load()
         )
 
-    def end(self, job: EngineRequest, is_complete: bool, now: float) -> None:
-        """Close a request that its engine answered."""
-        if job.choice is None:
+    def end(self, request: EngineRequest, is_complete: bool, now: float) -> None:
+        """Close a request whose answer ended."""
+        if request.choice is None:
             return
-        name = job.choice.endpoint.name
-        self._admissions.for_version(job.version).in_flight -= 1
+        name = request.choice.endpoint.name
+        self._admissions.for_version(request.version).in_flight -= 1
         self._endpoints.note_ended(name, now)
-        if self._held and job.queue_wait_s <= MOST_WAIT_OF_FREED_S:
-            self._freed.append((job.version, name))
+        if self._queued and request.queue_wait_s <= MAX_FREED_SLOT_WAIT_S:
+            self._freed_slots.append((request.version, name))
         if is_complete:
             self._endpoints.note_success(name)
-            # From the first token on: the time in the endpoint's queue is not work.
-            self._pool(job).speed.record_request_time(
-                now - (job.first_token_at or now) + job.choice.prefill_s
+            # Measured from the first token, to exclude the time in the endpoint's queue.
+            self._pool(request).speed.record_request_time(
+                now - (request.first_token_at or now) + request.choice.prefill_s
             )
 
-    def _pass_on_places(self, now: float) -> list[tuple[EngineRequest, Dispatched | Refused]]:
-        """Give the place of each request that just ended to the next in the queue.
+    def _reuse_freed_slots(self, now: float) -> list[tuple[EngineRequest, Dispatched | Refused]]:
+        """Give the slot of each request that just ended to the next queued request.
 
-        That a place is free there is known now; a load report tells it a
-        second later. Without this, urgent work waits behind reports.
+        The next load report shows the free slot only a second later. Without this, urgent
+        requests would wait behind less important ones.
         """
         released: list[tuple[EngineRequest, Dispatched | Refused]] = []
-        for version, name in self._freed:
+        for version, name in self._freed_slots:
             admission = self._admissions.for_version(version)
             endpoint = self._endpoints.find(name)
             if endpoint is None or not len(admission.queue):
                 continue
-            job = self._held[admission.queue.peek().request_id]
-            choice = self._endpoints.choose_this(version, endpoint, now, job.demand)
+            request = self._queued[admission.queue.peek().request_id]
+            choice = self._endpoints.choose_this(version, endpoint, now, request.demand)
             if choice is not None and admission.can_accept(
-                self._load(job, choice), job.importance, now
+                self._load(request, choice), request.importance, now
             ):
-                released.append(self._start_held(admission, choice, now))
-        self._freed.clear()
+                released.append(self._start_queued(admission, choice, now))
+        self._freed_slots.clear()
         return released
 
-    def _start_held(
+    def _start_queued(
         self, admission: Admission, choice: Choice, now: float
     ) -> tuple[EngineRequest, Dispatched | Refused]:
-        job = self._held.pop(admission.start_next(now).request_id)
-        self._budgets.budget(_budget_key(job)).record_attempt()
-        return job, self._send(job, choice, now)
+        request = self._queued.pop(admission.start_next(now).request_id)
+        self._budgets.budget(_budget_key(request)).record_attempt()
+        return request, self._send(request, choice, now)
 
-    def _release_from(
+    def _release_version(
         self, admission: Admission, now: float
     ) -> list[tuple[EngineRequest, Dispatched | Refused]]:
         released: list[tuple[EngineRequest, Dispatched | Refused]] = []
         while len(admission.queue):
-            job = self._held[admission.queue.peek().request_id]
-            choice = self._choose(job, now)
+            request = self._queued[admission.queue.peek().request_id]
+            choice = self._choose(request, now)
             if choice is None or not admission.has_room(
-                self._load(job, choice), job.importance, now
+                self._load(request, choice), request.importance, now
             ):
                 break
-            released.append(self._start_held(admission, choice, now))
+            released.append(self._start_queued(admission, choice, now))
         return released
 
-    def _choose(self, job: EngineRequest, now: float) -> Choice | None:
-        # Only for a moment: a host that gets more than its engines can do must use
-        # the others' places to the full.
-        is_new = now - job.arrived_at < OWN_PLACE_WAIT_S
-        may_wait = job.attempts == 0 and (is_new or self._is_full(job.version, now))
-        return self._endpoints.choose_engine(job.version, now, job.tried, job.demand, may_wait)
+    def _choose(self, request: EngineRequest, now: float) -> Choice | None:
+        # Only for a moment: a host that gets more requests than its engines have capacity for
+        # must use the slots of other hosts' engines.
+        is_recent = now - request.arrived_at < OWN_ENGINES_TIMEOUT_S
+        may_wait_for_own = request.attempts == 0 and (
+            is_recent or self._is_full(request.version, now)
+        )
+        return self._endpoints.choose_engine(
+            request.version, now, request.tried, request.demand, may_wait_for_own
+        )
 
     def _is_full(self, version: VersionId, now: float) -> bool:
-        """Tell whether requests wait here and nearly no place is free anywhere.
+        """Return whether requests are queued here and hardly any slot of the pool is free.
 
-        Hosts that then trust late reports of each other's engines all fill the
-        same few, and the most important work waits there behind what runs.
+        If hosts then relied on late reports of each other's engines, all would fill the same
+        few, and the most important requests would wait there behind those that run.
         """
         pool = self._endpoints.pool(version)
-        waits = self._admissions.for_version(version).estimate_backlog_s(now) > BACKLOG_S
-        if waits and pool.is_full_of_others(now):
-            self._full_until[version] = now + FULL_FOR_S
+        has_backlog = (
+            self._admissions.for_version(version).estimate_backlog_s(now) > MIN_FULL_BACKLOG_S
+        )
+        if has_backlog and pool.is_full_of_others(now):
+            self._full_until[version] = now + FULL_POOL_TTL_S
         return now < self._full_until.get(version, 0.0)
 
     def _send(
-        self, job: EngineRequest, choice: Choice, now: float, delay_s: float = 0.0
+        self, request: EngineRequest, choice: Choice, now: float, delay_s: float = 0.0
     ) -> Dispatched:
-        job.choice = choice
-        job.attempts += 1
-        job.sent_at = now + delay_s
-        job.tried.add(choice.endpoint.name)
-        self._admissions.for_version(job.version).in_flight += 1
-        self._endpoints.note_sent(choice.endpoint.name, now, job.version, job.demand.blocks)
+        request.choice = choice
+        request.attempts += 1
+        request.sent_at = now + delay_s
+        request.tried.add(choice.endpoint.name)
+        self._admissions.for_version(request.version).in_flight += 1
+        self._endpoints.note_sent(choice.endpoint.name, now, request.version, request.demand.blocks)
         return Dispatched(choice, delay_s)
 
-    def _load(self, job: EngineRequest, choice: Choice) -> CandidateLoad:
-        return CandidateLoad(choice.load_after, self._pool(job).mean_load())
+    def _load(self, request: EngineRequest, choice: Choice) -> CandidateLoad:
+        return CandidateLoad(choice.load_after, self._pool(request).mean_load())
 
-    def _pool(self, job: EngineRequest) -> Pool:
-        return self._endpoints.pool(job.version)
+    def _pool(self, request: EngineRequest) -> Pool:
+        return self._endpoints.pool(request.version)
 
 
-def _budget_key(job: EngineRequest) -> BudgetKey:
-    return BudgetKey(job.work_class, str(job.version))
+def _budget_key(request: EngineRequest) -> BudgetKey:
+    return BudgetKey(request.work_class, str(request.version))
--- a/poplarrun/router/_messages.py
+++ b/poplarrun/router/_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which a worker thread asks the loop for decisions."""
+"""The messages that worker threads send to the event loop, and its answers."""
 
 from dataclasses import dataclass, field
 
@@ -15,19 +15,19 @@
     Attributes
     ----------
     api_key : str
-        The caller's key, as presented.
+        The caller's API key, unchecked.
     class_name : str
-        The class of work asked for.
+        The requested class of work.
     prompt_tokens, max_tokens : int
-        Length of the prompt, bound of the answer, in tokens.
+        Length of the prompt and maximum length of the answer, in tokens.
     session : str, optional
         The caller's session id.
     blocks : tuple of int
-        Hashes of the prompt's beginnings, by which engines cache them.
+        Hashes of the prompt's prefixes, by which engines cache them.
     session_token : str, optional
-        The token that an earlier answer of the session carried.
+        The token that was returned with an earlier answer of the session.
     pinned_version : VersionId, optional
-        The version that the session keeps; None while it has none.
+        The version of the session; None if it has none yet.
     """
 
     request_id: str
@@ -43,32 +43,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatGrant:
-    """Where the worker must send the request now.
+    """The endpoint to which the worker must send the request now.
 
     Attributes
     ----------
     endpoint : str
         Name of the model engine.
     address : str
-        Its ``ip:port``.
+        The engine's ``ip:port``.
     version : VersionId
-        What must generate the answer.
+        The version that must generate the answer.
     priority : int
-        Engine priority.
+        Priority of the request at the engine.
     timeout_s : float
         Seconds left until the request's deadline.
     delay_s : float
-        Seconds to wait before sending: the pause before a retry.
+        Seconds to wait before sending, for a retry.
     is_sampled : bool
-        Whether the worker keeps the answer's text, to be rated.
+        Whether the worker returns the answer's text in ``EndChat``, to be rated.
     must_buffer : bool
-        Whether the worker holds the whole answer back and asks ``JudgeChat``.
+        Whether the worker buffers the whole answer and then sends ``JudgeChat``.
     session_token : str, optional
-        What the caller may carry to keep the session's version.
+        Token by which the caller's next requests keep the session's version.
     is_resume : bool
-        Whether the stream goes on where it broke; else it begins anew.
+        Whether the stream continues where it broke; otherwise it starts from the beginning.
     cache_from : str
-        Address of the engine whose KV cache of the stream must be moved first.
+        Address of the engine from which the stream's KV cache must be moved first, or empty.
     """
 
     endpoint: str
@@ -93,18 +93,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """An attempt broke; the worker asks where to go on.
+    """An attempt failed; the worker asks where to continue.
 
     Attributes
     ----------
     may_have_started : bool
-        Whether the endpoint may have begun.
+        Whether the endpoint may have started.
     reason : str
-        Counter label.
+        Metric label.
     position : int
-        Tokens that the worker has, in order.
+        Number of tokens received without a gap.
     is_delivered : bool
-        Whether the caller was given them already.
+        Whether these tokens were already sent to the caller.
     """
 
     request_id: str
@@ -116,12 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A call of a plain service broke; the worker asks where to go on.
+    """A call of a plain service failed; the worker asks where to continue.
 
     Attributes
     ----------
     reason : str
-        Counter label.
+        Metric label.
     """
 
     request_id: str
@@ -135,11 +135,11 @@
     Attributes
     ----------
     usage : Usage
-        What was used; for a cut-off answer, what was generated.
+        Tokens of the prompt and of the answer, or of the generated part of it.
     is_complete : bool
         Whether the caller got the whole answer.
     text : str, optional
-        The answer, when it is to be rated.
+        The text of the answer, if it is to be rated.
     """
 
     request_id: str
@@ -150,14 +150,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JudgeChat:
-    """The first answer of a cascade is whole; the worker asks whether to give it out."""
+    """The first answer of a cascade is complete; the worker asks whether to return it."""
 
     end: EndChat
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerAccepted:
-    """The held answer goes to the caller."""
+    """The buffered answer is returned to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,7 +167,7 @@
     Attributes
     ----------
     idempotency_key : str, optional
-        The caller's key; a non-idempotent operation runs once under it.
+        The caller's key, under which a non-idempotent operation runs only once.
     fingerprint : bytes
         Digest of the operation and its body.
     """
@@ -182,12 +182,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationGrant:
-    """Where the worker must send the call now.
+    """The endpoint to which the worker must send the call now.
 
     Attributes
     ----------
     delay_s : float
-        Seconds to wait before sending: the pause before a retry.
+        Seconds to wait before sending, for a retry.
     """
 
     endpoint: str
@@ -198,14 +198,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """The answer that an earlier call with the same key got."""
+    """The recorded answer of an earlier call with the same key."""
 
     ran: Ran
 
 
 @dataclass(frozen=True, slots=True)
 class SendOperation:
-    """The call's connection is open; the loop decides and hands the bytes over."""
+    """The call's connection is open; the event loop checks the call and sends its bytes."""
 
     request_id: str
     call: PreparedCall
@@ -213,12 +213,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResult:
-    """The loop let the call go.
+    """The result of sending a call.
 
     Attributes
     ----------
     is_sent : bool
-        Whether a byte went out.
+        Whether any byte was sent.
     timeout_s : float
         Seconds left until the call's deadline.
     """
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FindOperation:
-    """Asks what is known of the operation under an idempotency key."""
+    """Asks for the known outcome of the operation under an idempotency key."""
 
     api_key: str
     key: str
@@ -245,7 +245,7 @@
 
 @dataclass
 class Explanation:
-    """Why a request went where it went, for ``poplarrun explain``."""
+    """How a request was routed and why, for ``poplarrun explain``."""
 
     request_id: str
     account: str
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -1,4 +1,4 @@
-"""The decisions about one call of a plain service."""
+"""Routes calls of plain services, and runs non-idempotent ones once per idempotency key."""
 
 import time
 from collections.abc import Callable
@@ -41,9 +41,9 @@
     SendResult,
 )
 
-FIRST_ERROR_STATUS = 400
-# Clocks of callers and hosts may differ by so much together.
-CLOCK_MARGIN_S = 120.0
+MIN_ERROR_STATUS = 400
+# Greatest sum of the clock skews of a caller and a host, in seconds.
+CLOCK_SKEW_GRACE_S = 120.0
 
 
 @dataclass
@@ -57,28 +57,28 @@
     attempts: int = 0
     tried: set[str] = field(default_factory=set)
     claim: Claim | None = None
-    holds_key_here: bool = False
+    holds_local_key: bool = False
     is_sent: bool = False
     sent_at: float = 0.0
 
     @property
     def claimed_key(self) -> str | None:
-        """The key that the call must hold before it is sent; None when it needs none."""
+        """The key that must be claimed before the call is sent; None if it needs none."""
         return None if self.operation.idempotent else self.request.idempotency_key
 
 
 class OperationRouter:
-    """Decides about calls of plain services; called on the loop only.
+    """Decides about calls of plain services; used on the event loop only.
 
     Parameters
     ----------
     context : RouterContext
-        What all decisions share.
+        The state that all routing decisions share.
 
     Attributes
     ----------
     claims : ClaimKeeper, optional
-        The host's claims; without it no keyed operation is taken.
+        The host's claims; if None, operations with a key are refused.
     """
 
     def __init__(self, context: RouterContext) -> None:
@@ -88,83 +88,83 @@
         self._now: Callable[[], float] = time.monotonic
         self._wall: Callable[[], float] = time.time
         self._calls: dict[str, _Call] = {}
-        self._keys_here: set[tuple[str, str]] = set()
+        self._local_keys: set[tuple[str, str]] = set()
 
-    def use_times(self, now: Callable[[], float], wall: Callable[[], float]) -> None:
-        """Take the times, monotonic and since the epoch, from elsewhere."""
+    def use_clocks(self, now: Callable[[], float], wall_clock: Callable[[], float]) -> None:
+        """Set the monotonic clock and the clock of seconds since the epoch."""
         self._now = now
-        self._wall = wall
+        self._wall = wall_clock
 
     @property
     def open_requests(self) -> int:
-        """Calls that have begun and not ended."""
+        """Number of calls in progress."""
         return len(self._calls)
 
     @property
     def open_request_ids(self) -> list[str]:
-        """Ids of those requests."""
+        """Ids of the calls in progress."""
         return list(self._calls)
 
     async def begin(self, request: BeginOperation) -> OperationGrant | Replay | Refusal:
-        """Decide on the endpoint of a call, after its key is claimed where it needs that."""
+        """Decide on the endpoint of a call, after claiming its key if it needs one."""
         call = self._admit(request)
         if isinstance(call, Refusal):
             return call
         self._calls[request.request_id] = call
         if call.claimed_key is None:
-            return self._choose(call)
+            return self._grant(call)
         refusal = self._check_key(call, call.claimed_key)
         if refusal is not None:
             return self._refuse(call, refusal[0], refusal[1])
         return await self._claim_and_choose(call, call.claimed_key)
 
     def send(self, message: SendOperation) -> SendResult | Refusal:
-        """Check that the call may still run, and hand its bytes over, in one step.
+        """Check that the call may still run, and send its bytes, in one step.
 
-        Nothing runs between the check and the hand-over. A process that was
-        stopped for a minute finds its deadline passed here, and sends nothing
-        that its caller, or a repeat at another host, was told about meanwhile.
+        Nothing runs between the check and the send. A process that was suspended for a
+        minute detects here that the deadline has passed, and doesn't send a call whose caller,
+        or whose retry at another host, was already given an answer.
         """
         call = self._calls[message.request_id]
-        left_s = call.deadline - self._now()
-        if left_s <= 0:
-            self._note_attempt_end(call)
+        time_left_s = call.deadline - self._now()
+        if time_left_s <= 0:
+            self._record_attempt_end(call)
             kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else ErrorKind.DEADLINE_UNREACHABLE
             return self._refuse(call, kind, "the deadline passed before it was sent")
         call.is_sent = message.call.hand_over() or call.is_sent
-        return SendResult(call.is_sent, left_s)
+        return SendResult(call.is_sent, time_left_s)
 
     def retry(self, failure: CallFailed) -> OperationGrant | Refusal:
-        """Decide where a broken call goes on: only if it is safe to send it again."""
+        """Decide on a retry of a failed call, if sending it again is safe."""
         call = self._calls[failure.request_id]
         now = self._now()
-        self._note_attempt_end(call)
+        self._record_attempt_end(call)
         self._context.endpoints.note_failure(call.endpoint, now, failure.reason)
         call.explanation.attempts.append(f"{call.endpoint}: {failure.reason}")
-        failed = FailedAttempt(
+        failed_attempt = FailedAttempt(
             call.attempts, call.is_sent, call.operation.idempotent, call.deadline - now
         )
-        match self._context.decide_retry(failed, _budget_key(call)):
+        match self._context.decide_retry(failed_attempt, _budget_key(call)):
             case GiveUp(kind=ErrorKind.OPERATION_OUTCOME_UNKNOWN):
-                return self._give_up_sent(call, failure.reason)
+                return self._refuse_sent(call, failure.reason)
             case GiveUp(kind=kind, reason=reason):
                 kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else kind
                 return self._refuse(call, kind, f"{reason} ({failure.reason})")
             case RetryAfter(delay_s=delay_s):
                 self._context.metrics.count_retry(failure.reason)
-                return self._choose(call, delay_s)
+                return self._grant(call, delay_s)
 
     def end(self, end: EndOperation) -> Bill | None:
-        """Close a call that was answered: keep its answer, and make its bill."""
-        call = self._close(end.request_id)
-        self._note_attempt_end(call, self._now() - call.sent_at)
+        """Close a call that was answered: record its answer and create its bill."""
+        call = self._remove(end.request_id)
+        self._record_attempt_end(call, self._now() - call.sent_at)
         self._context.endpoints.note_success(call.endpoint)
-        ran = end.answer.status < FIRST_ERROR_STATUS
-        call.explanation.outcome = "ran" if ran else "refused by the service"
+        is_success = end.answer.status < MIN_ERROR_STATUS
+        call.explanation.outcome = "ran" if is_success else "refused by the service"
         if call.claim is not None and self.claims is not None:
             answer = make_ran(end.answer.status, end.answer.content_type, end.answer.body)
             self.claims.settle(_outcome(call.claim, answer))
-        if not ran:
+        if not is_success:
             return None
         bill = Bill(
             end.request_id, call.account.name, call.explanation.subject, call.operation.price
@@ -174,17 +174,17 @@
         return self._context.add_bill(bill, call.explanation)
 
     async def find(self, message: FindOperation) -> KnownOutcome | Refusal:
-        """Tell what is known of the operation under a key."""
+        """Return the known outcome of the operation under a key."""
         account = self._context.find_account(message.api_key)
         if isinstance(account, Refusal):
             return account
-        if (account.name, message.key) in self._keys_here:
+        if (account.name, message.key) in self._local_keys:
             return KnownOutcome(OutcomeKind.IN_PROGRESS)
         if self.claims is None or self.peers is None:
             return self._context.refuse(ErrorKind.NOT_READY, "this host keeps no claims yet")
-        found = await self.claims.find(account.name, message.key)
-        outcome = read_outcome(self._newest(found.holding), self.peers.live())
-        if not found.is_current and outcome.kind is OutcomeKind.NOT_RUN:
+        lookup = await self.claims.find(account.name, message.key)
+        outcome = read_outcome(self._apply_local_outcome(lookup.holding), self.peers.live())
+        if not lookup.is_current and outcome.kind is OutcomeKind.NOT_RUN:
             text = "the log does not answer, so nothing can be told of this key; ask again"
             return self._context.refuse(ErrorKind.OPERATION_OUTCOME_UNKNOWN, text)
         return outcome
@@ -208,50 +208,53 @@
             message = f"{request.service}/{request.operation} needs an Idempotency-Key header"
             return self._context.refuse(ErrorKind.IDEMPOTENCY_KEY_REQUIRED, message)
         if operation.idempotent or not request.idempotency_key:
-            limited = self._check_room(account, request.service)
-            if limited is not None:
-                return limited
+            limit_refusal = self._check_capacity(account, request.service)
+            if limit_refusal is not None:
+                return limit_refusal
         subject = f"{request.service}/{request.operation}"
         explanation = self._context.open_explanation(request.request_id, account, subject)
         deadline = self._now() + operation.timeout_s
         return _Call(request, account, operation, explanation, deadline)
 
-    def _check_room(self, account: ClientAccount, service: str) -> Refusal | None:
-        """Count a call against its account's limits, or refuse it, or for want of room."""
-        limited = self._context.check_limits(account, 0, self._now(), is_stream=False)
+    def _check_capacity(self, account: ClientAccount, service: str) -> Refusal | None:
+        """Count a call against its account's limits; refuse it if these or the service are full."""
+        limit_refusal = self._context.check_limits(account, 0, self._now(), is_stream=False)
         limit = self._context.service_limit(service)
-        if limited is not None or limit.has_room():
-            return limited
+        if limit_refusal is not None or limit.has_room():
+            return limit_refusal
         message = f"{limit.in_flight} calls of {service} run, as many as it can take"
         return self._context.refuse(
             ErrorKind.QUEUE_FULL, message, retry_after_s=limit.retry_after_s()
         )
 
-    def _choose_within_limits(self, call: _Call) -> OperationGrant | Refusal:
-        """Go on with a call that won its key, if its account's limits let it through.
+    def _choose_endpoint_within_limits(self, call: _Call) -> OperationGrant | Refusal:
+        """Choose an endpoint for a call that claimed its key, if its account's limits allow it.
 
-        A repeat asks what became of the first call: were it refused as "not
-        run" before its key is looked up, the caller would take that for the
-        answer and send the work again under another key. So limits come only
-        when the log shows that nothing else stands under the key.
+        A repeated call asks for the outcome of the first one. If it were refused as "not run"
+        before its key is looked up, the caller would take that for the outcome and send the
+        operation again under another key. So the limits are checked only once the log shows
+        that there is no other claim for the key.
         """
-        limited = self._check_room(call.account, call.request.service)
-        if limited is None:
-            return self._choose(call)
-        self._release(call, limited.kind)
-        return limited
+        limit_refusal = self._check_capacity(call.account, call.request.service)
+        if limit_refusal is None:
+            return self._grant(call)
+        self._release_call(call, limit_refusal.kind)
+        return limit_refusal
 
     def _check_key(self, call: _Call, key: str) -> tuple[ErrorKind, str] | None:
-        if (call.account.name, key) in self._keys_here:
+        if (call.account.name, key) in self._local_keys:
             return ErrorKind.OPERATION_IN_PROGRESS, "a call with this key is under way here"
-        made_at = issued_at(key)
-        if made_at is not None and made_at < self._wall() - RETENTION_S + CLOCK_MARGIN_S:
+        issued_at_s = issued_at(key)
+        if (
+            issued_at_s is not None
+            and issued_at_s < self._wall() - RETENTION_S + CLOCK_SKEW_GRACE_S
+        ):
             return (
                 ErrorKind.IDEMPOTENCY_KEY_EXPIRED,
-                f"the key is older than {RETENTION_S - CLOCK_MARGIN_S:.0f} s; "
+                f"the key is older than {RETENTION_S - CLOCK_SKEW_GRACE_S:.0f} s; "
                 "look up by other means whether it ran",
             )
-        if made_at is not None and made_at > self._wall() + CLOCK_MARGIN_S:
+        if issued_at_s is not None and issued_at_s > self._wall() + CLOCK_SKEW_GRACE_S:
             return ErrorKind.INVALID_REQUEST, "the key's time lies in the future"
         if self.claims is None or self.claims.is_full:
             return ErrorKind.LOG_UNAVAILABLE, "the log has taken no outcomes for long"
@@ -272,21 +275,23 @@
             me.incarnation,
             self._wall(),
         )
-        self._keys_here.add((claim.account, claim.key))
-        call.holds_key_here = True
+        self._local_keys.add((claim.account, claim.key))
+        call.holds_local_key = True
         call.claim = claim
         began = self._now()
         verdict = await self.claims.claim(claim, call.deadline - began)
         self._context.metrics.record_latency("claim", request.service, self._now() - began)
         match verdict:
             case Won():
-                return self._choose_within_limits(call)
+                return self._choose_endpoint_within_limits(call)
             case Taken(holding=holding):
                 call.claim = None
                 if holding is not None and holding.claim.fingerprint != claim.fingerprint:
                     message = "the key was used for another operation or body"
                     return self._refuse(call, ErrorKind.IDEMPOTENCY_KEY_REUSED, message)
-                return self._repeat(call, read_outcome(self._newest(holding), self.peers.live()))
+                return self._answer_repeat(
+                    call, read_outcome(self._apply_local_outcome(holding), self.peers.live())
+                )
             case Unsettled(may_stand=may_stand):
                 if not may_stand:
                     call.claim = None
@@ -295,8 +300,8 @@
             case Voided():
                 raise AssertionError("only this host voids its claims, and did not yet")
 
-    def _newest(self, holding: Holding | None) -> Holding | None:
-        """Add an outcome of this host that the log doesn't hold yet."""
+    def _apply_local_outcome(self, holding: Holding | None) -> Holding | None:
+        """Add an outcome recorded at this host that isn't in the log yet."""
         if holding is None or self.claims is None:
             return holding
         match self.claims.settled_here(holding.claim.id):
@@ -304,11 +309,11 @@
                 return Holding(holding.claim, result)
         return holding
 
-    def _repeat(self, call: _Call, outcome: KnownOutcome) -> Replay | Refusal:
-        """Answer a call whose key another claim holds."""
+    def _answer_repeat(self, call: _Call, outcome: KnownOutcome) -> Replay | Refusal:
+        """Answer a call whose key is held by another claim."""
         match outcome:
             case KnownOutcome(kind=OutcomeKind.RAN, ran=ran) if ran is not None:
-                self._close(call.request.request_id)
+                self._remove(call.request.request_id)
                 call.explanation.outcome = "answered with the recorded outcome"
                 self._context.metrics.count_event("operation_replayed")
                 return Replay(ran)
@@ -318,12 +323,12 @@
         message = "a call with this key is under way; ask again"
         return self._refuse(call, ErrorKind.OPERATION_IN_PROGRESS, message)
 
-    def _note_attempt_end(self, call: _Call, took_s: float | None = None) -> None:
+    def _record_attempt_end(self, call: _Call, duration_s: float | None = None) -> None:
         now = self._now()
-        self._context.service_limit(call.request.service).record_end(took_s, now)
+        self._context.service_limit(call.request.service).record_end(duration_s, now)
         self._context.endpoints.note_ended(call.endpoint, now)
 
-    def _choose(self, call: _Call, delay_s: float = 0.0) -> OperationGrant | Refusal:
+    def _grant(self, call: _Call, delay_s: float = 0.0) -> OperationGrant | Refusal:
         name_and_address = self._choose_endpoint(call)
         if name_and_address is None:
             kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else ErrorKind.NO_ENDPOINT
@@ -344,8 +349,8 @@
         )
         return None if endpoint is None else (endpoint.name, endpoint.address)
 
-    def _give_up_sent(self, call: _Call, reason: str) -> Refusal:
-        """End a call that went out and got no answer: it is never sent again."""
+    def _refuse_sent(self, call: _Call, reason: str) -> Refusal:
+        """End a call that was sent and not answered; it must not be sent again."""
         if call.claim is not None and self.claims is not None:
             self.claims.settle(_outcome(call.claim, Lost(reason)))
         message = "the call went out and no answer came; it may have run"
@@ -353,20 +358,20 @@
 
     def _refuse(self, call: _Call, kind: ErrorKind, message: str) -> Refusal:
         """Close a call with a refusal, and count it."""
-        self._release(call, kind)
+        self._release_call(call, kind)
         return self._context.refuse(kind, message)
 
-    def _release(self, call: _Call, kind: ErrorKind) -> None:
-        """Close a call, and release a claim under which nothing was sent."""
-        self._close(call.request.request_id)
+    def _release_call(self, call: _Call, kind: ErrorKind) -> None:
+        """Close a call, and release its claim if nothing was sent under it."""
+        self._remove(call.request.request_id)
         if call.claim is not None and not call.is_sent and self.claims is not None:
             self.claims.settle(Release(call.claim.id, call.claim.account, call.claim.key))
         call.explanation.outcome = f"refused: {kind.value}"
 
-    def _close(self, request_id: str) -> _Call:
+    def _remove(self, request_id: str) -> _Call:
         call = self._calls.pop(request_id)
-        if call.holds_key_here and call.claimed_key is not None:
-            self._keys_here.discard((call.account.name, call.claimed_key))
+        if call.holds_local_key and call.claimed_key is not None:
+            self._local_keys.discard((call.account.name, call.claimed_key))
         return call
 
 
--- a/poplarrun/router/_router.py
+++ b/poplarrun/router/_router.py
@@ -1,4 +1,4 @@
-"""The router: one object on the loop that decides about every request."""
+"""The router: decides about all requests of an entry host."""
 
 import random
 
@@ -11,20 +11,20 @@
 from poplarrun.router._sessions import SessionRouter
 from poplarrun.versions import Versions
 
-DEFAULT_QUEUE_BOUND = 64
+DEFAULT_MAX_QUEUED = 64
 
 
 class Router:
-    """Decides about requests; called on the loop only, never blocks.
+    """Decides about requests; used on the event loop only, never blocks.
 
     Attributes
     ----------
     context : RouterContext
-        What the decisions share, the configuration in force among it.
+        The state that all decisions share, including the current configuration.
     chats : ChatRouter
         Decides about chat requests.
     sessions : SessionRouter
-        Finds the version that a chat request's session keeps.
+        Looks up the pinned version of a chat request's session.
     operations : OperationRouter
         Decides about calls of plain services.
     """
@@ -34,21 +34,23 @@
         endpoints: EndpointTable,
         metrics: Metrics,
         versions: Versions,
-        max_queued: int = DEFAULT_QUEUE_BOUND,
-        source: random.Random | None = None,
+        max_queued: int = DEFAULT_MAX_QUEUED,
+        random_source: random.Random | None = None,
     ) -> None:
-        source = source or random.Random()
-        self.context = RouterContext(endpoints, metrics, versions, source=source)
-        dispatch = EngineDispatcher(endpoints, max_queued, source, self.context.retry_budgets)
-        self.chats = ChatRouter(self.context, dispatch)
+        random_source = random_source or random.Random()
+        self.context = RouterContext(endpoints, metrics, versions, random_source=random_source)
+        dispatcher = EngineDispatcher(
+            endpoints, max_queued, random_source, self.context.retry_budgets
+        )
+        self.chats = ChatRouter(self.context, dispatcher)
         self.sessions = SessionRouter(self.context)
         self.operations = OperationRouter(self.context)
 
     @property
     def open_requests(self) -> int:
-        """Requests that have begun and not ended."""
+        """Number of requests in progress."""
         return self.chats.open_requests + self.operations.open_requests
 
     def open_request_ids(self) -> list[str]:
-        """Return the ids of the requests that have begun and not ended."""
+        """Return the ids of the requests in progress."""
         return [*self.chats.open_request_ids, *self.operations.open_request_ids]
--- a/poplarrun/router/_sessions.py
+++ b/poplarrun/router/_sessions.py
@@ -1,4 +1,4 @@
-"""The step before a chat request: which version its session keeps."""
+"""Looks up the pinned version of a chat request's session."""
 
 from dataclasses import replace
 
@@ -18,14 +18,14 @@
 
 
 class SessionRouter:
-    """Finds the version of a request's session; called on the loop only."""
+    """Looks up the version of a request's session; used on the event loop only."""
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
         self.sessions: SessionKeeper | None = None
 
     async def pin(self, request: BeginChat) -> BeginChat | Refusal:
-        """Return the request with its session's version; unchanged without a session."""
+        """Return the request with its session's version, or unchanged without a session."""
         account = self._context.configuration.document.account_for_key(request.api_key)
         if account is None or (request.session is None and request.session_token is None):
             return request
@@ -35,11 +35,11 @@
         return await self._pin_by_id(request, request.session, account)
 
     def _pin_by_token(self, request: BeginChat, account: ClientAccount) -> BeginChat | Refusal:
-        read = read_session(account, request.session_token or "")
-        if read is None or request.session not in (None, read[0]):
+        session_and_version = read_session(account, request.session_token or "")
+        if session_and_version is None or request.session not in (None, session_and_version[0]):
             message = "the session token was not given out to this client account and session"
             return self._context.refuse(ErrorKind.SESSION_TOKEN_INVALID, message, TOKEN_PARAM)
-        session, version = read
+        session, version = session_and_version
         return replace(request, session=session, pinned_version=version)
 
     async def _pin_by_id(
@@ -47,20 +47,21 @@
     ) -> BeginChat:
         if self.sessions is None:
             return request
-        pinned = await self.sessions.find(account.name, session)
-        if pinned is None:
+        pinned_version = await self.sessions.find(account.name, session)
+        if pinned_version is None:
             proposal = self._propose(request)
             if proposal is None:
                 return request
-            pinned = await self.sessions.open(account.name, session, proposal.version.id)
-        token = sign_session(account, session, pinned)
-        return replace(request, pinned_version=pinned, session_token=token)
+            pinned_version = await self.sessions.open(account.name, session, proposal.version.id)
+        token = sign_session(account, session, pinned_version)
+        return replace(request, pinned_version=pinned_version, session_token=token)
 
     def _propose(self, request: BeginChat) -> Chosen | None:
-        """Choose for a new session; None where the request will be refused anyway.
+        """Choose the version of a new session; None if the request will be refused anyway.
 
-        The homes were asked meanwhile: the account as it was before would open the
-        session on a version that operators took from it, and no request could use it.
+        The account is looked up again, since the owners of the session were asked meanwhile.
+        An outdated account might open the session on a version that operators no longer allow
+        it, and none of its requests could use that.
         """
         document = self._context.configuration.document
         account = document.account_for_key(request.api_key)
--- a/poplarrun/server/_connections.py
+++ b/poplarrun/server/_connections.py
@@ -30,7 +30,7 @@
         self._holds = False
 
     @contextmanager
-    def holding(self) -> Iterator[None]:
+    def buffering(self) -> Iterator[None]:
         """Hold back what is written meanwhile, to go out with what is written next."""
         self._holds = True
         try:
@@ -38,7 +38,7 @@
         finally:
             self._holds = False
 
-    def send_held(self) -> None:
+    def flush_buffered(self) -> None:
         """Send what is still held back."""
         if self._held:
             self.write(b"")
@@ -90,14 +90,14 @@
         if not isinstance(writer, SocketWriter):
             super().send_headers()
             return
-        with writer.holding():
+        with writer.buffering():
             super().send_headers()
 
     def respond(self) -> None:
         """Answer the request; a head that nothing followed goes out here."""
         super().respond()
         if isinstance(self.conn.wfile, SocketWriter):
-            self.conn.wfile.send_held()
+            self.conn.wfile.flush_buffered()
 
 
 class Connection(server.HTTPConnection):
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -223,7 +223,7 @@
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
         self._tasks.repeat(self._version_tasks.follow_rollouts, self._version_tasks.wait)
-        self._tasks.repeat(self._release_held, self._held.pause)
+        self._tasks.repeat(self._release_held, self._held.wait)
 
     def handle(self, message: object) -> Any:
         """Answer one message; the only entry for other threads.
@@ -305,7 +305,7 @@
         answer = self.router.chats.begin(message, now)
         if not isinstance(answer, Queued):
             return answer
-        started = self._held.hold(message.request_id)
+        started = self._held.add(message.request_id)
         # It may have taken the place of a less important one, which hears now.
         self._answer_held()
         return started
@@ -323,7 +323,7 @@
         return await answer if asyncio.iscoroutine(answer) else answer
 
     def _answer_held(self) -> None:
-        self._held.answer(self.router.chats.release_queued(self._clock()))
+        self._held.resolve(self.router.chats.release_queued(self._clock()))
 
     async def _release_held(self) -> None:
         if len(self._held):
--- a/poplarrun/server/_queued_chats.py
+++ b/poplarrun/server/_queued_chats.py
@@ -22,19 +22,19 @@
     def __len__(self) -> int:
         return len(self._answers)
 
-    def hold(self, request_id: str) -> Coroutine[Any, Any, Started]:
+    def add(self, request_id: str) -> Coroutine[Any, Any, Started]:
         """Hold a request from now on; what is returned ends when ``answer`` names it."""
         answer: asyncio.Future[Started] = asyncio.get_running_loop().create_future()
         self._answers[request_id] = answer
         self._holds_some.set()
         return _wait_for(answer)
 
-    def answer(self, released: list[tuple[str, Started]]) -> None:
+    def resolve(self, released: list[tuple[str, Started]]) -> None:
         """Let the workers of released requests go on."""
         for request_id, started in released:
             self._answers.pop(request_id).set_result(started)
 
-    async def pause(self) -> None:
+    async def wait(self) -> None:
         """Wait before the next look at the queue; for ever while nothing is held."""
         if not self._answers:
             self._holds_some.clear()
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -84,8 +84,8 @@
         super().__init__(settings, log, EngineList(), SimEngine(place.engines), now, peers)
         # A run repeats only if every source has a seed.
         source = random.Random(f"router {peers.me}")
-        self.router.context.source = source
-        self.router.chats._dispatch._random = source
+        self.router.context.random_source = source
+        self.router.chats._dispatcher._random = source
         self.router.context.versions.choose = _Choices(self, source).choose
         self._note_grants()
         self._note_openings(peers)
@@ -102,7 +102,7 @@
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
         self._tasks.repeat(self._version_tasks.follow_rollouts, partial(asyncio.sleep, 2.0))
-        self._tasks.repeat(self._release_held, self._held.pause)
+        self._tasks.repeat(self._release_held, self._held.wait)
 
     async def answer(self, message: Any) -> Any:
         """Answer one message of a worker."""
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -82,10 +82,10 @@
         # Without a source of its own the router's back-off would differ from run to run.
         source = random.Random(f"router {name}{incarnation}")
         versions = Versions(me, random.Random(name))
-        self._router = Router(endpoints, Metrics(), versions, source=source)
+        self._router = Router(endpoints, Metrics(), versions, random_source=source)
         self._router.context.configuration = Configuration(offset=0, document=_document())
         self._operations = self._router.operations
-        self._operations.use_times(now, wall)
+        self._operations.use_clocks(now, wall)
         self.claims = ClaimKeeper(self.peers, log, now, wall)
         self.billing = BillKeeper(self.peers, log, now, wall)
         self._operations.claims = self.claims
