--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -15,7 +15,7 @@
 from bench.figures import Figure, Slope, report
 from poplarrun import peers
 from poplarrun.logs import BoundedHandler, events, write_event
-from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_share
+from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_totals
 from poplarrun.placement import Listing, Placement
 from poplarrun.platform import decode_catalogue
 from poplarrun.routing import Pace, PromptPart, Repeat, Request, Route, Service, Share, Work
@@ -73,11 +73,11 @@
 def measure_digest(count: int) -> tuple[float, float]:
     """Return size and encoding time of a digest that names so many endpoints."""
     loads = [EndpointLoad(listing.lifetime, 9, 420) for listing in make_listings(count)]
-    share = encode_share(peers.Share(1, loads))
+    share = encode_totals(peers.ActivityTotals(1, loads))
     digest = Digest("10.1.0.40:7340", "a", 1e5, 1e5, 0.2, 43, 0.4, 0.3, scope=Scope.HOST)
 
     def encode(_: int) -> bytes:
-        told = msgspec.structs.replace(digest, share=encode_share(peers.Share(1, loads)))
+        told = msgspec.structs.replace(digest, share=encode_totals(peers.ActivityTotals(1, loads)))
         return encode_message(told)
 
     size = len(encode_message(msgspec.structs.replace(digest, share=share)))
--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -10,7 +10,7 @@
 from poplarrun.clients import HostKind, HostState, ListedHost
 from poplarrun.contracts import ClientAccount, Limits
 from poplarrun.endpoints import LOAD_TOPIC, Demand, EndpointTable, LoadSharing, PrefixIndex
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.limits import LIMITS_TOPIC, AccountLimits
 
 
@@ -76,23 +76,23 @@
 def measure_load_summary(engines: int) -> float:
     """Return the bytes of a host's load summary when it polls so many engines."""
     table = make_table(engines * 7)
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     peers = MemoryPeers(network, Peer("a1", "a", "r", 0))
     for zone in "bcdefg":
         MemoryPeers(network, Peer(f"{zone}1", zone, "r", 0))
     LoadSharing(peers, table).publish(2.0)
-    return float(len(peers.gathered(LOAD_TOPIC).own_zone["a1"]))
+    return float(len(peers.collect_summaries(LOAD_TOPIC).own_zone["a1"]))
 
 
 def measure_limits_summary(accounts: int) -> float:
     """Return the bytes of a host's shares of so many accounts, each with four limits."""
     limits = Limits(100.0, 1e6, 100, 50.0)
     found = [ClientAccount(f"account-{n}", (), (), (), (), limits) for n in range(accounts)]
-    peers = MemoryPeers(MemoryNetwork(), Peer("a1", "a", "r", 0))
+    peers = MemoryPeers(MemoryPeerNetwork(), Peer("a1", "a", "r", 0))
     part = AccountLimits(peers)
     for now in range(1, 20):
         part.close_round(found, float(now), float(now))
-    return float(len(peers.gathered(LIMITS_TOPIC).own_zone["a1"]))
+    return float(len(peers.collect_summaries(LIMITS_TOPIC).own_zone["a1"]))
 
 
 def cost_slopes() -> tuple[list[Figure], list[Slope]]:
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -29,7 +29,7 @@
 )
 from poplarrun.claims._shard import Shard
 from poplarrun.clients import HttpLog
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer, Peers
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer, Peers
 from poplarrun.log import (
     PART_BYTES,
     AppendOutcome,
@@ -114,7 +114,7 @@
 
 
 def make_peers(count: int) -> list[CountingPeers]:
-    network = MemoryNetwork(LINK_S)
+    network = MemoryPeerNetwork(LINK_S)
     return [
         CountingPeers(network, Peer(f"h{n:03d}", f"zone-{n % ZONES}", "local", 1))
         for n in range(count)
--- a/bench/version_sessions.py
+++ b/bench/version_sessions.py
@@ -7,7 +7,7 @@
 from bench.figures import Figure
 from bench.version_decisions import time_calls
 from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.versions import SessionKeeper, read_session, sign_session
 
 ACCOUNT = ClientAccount("shop", (hash_key("a"),), ("*",), ("*",), (), Limits())
@@ -38,7 +38,7 @@
 
 async def lose_homes(lost: int) -> float:
     """Return the share of sessions that the other hosts find after some died."""
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     peers = [MemoryPeers(network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)]
     keepers = [SessionKeeper(member) for member in peers]
     for number in range(SESSIONS):
--- a/examples/library/keepers.py
+++ b/examples/library/keepers.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.leases import LeaseKeeper
 from poplarrun.log import MemoryLog, ThreadedLog, call_here
 from poplarrun.metrics import Metrics
@@ -38,7 +38,7 @@
 
 async def run() -> None:
     """Let a1 take the job and die, and b1 take it over."""
-    clock, log, network = Clock(), MemoryLog(), MemoryNetwork()
+    clock, log, network = Clock(), MemoryLog(), MemoryPeerNetwork()
     keepers = {}
     for name in ("a1", "b1"):
         peers = MemoryPeers(network, Peer(name, name[0], "local", 1))
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -16,7 +16,7 @@
     stream_of,
 )
 from poplarrun.billing._totals import BillTotals
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.log import MemoryLog, PartCollector, ThreadedLog, call_here, split_snapshot
 from standins.histories import run_virtual
 
@@ -34,7 +34,7 @@
 
 def make_writer(context, name="a1"):
     """Return a writer that sees no other host, so every shard is its own."""
-    peers = MemoryPeers(MemoryNetwork(), Peer(name, "a", "r", 1))
+    peers = MemoryPeers(MemoryPeerNetwork(), Peer(name, "a", "r", 1))
     return BillSnapshots(
         peers, ThreadedLog(context.bill_log, call_here), lambda: context.wall, lambda: context.wall
     )
@@ -182,7 +182,7 @@
 async def bill_while_finishers_die(context, names):
     """Cut off a host with a bill, then all that finish it, in the order of their names."""
     loop = asyncio.get_running_loop()
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     log = ThreadedLog(context.bill_log, call_here)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
     keepers = [BillKeeper(p, log, loop.time, loop.time) for p in peers]
--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -14,7 +14,7 @@
     read_statement,
     stream_of,
 )
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.log import MemoryLog, ThreadedLog, call_here
 from standins.histories import run_virtual
 
@@ -72,7 +72,7 @@
 async def bill_through_outage(context, per_s, seconds):
     loop = asyncio.get_running_loop()
     log = ThreadedLog(context.bill_log, call_here)
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     keepers = [
         BillKeeper(MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time)
         for zone in "abc"
@@ -131,7 +131,7 @@
 def step_full_host(context):
     async def fill():
         loop = asyncio.get_running_loop()
-        network = MemoryNetwork()
+        network = MemoryPeerNetwork()
         log = ThreadedLog(MemoryLog(), call_here)
         keepers = [
             BillKeeper(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -12,7 +12,7 @@
 )
 from poplarrun.dispatch import ConnectionBroke, Knowledge, Send, first_patience_s, gap_patience_s
 from poplarrun.errors import NotRun, Refusal, answer_for
-from poplarrun.gateway._host import RETRY_PART, part_of_allowance
+from poplarrun.gateway._host import RETRY_FRACTION, host_retry_allowance
 from poplarrun.placement import Seat
 from poplarrun.routing import Account, Repeat, Work
 
@@ -133,8 +133,8 @@
         knowledge = Knowledge(None)
         knowledge.take(make_catalogue())
         knowledge.confirm(100.0)
-        share = part_of_allowance(allowance, count - 1)
-        context.dispatches.append(make_dispatch(knowledge, 4, RETRY_PART * ratio, share))
+        share = host_retry_allowance(allowance, count - 1)
+        context.dispatches.append(make_dispatch(knowledge, 4, RETRY_FRACTION * ratio, share))
 
 
 @when("each of them gets {count:d} requests that fail at each endpoint")
@@ -148,7 +148,7 @@
 
 @then("{hosts:d} hosts together take no more than {allowance:d} besides")
 def step_more_hosts(context, hosts, allowance):
-    assert hosts * part_of_allowance(allowance, hosts - 1) <= allowance
+    assert hosts * host_retry_allowance(allowance, hosts - 1) <= allowance
 
 
 @then("all second sends together are at most {ratio:f} times {count:d} and {allowance:d}")
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -6,7 +6,7 @@
 from poplarrun.clients import BLOCK_WORDS, CacheEvent, HostKind, HostState, ListedHost, LoadReport
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import Demand, EndpointTable, LoadSharing, assign_endpoints
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 
 VERSION = VersionId("larch", "1")
 
@@ -198,7 +198,7 @@
 
 @given('load sharing between hosts "{hosts}" with engines "{engines}" in zone "{zone}"')
 def step_sharing(context, hosts, engines, zone):
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     context.engines = names_of(engines)
     context.sharing, context.tables = {}, {}
     for host in names_of(hosts):
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -9,14 +9,14 @@
 from behave import given, then, when
 
 from poplarrun.dispatch import Knowledge
-from poplarrun.gateway._capacity import find_capacity
-from poplarrun.gateway._events import EventCutter
+from poplarrun.gateway._capacity import compute_capacity
+from poplarrun.gateway._event_stream import EventParser
 from poplarrun.gateway._followers import DocumentFollower
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.logs import EVENTS, BoundedHandler
 from poplarrun.metrics import Metrics
-from poplarrun.peers import DOCUMENTS, Digest, PeerBook
-from poplarrun.platform import Newest, NoAnswer, Records, decode_listing
+from poplarrun.peers import DOCUMENTS, Digest, PeerTable
+from poplarrun.platform import LatestRecords, NoAnswer, Records, decode_listing
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import CallerServer, ConnectionPool
 from standins._ports import free_port
@@ -26,31 +26,31 @@
 
 @given("a book of peers")
 def step_book(context):
-    context.book = PeerBook("10.0.0.1:1", "a")
+    context.peer_table = PeerTable("10.0.0.1:1", "a")
 
 
 @when("a digest arrives at {at:f} that echoes {stamp:f} after {held:f} s, facts {age:f} s old")
 def step_digest(context, at, stamp, held, age):
     context.digest = Digest("10.0.0.2:1", "b", 5000.0, stamp, held, 3, age, 0.1)
-    assert context.book.take(context.digest, at)
+    assert context.peer_table.apply_digest(context.digest, at)
 
 
 @then("the facts are proven true at {at:f}")
 def step_proven(context, at):
-    assert abs(context.book.proven_at(context.digest, context.digest.age_s) - at) < 1e-6
+    assert abs(context.peer_table.proven_at(context.digest, context.digest.age_s) - at) < 1e-6
 
 
 @when('"{one}" and "{two}" are read at {at:f} and "{heard}" is heard at {then_at:f}')
 def step_addresses(context, one, two, at, heard, then_at):
     context.addresses = (one, two)
     for address in context.addresses:
-        context.book.name(address, at)
-    assert context.book.take(Digest(heard, "b", 1.0, 0.0, 0.0, 1, 0.0, 0.0), then_at)
+        context.peer_table.add_address(address, at)
+    assert context.peer_table.apply_digest(Digest(heard, "b", 1.0, 0.0, 0.0, 1, 0.0, 0.0), then_at)
 
 
 @then('at {at:f} only "{address}" is gone')
 def step_gone(context, at, address):
-    gone = [known for known in context.addresses if context.book.is_gone(known, at, 120.0)]
+    gone = [known for known in context.addresses if context.peer_table.is_gone(known, at, 120.0)]
     assert gone == [address], gone
 
 
@@ -58,13 +58,13 @@
 def step_heard_last(context, zone, first, second):
     for number, at in enumerate((first, second)):
         digest = Digest(f"10.0.0.{number + 2}:1", zone, at, 0.0, 0.0, 1, 0.0, 0.0)
-        assert context.book.take(digest, at)
+        assert context.peer_table.apply_digest(digest, at)
 
 
 @then('"{zone}" is not silent at {before:f}, and silent at {after:f}')
 def step_silent(context, zone, before, after):
-    assert zone not in context.book.silent_zones(before)
-    assert zone in context.book.silent_zones(after)
+    assert zone not in context.peer_table.silent_zones(before)
+    assert zone in context.peer_table.silent_zones(after)
 
 
 @then(
@@ -103,8 +103,8 @@
         self.waits = []
         self._silent = silent
 
-    async def newest(self, topic):
-        return Newest((), 0, 0.0)
+    async def read_latest(self, topic):
+        return LatestRecords((), 0, 0.0)
 
     async def read(self, topic, offset, wait_s=0.0):
         self.waits.append(wait_s)
@@ -116,7 +116,7 @@
 @given("a follower of documents whose store says nothing to the second read")
 def step_follower(context):
     context.store = SilentOnce(silent=2)
-    reading = SharedReading(DOCUMENTS, PeerBook("10.0.0.1:1", "a"))
+    reading = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
         context.store, Knowledge(), Rollouts(), lambda: None, reading
     )
@@ -140,7 +140,7 @@
 @given("a stream of {count:d} events in pieces of {least:d} to {most:d} bytes")
 def step_pieces(context, count, least, most):
     whole = b"".join(f"id: {n}\ndata: text {n}\n\n".encode() for n in range(1, count + 1))
-    source, cutter = random.Random(5), EventCutter()
+    source, cutter = random.Random(5), EventParser()
     context.events, context.whole = [], whole
     while whole:
         size = source.randint(least, most)
@@ -157,7 +157,7 @@
 
 @given("a host of {memory:d} MB and {sockets:d} sockets")
 def step_size(context, memory, sockets):
-    context.capacity = find_capacity(memory, sockets)
+    context.capacity = compute_capacity(memory, sockets)
     context.sockets = sockets
 
 
@@ -171,8 +171,8 @@
     "one of {memory:d} MB and {few:d} sockets has {fewer:d}, and one of {small:d} MB has {less:d}"
 )
 def step_small(context, memory, few, fewer, small, less):
-    assert abs(find_capacity(memory, few).requests - fewer) <= 10
-    assert abs(find_capacity(small, context.sockets).requests - less) <= 10
+    assert abs(compute_capacity(memory, few).requests - fewer) <= 10
+    assert abs(compute_capacity(small, context.sockets).requests - less) <= 10
 
 
 @given("a log whose reader has stopped")
--- a/features/steps/host_list.py
+++ b/features/steps/host_list.py
@@ -1,7 +1,7 @@
 from behave import given, then
 
 from poplarrun.clients import HostKind, HostState, ListedHost
-from poplarrun.hosts import ListedHosts, ZoneView
+from poplarrun.hosts import ListedHostTable, ZoneView
 
 
 def entry(name, state):
@@ -11,7 +11,7 @@
 @given('a host that the list names "{listed}" and membership sees "{seen}"')
 def step_host(context, listed, seen):
     context.list_counts = []
-    context.listed = ListedHosts(context.list_counts.append)
+    context.listed = ListedHostTable(context.list_counts.append)
     hosts = {"a1": "alive"} | ({} if seen == "never" else {"a2": seen})
     context.view = ZoneView("a", False, 0.0, hosts)
     match listed:
@@ -22,12 +22,12 @@
         case _:
             lines = [entry("a1", "live"), entry("a2", listed)]
     for second in range(120):
-        context.listed.take(lines, [context.view], float(second))
+        context.listed.apply_list(lines, [context.view], float(second))
 
 
 @then('status shows it as "{shown}"')
 def step_shown(context, shown):
-    states = context.listed.show(context.view)
+    states = context.listed.describe_zone(context.view)
     assert states["a1"] == "alive"
     assert states.get("a2", "nothing") == shown, states
 
--- a/features/steps/hosts.py
+++ b/features/steps/hosts.py
@@ -48,7 +48,7 @@
 
 @given("{zones:d} zones of {hosts:d} hosts, links that lose {loss:f} and vary by {jitter:f} s")
 def step_lossy_fleet(context, zones, hosts, loss, jitter):
-    faults = LinkFaults(jitter_s=jitter, loss=loss)
+    faults = LinkFaults(jitter_s=jitter, loss_probability=loss)
     start_fleet(context, zones, hosts, faults)
     context.virtual.network.zone_faults = faults
 
@@ -226,13 +226,18 @@
 @then("within {seconds:d} s every host has heard number {number:d}")
 def step_heard_number(context, seconds, number):
     peers = context.virtual.peers.values()
-    wait(context, lambda: all(p.announced("topic") == number for p in peers), "heard", seconds)
+    wait(
+        context,
+        lambda: all(p.highest_announced("topic") == number for p in peers),
+        "heard",
+        seconds,
+    )
 
 
 @then('within {seconds:d} s host "{host}" holds loads "{own}" and zones "{others}"')
 def step_loads(context, seconds, host, own, others):
     def shown():
-        gathered = context.virtual.peers[host].gathered(LOAD)
+        gathered = context.virtual.peers[host].collect_summaries(LOAD)
         return (text(gathered.own_zone), text(gathered.other_zones)) == (own, others)
 
     def text(payloads):
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -4,18 +4,18 @@
 import msgspec
 from behave import given, then, when
 
-from poplarrun.gateway import _peering, _sharing
+from poplarrun.gateway import _activity, _peering
 from poplarrun.logs import events
 from poplarrun.peers import (
+    ActivityTotals,
     Digest,
     EndpointLoad,
+    ReceivedTotals,
     Roster,
     Scope,
-    Share,
-    Shares,
-    Told,
+    TotalsTable,
     encode_message,
-    encode_share,
+    encode_totals,
 )
 from standins.peer_fleet import PeerFleet
 from standins.rollout_fleet import virtual_clock
@@ -135,7 +135,9 @@
     near = [host.address for host in fleet.hosts if host.zone == zone]
     fleet.cut_apart(near[::2], near[1::2])
     run(context, asyncio.sleep(seconds))
-    parts = {len(host.peering.book.near(context.loop.time())) for host in fleet.hosts[::3]}
+    parts = {
+        len(host.peering.peer_table.zone_peers(context.loop.time())) for host in fleet.hosts[::3]
+    }
     assert max(parts) < len(near) - 1, parts
     fleet.heal()
 
@@ -205,19 +207,19 @@
 
 @given("a host that told 2 requests at an endpoint, and later 5")
 def step_told(context):
-    context.shares = Shares()
+    context.shares = TotalsTable()
     for stamp, requests in zip(OWN_STAMPS, (2, 5), strict=True):
         context.shares.note_own(make_share(1, requests), stamp)
 
 
 def make_share(hosts, requests):
-    return Share(hosts, [EndpointLoad(ENDPOINT, requests, 0)])
+    return ActivityTotals(hosts, [EndpointLoad(ENDPOINT, requests, 0)])
 
 
 @when("a relay tells a sum of {requests:d} in which the {place:w} of these counts")
 def step_relay_sum(context, requests, place):
     stamp = OWN_STAMPS[("first", "second").index(place)]
-    told = Told(make_share(20, requests), 100.0 + stamp)
+    told = ReceivedTotals(make_share(20, requests), 100.0 + stamp)
     context.shares.take_fleet("relay", told, stamp)
 
 
@@ -226,8 +228,8 @@
     " and a newer one a sum of {few:d} over {fewer:d}"
 )
 def step_two_sums(context, many, hosts, few, fewer):
-    context.shares.take_fleet("relay", Told(make_share(hosts, many), 101.0), 0.0)
-    context.shares.take_fleet("newer", Told(make_share(fewer, few), 101.5), 0.0)
+    context.shares.take_fleet("relay", ReceivedTotals(make_share(hosts, many), 101.0), 0.0)
+    context.shares.take_fleet("newer", ReceivedTotals(make_share(fewer, few), 101.5), 0.0)
 
 
 @then("the others run {requests:d} requests there")
@@ -245,7 +247,7 @@
 
 
 def make_bad(kind, peer, now):
-    share = encode_share(make_share(1, 50))
+    share = encode_totals(make_share(1, 50))
     digest = Digest(peer, "b", now + 1.0, 0.0, 0.0, 9, 0.0, 0.0, scope=Scope.ZONE, share=share)
     match kind:
         case "cut in the middle":
@@ -271,7 +273,7 @@
         message = make_bad(kind, peer.address, context.fleet.now)
         with (
             patch.object(_peering, "write_event", written),
-            patch.object(_sharing, "write_event", written),
+            patch.object(_activity, "write_event", written),
         ):
             host.peering._receive(message)
 
@@ -282,7 +284,7 @@
 def step_unchanged(context, outcome):
     async def look():
         host, peer = context.fleet.hosts
-        alive = [each.address for each in host.peering.book.alive(context.fleet.now)]
+        alive = [each.address for each in host.peering.peer_table.alive_peers(context.fleet.now)]
         return alive == [peer.address], context.fleet.find_wrong_sums()
 
     is_same, sums = run(context, look())
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -6,7 +6,7 @@
 from features.steps.endpoints import names_of
 from poplarrun.contracts import ClientAccount, Limits
 from poplarrun.errors import ErrorKind
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.limits import (
     LOAN_MESSAGE,
     ROUND_S,
@@ -76,7 +76,7 @@
 
     def __init__(self, limits, zones="aa"):
         self.zones = zones
-        self.network = MemoryNetwork()
+        self.network = MemoryPeerNetwork()
         self.account = ClientAccount("acme", (), ("*",), ("*",), (), limits)
         self.hosts = {}
         for number in (1, 2):
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -4,14 +4,14 @@
 from behave import given, then, when
 
 from features.steps.gateway_world import ENGINES, make_listing, make_placement, make_work
-from poplarrun.peers import Digest, PeerBook
+from poplarrun.peers import Digest, PeerTable
 from poplarrun.placement import Directory, DirectoryEvent, Placement
 from poplarrun.routing import PromptPart
 
 
 def hear(context, zone, at):
     digest = Digest(f"10.0.0.{zone}:1", zone, at, 0.0, 0.0, 1, 0.0, 0.0)
-    assert context.book.take(digest, at)
+    assert context.peer_table.apply_digest(digest, at)
 
 
 @given('a directory that lists "{name}" with record {sequence:d}')
@@ -102,7 +102,7 @@
 def step_zones(context, zones, others):
     context.placement = Placement("a", random.Random(3))
     context.placement.update([make_listing(f"in-{z}", zone=z) for z in zones.split(", ")])
-    context.book = PeerBook("10.0.0.1:1", "a")
+    context.peer_table = PeerTable("10.0.0.1:1", "a")
     for zone in others.split(", "):
         hear(context, zone, 100.0)
 
@@ -110,7 +110,7 @@
 @when('the hosts of "{silent}" fall silent and those of "{heard}" don\'t')
 def step_fall_silent(context, silent, heard):
     hear(context, heard, 105.0)
-    context.placement.silent_zones = context.book.silent_zones(105.0)
+    context.placement.silent_zones = context.peer_table.silent_zones(105.0)
     assert context.placement.silent_zones == {silent}
 
 
--- a/features/steps/refused_bills.py
+++ b/features/steps/refused_bills.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from poplarrun.billing import Bill, BillKeeper, read_statement
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.log import MemoryLog, ThreadedLog, call_here
 from standins.histories import run_virtual
 
@@ -18,7 +18,7 @@
 
 async def refuse_and_cut(log):
     loop = asyncio.get_running_loop()
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     keepers = {
         name: BillKeeper(
             MemoryPeers(network, Peer(name, zone, "r", 1)),
--- a/features/steps/security.py
+++ b/features/steps/security.py
@@ -315,7 +315,7 @@
 def read_members(data):
     me = Peer("a1", "a", "local", 1)
     zones = Zones(me, ItemStore(), lambda _: None, random.Random(1), 0.0)
-    zones.note_item(Item(zone_key("b", "~members"), 1, 0, data), 0.0)
+    zones.apply_item(Item(zone_key("b", "~members"), 1, 0, data), 0.0)
 
 
 BORDERS = {
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -4,10 +4,10 @@
 from behave import given, then, when
 
 from poplarrun.gateway._followers import ListingFollower
-from poplarrun.gateway._reading import SharedReading
-from poplarrun.peers import ENDPOINTS, Digest, PeerBook, ReadDuty
+from poplarrun.gateway._reading import SharedReader
+from poplarrun.peers import ENDPOINTS, Digest, PeerTable, ReadSchedule
 from poplarrun.placement import Directory, Placement
-from poplarrun.platform import Entry, Newest, Records
+from poplarrun.platform import Entry, LatestRecords, Records
 from poplarrun.transport import boot_time
 
 NOW = 100.0
@@ -15,12 +15,12 @@
 
 def make_book(number, count, now):
     """Return the book of one host that has just heard all others of its zone."""
-    book = PeerBook(f"10.0.0.{number}:1", "a")
+    peer_table = PeerTable(f"10.0.0.{number}:1", "a")
     for other in range(count):
         if other != number:
             digest = Digest(f"10.0.0.{other}:1", "a", 1.0, 0.0, 0.0, 1, 0.0, 0.0)
-            assert book.take(digest, now)
-    return book
+            assert peer_table.apply_digest(digest, now)
+    return peer_table
 
 
 @given("{count:d} hosts of a zone that hear each other")
@@ -30,24 +30,24 @@
 
 @given("{count:d} hosts of a zone of which one hears nobody")
 def step_alone(context, count):
-    context.books = [PeerBook("10.0.0.0:1", "a")]
+    context.books = [PeerTable("10.0.0.0:1", "a")]
 
 
-def wait_of(book, true_at, topic=ENDPOINTS):
-    return ReadDuty().wait_s(book.near_place(topic, NOW), true_at, NOW)
+def wait_of(peer_table, true_at, topic=ENDPOINTS):
+    return ReadSchedule().wait_s(peer_table.reader_rank(topic, NOW), true_at, NOW)
 
 
 @then('one of them reads "{topic}" now')
 def step_one_reads(context, topic):
-    waits = [wait_of(book, NOW, topic) for book in context.books]
+    waits = [wait_of(peer_table, NOW, topic) for peer_table in context.books]
     assert waits.count(0.0) == 1, waits
 
 
 @then("the others wait {least:f} to {most:f} s after the last proof")
 def step_others_wait(context, least, most):
-    waits = sorted(wait_of(book, NOW) for book in context.books)
+    waits = sorted(wait_of(peer_table, NOW) for peer_table in context.books)
     assert all(least - 1e-6 <= wait_s <= most + 1e-6 for wait_s in waits[1:]), waits
-    assert not any(wait_of(book, NOW - most - 1e-6) for book in context.books)
+    assert not any(wait_of(peer_table, NOW - most - 1e-6) for peer_table in context.books)
 
 
 @then('that one reads "{topic}" now')
@@ -57,8 +57,10 @@
 
 @when("a peer has more than one of the others")
 def step_ahead(context):
-    book = next(book for book in context.books if wait_of(book, NOW))
-    context.duty, context.place = ReadDuty(is_behind=True), book.near_place(ENDPOINTS, NOW)
+    peer_table = next(peer_table for peer_table in context.books if wait_of(peer_table, NOW))
+    context.duty, context.place = ReadSchedule(is_behind=True), peer_table.reader_rank(
+        ENDPOINTS, NOW
+    )
 
 
 @then("that one reads at once, and only once")
@@ -74,8 +76,8 @@
     def __init__(self):
         self.reads = []
 
-    async def newest(self, topic):
-        return Newest(make_entries(0, 1), 2, 0.0)
+    async def read_latest(self, topic):
+        return LatestRecords(make_entries(0, 1), 2, 0.0)
 
     async def read(self, topic, offset, wait_s=0.0):
         self.reads.append(offset)
@@ -106,14 +108,14 @@
 def step_follower(context):
     # Another host of its zone comes first in line.
     numbers = range(20)
-    book = next(
-        book
-        for book in (make_book(number, 20, boot_time()) for number in numbers)
-        if book.near_place(ENDPOINTS, boot_time()) > 0
+    peer_table = next(
+        peer_table
+        for peer_table in (make_book(number, 20, boot_time()) for number in numbers)
+        if peer_table.reader_rank(ENDPOINTS, boot_time()) > 0
     )
     context.store, context.directory = OneList(), Directory()
     context.follower = ListingFollower(
-        context.store, context.directory, Placement("a", None), SharedReading(ENDPOINTS, book)
+        context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
     assert asyncio.run(context.follower._step())
     context.follower.true_at = 0.0
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -4,9 +4,9 @@
 
 from behave import given, then, when
 
-from poplarrun.gateway import _steward as steward_module
-from poplarrun.gateway._steward import Steward
-from poplarrun.platform import Appended, Entry, Moved, Newest, NoAnswer, encode_status
+from poplarrun.gateway import _rollout_controller as steward_module
+from poplarrun.gateway._rollout_controller import RolloutController
+from poplarrun.platform import Appended, Entry, LatestRecords, Moved, NoAnswer, encode_status
 from poplarrun.rollouts import Rollouts, Tally
 from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus
 
@@ -21,9 +21,9 @@
         self.is_answer_lost = False
         self.comes_before = None
 
-    async def newest(self, topic):
+    async def read_latest(self, topic):
         entries = [Entry(KEY, value, at) for at, value in enumerate(self.records)][-1:]
-        return Newest(tuple(entries), len(self.records), 0.0)
+        return LatestRecords(tuple(entries), len(self.records), 0.0)
 
     async def append(self, topic, entries, at=None):
         if self.comes_before is not None:
@@ -48,7 +48,9 @@
     context.rollouts = Rollouts()
     context.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
     context.rollouts.evidence.own[("engines", "v2", "a")] = Tally(8, 8)
-    context.steward = Steward(context.store, context.rollouts, lambda _: turn, lambda _: None)
+    context.steward = RolloutController(
+        context.store, context.rollouts, lambda _: turn, lambda _: None
+    )
     clock = mock.patch.object(steward_module, "boot_time", lambda: context.now)
     clock.start()
     context.add_cleanup(clock.stop)
--- a/features/steps/versions_sessions.py
+++ b/features/steps/versions_sessions.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.versions import SessionKeeper, choose_homes, read_session, sign_session
 from standins.histories import run_virtual
 
@@ -25,7 +25,7 @@
 
 @given("6 hosts in 3 zones that keep sessions")
 def step_hosts(context):
-    context.network = MemoryNetwork(delay_s=0.001)
+    context.network = MemoryPeerNetwork(delay_s=0.001)
     context.peers = {
         f"h{n}": MemoryPeers(context.network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)
     }
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -20,7 +20,7 @@
 from poplarrun.config._signatures import NO_KEYS, OperatorKeys, open_record, sign_system_record
 from poplarrun.config._snapshots import make_snapshot
 from poplarrun.config._state import Configuration
-from poplarrun.hosts import Peers, PeerSilent, StreamPoll
+from poplarrun.hosts import Peers, PeerSilent, StreamPoller
 from poplarrun.log import Entry, Gap, Log, ReadFailed, StreamReader
 from poplarrun.logs import part_logger
 from poplarrun.metrics import Metrics
@@ -86,7 +86,7 @@
         self._keys = keys
         self._reader = StreamReader(log, CONFIG_STREAM)
         self._cache = RecordCache()
-        self.poll = StreamPoll(peers, ANNOUNCEMENT, lambda: self.state.read_to, source)
+        self.poll = StreamPoller(peers, ANNOUNCEMENT, lambda: self.state.read_to, source)
         self._snapshot = Snapshot("", -1, -1, wall_clock(), b"", b"")
         self._snapshot_at = -1
         self._snapshot_tried_at = clock() - SNAPSHOT_PAUSE_S
@@ -160,7 +160,7 @@
                 self._snapshot, self._snapshot_at = snapshot, entry.offset
 
     def _needs_peers(self) -> bool:
-        announced = self._peers.announced(ANNOUNCEMENT) > self.state.read_to
+        announced = self._peers.highest_announced(ANNOUNCEMENT) > self.state.read_to
         return self._log_failed or announced or not self.state.anchored
 
     async def _ask_peers(self) -> None:
@@ -235,7 +235,7 @@
         first records there would skip the new ones, and fresh hosts would not.
         The snapshot that follows brings the hosts' state back into the log.
         """
-        highest = max(self.state.read_to, self._peers.announced(ANNOUNCEMENT))
+        highest = max(self.state.read_to, self._peers.highest_announced(ANNOUNCEMENT))
         missing = highest + 1 - self._reader.end
         self._bring_forward = True
         self._snapshot_tried_at = self._clock() - SNAPSHOT_PAUSE_S
--- a/poplarrun/endpoints/_sharing.py
+++ b/poplarrun/endpoints/_sharing.py
@@ -144,7 +144,7 @@
 
     def take_in(self, now: float) -> None:
         """Apply what the other hosts passed on since the last time."""
-        gathered = self._peers.gathered(LOAD_TOPIC)
+        gathered = self._peers.collect_summaries(LOAD_TOPIC)
         for host, payload in gathered.own_zone.items():
             if host != self._peers.me.name:
                 self._apply(host, _decode(payload), now)
--- a/poplarrun/gateway/__main__.py
+++ b/poplarrun/gateway/__main__.py
@@ -7,14 +7,14 @@
 
 from poplarrun.gateway import GatewayHost
 from poplarrun.logs import set_up_logs
-from poplarrun.platform import PATH_VARIABLE, BadSettings, load_node_settings
+from poplarrun.platform import PATH_VARIABLE, InvalidSettings, load_node_settings
 
 
 def main() -> int:
     """Serve until the platform asks to stop; return the exit code."""
     path = Path(os.environ.get(PATH_VARIABLE, ""))
     settings = load_node_settings(path)
-    if isinstance(settings, BadSettings):
+    if isinstance(settings, InvalidSettings):
         print("\n".join(settings.lines), file=sys.stderr)
         return 2
     handler = set_up_logs(settings.name)
--- a/poplarrun/gateway/_sharing.py
+++ b/poplarrun/gateway/_activity.py
@@ -4,15 +4,15 @@
 
 from poplarrun.logs import events, write_event
 from poplarrun.peers import (
+    ActivityTotals,
     Digest,
     EndpointLoad,
-    RolloutNews,
+    ReceivedTotals,
+    RolloutProgress,
     Scope,
-    Share,
-    Shares,
-    TallyNews,
-    Told,
-    decode_share,
+    TotalsTable,
+    VersionTally,
+    decode_totals,
 )
 from poplarrun.placement import Placement
 from poplarrun.rollouts import Rollouts, Tally
@@ -53,15 +53,15 @@
         self._zone = zone
         self._placement = placement
         self._rollouts = rollouts
-        self._shares = Shares()
+        self._shares = TotalsTable()
         self._is_news = False
         self._summed_at = float("-inf")
 
-    def own(self) -> Share:
+    def own(self) -> ActivityTotals:
         """Return what this host runs, and saw of the versions in roll-outs."""
-        return Share(1, self._loads(), self._tally_news())
+        return ActivityTotals(1, self._loads(), self._tally_news())
 
-    def note_told(self, share: Share, stamp: float) -> None:
+    def note_told(self, share: ActivityTotals, stamp: float) -> None:
         """Remember what this host told of itself, to take it out of the sums told back."""
         self._shares.note_own(share, stamp)
 
@@ -69,7 +69,7 @@
         """Return the stamp of the share of a host that counts in the sums."""
         return self._shares.stamp_of(host)
 
-    def sum_up(self, scope: Scope, own: Share, now: float) -> Share:
+    def sum_up(self, scope: Scope, own: ActivityTotals, now: float) -> ActivityTotals:
         """Return the sum that a digest of a scope carries."""
         match scope:
             case Scope.ZONE:
@@ -84,11 +84,11 @@
         self._take_rollouts(digest, now)
         if digest.scope is Scope.NONE:
             return
-        share = decode_share(digest.share)
+        share = decode_totals(digest.share)
         if share is None:
             write_event(events.MessageUnreadable(len(digest.share)))
             return
-        told = Told(share, now, digest.stamp)
+        told = ReceivedTotals(share, now, digest.stamp)
         is_near = digest.zone == self._zone
         match digest.scope:
             case Scope.HOST if is_near:
@@ -132,10 +132,10 @@
             for rollout in self._rollouts.active()
         ]
 
-    def rollout_news(self, now: float) -> list[RolloutNews]:
+    def rollout_news(self, now: float) -> list[RolloutProgress]:
         """Return what this host knows of the roll-outs under way."""
         return [
-            RolloutNews(
+            RolloutProgress(
                 rollout.order.service,
                 rollout.order.target,
                 rollout.order.duration_s,
@@ -156,10 +156,10 @@
             if member.in_flight
         ]
 
-    def _tally_news(self) -> list[TallyNews]:
+    def _tally_news(self) -> list[VersionTally]:
         active = {rollout.order.service for rollout in self._rollouts.active()}
         return [
-            TallyNews(
+            VersionTally(
                 *key,
                 tally.ended,
                 tally.failures,
--- a/poplarrun/gateway/_capacity.py
+++ b/poplarrun/gateway/_capacity.py
@@ -31,7 +31,7 @@
     callers: int
 
 
-def find_capacity(memory_mb: float, most_sockets: int) -> Capacity:
+def compute_capacity(memory_mb: float, most_sockets: int) -> Capacity:
     """Return what a host of this size takes on."""
     by_memory = MEMORY_PART * max(0.0, memory_mb - BASE_MB) / REQUEST_MB
     by_sockets = OPEN_PART * most_sockets
--- a/poplarrun/gateway/_events.py
+++ b/poplarrun/gateway/_event_stream.py
@@ -9,7 +9,7 @@
 MOST_EVENT_BYTES = 1024 * 1024
 
 
-class NoEvents(Exception):
+class MalformedStream(Exception):
     """The bytes are no stream of events."""
 
 
@@ -29,7 +29,7 @@
     id: int | None
 
 
-class EventCutter:
+class EventParser:
     """Cuts bytes into whole events.
 
     An endpoint may stop in the middle of an event. What is passed on ends with a
@@ -59,6 +59,6 @@
             match = EVENT_ID.search(whole)
             events.append(Event(whole, int(match.group(1)) if match else None))
         if len(rest) > MOST_EVENT_BYTES:
-            raise NoEvents("an event has no end")
+            raise MalformedStream("an event has no end")
         self._rest = rest
         return events
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from poplarrun.dispatch import Knowledge
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.logs import events, write_event
-from poplarrun.peers import USUAL_TIMES
+from poplarrun.peers import DEFAULT_READ_TIMEOUTS
 from poplarrun.placement import LAPSE_GRACE_S, Directory, DirectoryEvent, Placement
 from poplarrun.platform import (
     CONFIG_KEY,
@@ -17,10 +17,10 @@
     ROLLOUT_PREFIX,
     STATUS_TOPIC,
     Entry,
-    Forgotten,
-    Malformed,
-    Newest,
+    LatestRecords,
+    MalformedDocument,
     NoAnswer,
+    OffsetExpired,
     Records,
     Refused,
     StoreClient,
@@ -60,7 +60,7 @@
     """
 
     answered_at: float = 0.0
-    outage_s: float = USUAL_TIMES.outage_s
+    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_s
     lost_at: float = math.inf
     back_at: float = -math.inf
     steady_since: float = math.inf
@@ -123,7 +123,7 @@
         knowledge: Knowledge,
         rollouts: Rollouts,
         changed: Callable[[], None],
-        reading: SharedReading,
+        reading: SharedReader,
     ) -> None:
         self.offset: int | None = None
         self.raw_config = b""
@@ -148,7 +148,7 @@
         answer = await self._read()
         now = boot_time()
         match answer:
-            case Newest(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end=end, true_at=true_at):
                 self._take_all(entries, now)
                 self.offset = end
             case Records(entries=entries, end=end, true_at=true_at):
@@ -156,7 +156,7 @@
                 self.offset = entries[-1].offset + 1 if entries else self.offset
                 if self.offset is not None and self.offset < end:
                     return True
-            case Forgotten():
+            case OffsetExpired():
                 write_event(events.HistoryDropped("documents"))
                 self.offset = None
                 return True
@@ -172,9 +172,9 @@
             self._knowledge.confirm(true_at)
         return True
 
-    async def _read(self) -> Newest | Records | Forgotten | Refused | NoAnswer:
+    async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
         if self.offset is None:
-            return await self._store.newest(OPERATOR_TOPIC)
+            return await self._store.read_latest(OPERATOR_TOPIC)
         return await self._store.read(OPERATOR_TOPIC, self.offset, self.reading.held_s)
 
     def note_proof(self, true_at: float) -> None:
@@ -200,7 +200,7 @@
                             order.service, order.target, order.duration_s, "store", 0.0
                         )
                     )
-        except Malformed as error:
+        except MalformedDocument as error:
             write_event(events.DocumentIgnored(entry.key, str(error)))
 
     def take_config(self, value: bytes, source: str = "store") -> None:
@@ -226,7 +226,7 @@
         store: StoreClient,
         directory: Directory,
         placement: Placement,
-        reading: SharedReading,
+        reading: SharedReader,
     ) -> None:
         self.is_known = False
         self.is_served = False
@@ -253,7 +253,7 @@
         answer = await self._read()
         now = boot_time()
         match answer:
-            case Newest(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end=end, true_at=true_at):
                 self._take_newest(entries, now)
                 self._directory.offset = end
                 self.is_known = True
@@ -261,7 +261,7 @@
             case Records(entries=entries, true_at=true_at):
                 self._note_answer(now)
                 self._take_records(entries, now)
-            case Forgotten():
+            case OffsetExpired():
                 write_event(events.HistoryDropped("endpoints"))
                 self.is_known = False
                 return await self._step()
@@ -331,9 +331,9 @@
         self.is_served = True
         self._placement.update(self._directory.listings())
 
-    async def _read(self) -> Newest | Records | Forgotten | Refused | NoAnswer:
+    async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
         if not self.is_known:
-            return await self._store.newest(ENDPOINT_TOPIC)
+            return await self._store.read_latest(ENDPOINT_TOPIC)
         offset, held_s = self._directory.offset, self.reading.held_s
         return await self._store.read(ENDPOINT_TOPIC, offset, held_s)
 
@@ -400,15 +400,15 @@
 
     async def read(self) -> bool:
         """Read to the end of the records; False when the store does not answer."""
-        answer = await self._store.newest(STATUS_TOPIC)
-        if not isinstance(answer, Newest):
+        answer = await self._store.read_latest(STATUS_TOPIC)
+        if not isinstance(answer, LatestRecords):
             return False
         for entry in answer.entries:
             if entry.value is None or not entry.key.startswith(ROLLOUT_PREFIX):
                 continue
             try:
                 status = decode_status(entry.key[len(ROLLOUT_PREFIX) :], entry.value)
-            except Malformed as error:
+            except MalformedDocument as error:
                 write_event(events.DocumentIgnored(entry.key, str(error)))
                 continue
             self._rollouts.take_status(status)
--- a/poplarrun/gateway/_exchange.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -18,10 +18,10 @@
     gap_patience_s,
 )
 from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
-from poplarrun.gateway._events import Event, EventCutter, NoEvents
+from poplarrun.gateway._event_stream import Event, EventParser, MalformedStream
 from poplarrun.gateway._records import RequestRecorder
-from poplarrun.gateway._sessions import SessionKeeping
-from poplarrun.platform import EndpointAnswer, decode_answer, encode_send
+from poplarrun.gateway._sessions import SessionLookup
+from poplarrun.platform import EndpointAnswer, decode_answer, encode_request_headers
 from poplarrun.routing import Repeat, Work
 from poplarrun.transport import (
     Broken,
@@ -73,7 +73,7 @@
     body: bytes
 
 
-class Exchange:
+class RequestForwarder:
     """One admitted request.
 
     Parameters
@@ -89,7 +89,7 @@
         caller: CallerConnection,
         work: Work,
         recorder: RequestRecorder,
-        sessions: SessionKeeping,
+        sessions: SessionLookup,
     ) -> None:
         self._dispatch = dispatch
         self._pool = pool
@@ -121,7 +121,7 @@
 
     async def _try_endpoints(self) -> Refusal | None:
         """Send until an answer is whole; None when the caller has it."""
-        if not await self._sessions.learn(self._work):
+        if not await self._sessions.resolve(self._work):
             self._recorder.unanswered()
         while True:
             now = boot_time()
@@ -180,7 +180,7 @@
             raise RefusedError(refusal)
         lifetime = step.seat.member.listing.lifetime
         is_resumed, work.size = work.last_event is not None, step.size
-        headers = encode_send(work, lifetime, work.left_s(now), step.urgency)
+        headers = encode_request_headers(work, lifetime, work.left_s(now), step.urgency)
         request = work.request
         is_sent = connection.send(request.method, request.target, headers, request.body)
         if not is_sent:
@@ -259,7 +259,7 @@
         return b"".join(parts)
 
     async def _relay_stream(self, opened: _Open) -> None:
-        cutter = EventCutter()
+        cutter = EventParser()
         patience_s = first_patience_s(self._work, opened.attempt.seat)
         try:
             while True:
@@ -273,7 +273,7 @@
                     patience_s = gap_patience_s(self._work)
         except TimeoutError as error:
             raise AttemptError(TookTooLong(patience_s or 0.0)) from error
-        except (Broken, NoEvents) as error:
+        except (Broken, MalformedStream) as error:
             raise AttemptError(ConnectionBroke(str(error))) from error
         if not cutter.is_between:
             raise AttemptError(ConnectionBroke("ended inside an event"))
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -10,21 +10,21 @@
 
 from poplarrun.dispatch import Dispatch, Knowledge
 from poplarrun.errors import ErrorKind, Refusal
-from poplarrun.gateway._capacity import find_capacity
-from poplarrun.gateway._exchange import Exchange, respond_refusal
+from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
+from poplarrun.gateway._forwarder import RequestForwarder, respond_refusal
 from poplarrun.gateway._peering import Peering
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.gateway._records import RequestRecorder
-from poplarrun.gateway._steward import Steward
+from poplarrun.gateway._rollout_controller import RolloutController
 from poplarrun.links import NngLinks
 from poplarrun.logs import BoundedHandler, events, write_event
 from poplarrun.metrics import Metrics
-from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook, ReadTimes
+from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable, ReadTimeouts
 from poplarrun.placement import Directory, Placement
 from poplarrun.platform import (
     BadRequest,
-    BadSettings,
+    InvalidSettings,
     NodeSettings,
     StoreClient,
     decode_request,
@@ -43,7 +43,7 @@
 
 # Part of the operators' bound on second sends that is used, and the hosts among
 # which the allowance is divided until it is known how many there are.
-RETRY_PART = 0.85
+RETRY_FRACTION = 0.85
 FIRST_HOSTS = 8
 # While it stops, a host still takes new connections for so long, in seconds: the
 # balancer asks once a second and takes a host out after two misses.
@@ -54,13 +54,13 @@
 STOP_POLL_S = 0.05
 
 
-def part_of_allowance(whole: float, peers: int) -> float:
+def host_retry_allowance(whole: float, peers: int) -> float:
     """Return one host's part of the second sends that all hosts may make besides.
 
     A host that hears fewer peers than there are would take too much: it never counts
     on fewer than ``FIRST_HOSTS``. Below one no second send could ever be made.
     """
-    return max(1.0, RETRY_PART * whole / max(FIRST_HOSTS, peers + 1))
+    return max(1.0, RETRY_FRACTION * whole / max(FIRST_HOSTS, peers + 1))
 
 
 class GatewayHost:
@@ -88,30 +88,33 @@
             self._placement,
             self._rollouts,
             SizePolicy(),
-            RETRY_PART * settings.retry_earned,
-            part_of_allowance(settings.retry_allowance, 0),
+            RETRY_FRACTION * settings.retry_earned,
+            host_retry_allowance(settings.retry_allowance, 0),
             settings.retry_window_s,
         )
         self._pool = ConnectionPool()
         self._recorder = RequestRecorder(self.metrics)
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
-        self._capacity = find_capacity(settings.memory_mb, settings.most_sockets)
+        self._capacity = compute_capacity(settings.memory_mb, settings.most_sockets)
         self._callers.most_connections = self._capacity.callers
-        book = PeerBook(settings.peers, settings.zone)
-        times = ReadTimes.within(settings.change_bound_s)
+        peer_table = PeerTable(settings.peers, settings.zone)
+        times = ReadTimeouts.within(settings.change_bound_s)
         self._documents = DocumentFollower(
             self._store,
             self._knowledge,
             self._rollouts,
             self._apply_limits,
-            SharedReading(DOCUMENTS, book, times),
+            SharedReader(DOCUMENTS, peer_table, times),
         )
         self._listings = ListingFollower(
-            self._store, self._directory, self._placement, SharedReading(ENDPOINTS, book, times)
+            self._store,
+            self._directory,
+            self._placement,
+            SharedReader(ENDPOINTS, peer_table, times),
         )
         self._peering = Peering(
-            book,
+            peer_table,
             NngLinks(settings.peers),
             self._store,
             self._knowledge,
@@ -121,10 +124,10 @@
             self._placement,
             self._rollouts,
         )
-        self._steward = Steward(
+        self._rollout_controller = RolloutController(
             self._store,
             self._rollouts,
-            self._peering.turn,
+            self._peering.job_rank,
             self._dispatch.judge_open,
         )
         self._open = 0
@@ -148,7 +151,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._start(self._documents.run())
         self._start(self._listings.run())
-        self._start(self._steward.run())
+        self._start(self._rollout_controller.run())
         self._start(self._peering.run(self.settings.seeds))
         self._start(self._peering.announce())
         self._start(self._keep_house())
@@ -200,7 +203,9 @@
         self._open += 1
         try:
             sessions = self._peering.sessions
-            await Exchange(self._dispatch, self._pool, caller, work, self._recorder, sessions).run()
+            await RequestForwarder(
+                self._dispatch, self._pool, caller, work, self._recorder, sessions
+            ).run()
         finally:
             self._open -= 1
 
@@ -248,7 +253,9 @@
             self._pool.drop_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
-            self._dispatch.divide_allowance(part_of_allowance(self.settings.retry_allowance, peers))
+            self._dispatch.divide_allowance(
+                host_retry_allowance(self.settings.retry_allowance, peers)
+            )
             left_out = self._handler.take_left_out()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
@@ -281,7 +288,7 @@
     def _reload(self) -> None:
         """Read the settings again; a bad file changes nothing."""
         loaded = load_node_settings(self._path)
-        if isinstance(loaded, BadSettings):
+        if isinstance(loaded, InvalidSettings):
             write_event(events.SettingsBad(list(loaded.lines)))
             return
         write_event(events.SettingsRead(loaded != self.settings))
@@ -289,7 +296,7 @@
         self._knowledge.key_bound_s = loaded.key_bound_s
         self._rollouts.session_s = loaded.session_s
         self._rollouts.exposure = loaded.exposure
-        self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
+        self._capacity = compute_capacity(loaded.memory_mb, loaded.most_sockets)
         self._callers.most_connections = self._capacity.callers
         self._store.address = loaded.store
 
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -7,35 +7,42 @@
 import msgspec
 
 from poplarrun.dispatch import Knowledge
+from poplarrun.gateway._activity import RolloutState, Sharing
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
-from poplarrun.gateway._sessions import SessionKeeping
-from poplarrun.gateway._sharing import RolloutState, Sharing
+from poplarrun.gateway._sessions import SessionLookup
 from poplarrun.links import Links
 from poplarrun.logs import events, write_event
 from poplarrun.peers import (
-    Ask,
     ChangedRecord,
-    Changes,
     Digest,
-    Documents,
+    DueDigest,
+    EndpointChanges,
     HeldSessions,
-    Listed,
-    Peer,
-    PeerBook,
+    ListedEndpoint,
+    PeerState,
+    PeerTable,
     Roster,
-    RosterAsk,
-    RosterMark,
+    RosterFingerprint,
+    RosterRequest,
     Rosters,
     Scope,
     SessionAnswer,
-    SessionAsk,
-    Telling,
+    SessionQuery,
+    StateRequest,
+    StateResponse,
     decode_message,
     encode_message,
-    encode_share,
+    encode_totals,
 )
 from poplarrun.placement import Directory, Listing, Placement
-from poplarrun.platform import HOST_TOPIC, Appended, Entry, Malformed, Newest, StoreClient
+from poplarrun.platform import (
+    HOST_TOPIC,
+    Appended,
+    Entry,
+    LatestRecords,
+    MalformedDocument,
+    StoreClient,
+)
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import boot_time
 
@@ -77,7 +84,7 @@
 
     def __init__(
         self,
-        book: PeerBook,
+        peer_table: PeerTable,
         links: Links,
         store: StoreClient,
         knowledge: Knowledge,
@@ -87,7 +94,7 @@
         placement: Placement,
         rollouts: Rollouts,
     ) -> None:
-        self.book = book
+        self.peer_table = peer_table
         self._links = links
         self._store = store
         self._knowledge = knowledge
@@ -96,9 +103,9 @@
         self._directory = directory
         self._placement = placement
         self._rollouts = rollouts
-        self._rosters = Rosters(book)
-        self._sharing = Sharing(book.zone, placement, rollouts)
-        self.sessions = SessionKeeping(book, links, rollouts)
+        self._rosters = Rosters(peer_table)
+        self._sharing = Sharing(peer_table.zone, placement, rollouts)
+        self.sessions = SessionLookup(peer_table, links, rollouts)
         self._started_at = float("inf")
         self._asked_at = float("-inf")
         self._outdated: int | None = None
@@ -116,24 +123,26 @@
         """Prove to the hosts of the own zone what this one has just read."""
         now = boot_time()
         digest = self._header(now)
-        for peer in self.book.served(now):
+        for peer in self.peer_table.served(now):
             self._send(digest, peer, now)
 
     def tell_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
         """Pass records of endpoints on to the hosts of the own zone."""
         records = [ChangedRecord(entry.key, entry.value) for entry in entries]
         start, end = entries[0].offset, entries[-1].offset + 1
-        message = encode_message(Changes(self.book.address, start, end, is_lapse, records))
-        for peer in self.book.near(boot_time()):
+        message = encode_message(
+            EndpointChanges(self.peer_table.address, start, end, is_lapse, records)
+        )
+        for peer in self.peer_table.zone_peers(boot_time()):
             self._links.send(peer.address, message)
 
     def count_alive(self) -> int:
         """Return how many other hosts are heard of."""
-        return len(self.book.alive(boot_time()))
+        return len(self.peer_table.alive_peers(boot_time()))
 
-    def turn(self, service: str) -> int:
+    def job_rank(self, service: str) -> int:
         """Return how many live hosts come before this one for a service's roll-outs."""
-        return self.book.turn(service, boot_time())
+        return self.peer_table.job_rank(service, boot_time())
 
     def is_informed(self, now: float) -> bool:
         """Tell whether a host that started knows how far roll-outs are.
@@ -141,7 +150,7 @@
         The store tells of an order, but neither how old it is nor whether sessions change
         versions already. By that alone a host that starts anew would begin the trial again.
         """
-        if self.book.has_heard or self.book.is_alone:
+        if self.peer_table.has_heard or self.peer_table.is_alone:
             return True
         return now - self._started_at >= FIRST_DIGEST_S
 
@@ -149,7 +158,7 @@
         """Tell and hear for ever."""
         self._started_at = boot_time()
         for seed in seeds:
-            self.book.name(seed, boot_time())
+            self.peer_table.add_address(seed, boot_time())
         self._links.start(self._receive)
         while True:
             self._tell(boot_time())
@@ -163,21 +172,21 @@
                 is_listed = await self._write_address()
                 await asyncio.sleep(0.0 if is_listed else _spread(ANNOUNCE_PAUSE_S))
                 continue
-            newest = await self._store.newest(HOST_TOPIC)
-            if isinstance(newest, Newest):
-                is_listed = self.book.address in [entry.key for entry in newest.entries]
+            newest = await self._store.read_latest(HOST_TOPIC)
+            if isinstance(newest, LatestRecords):
+                is_listed = self.peer_table.address in [entry.key for entry in newest.entries]
                 await self._read_addresses(newest.entries, boot_time())
-            is_relay = self.book.is_relay(boot_time())
+            is_relay = self.peer_table.is_aggregator(boot_time())
             await asyncio.sleep(_spread(READ_HOSTS_S if is_relay else LATER_READ_HOSTS_S))
 
     async def withdraw(self) -> None:
         """Take the own address out of the store, and write it no more."""
         self._is_leaving = True
-        await self._store.append(HOST_TOPIC, [(self.book.address, None)])
+        await self._store.append(HOST_TOPIC, [(self.peer_table.address, None)])
 
     async def _write_address(self) -> bool:
-        value = json.dumps({"zone": self.book.zone}).encode()
-        answer = await self._store.append(HOST_TOPIC, [(self.book.address, value)])
+        value = json.dumps({"zone": self.peer_table.zone}).encode()
+        answer = await self._store.append(HOST_TOPIC, [(self.peer_table.address, value)])
         return isinstance(answer, Appended)
 
     async def _read_addresses(self, entries: tuple[Entry, ...], now: float) -> None:
@@ -188,10 +197,10 @@
         was only cut off finds its address missing and writes it again.
         """
         for entry in entries:
-            self.book.name(entry.key, now, _read_zone(entry))
-        if self.book.turn(SWEEP_JOB, now) > 0:
+            self.peer_table.add_address(entry.key, now, _read_zone(entry))
+        if self.peer_table.job_rank(SWEEP_JOB, now) > 0:
             return
-        gone = [entry.key for entry in entries if self.book.is_gone(entry.key, now, GONE_S)]
+        gone = [entry.key for entry in entries if self.peer_table.is_gone(entry.key, now, GONE_S)]
         if gone:
             await self._store.append(HOST_TOPIC, [(address, None) for address in gone])
             write_event(events.PeersChanged(gone, []))
@@ -201,7 +210,7 @@
         far_s = ROLLOUT_PERIOD_S if active else ZONE_PERIOD_S
         self._note_news(now)
         self._rosters.forget(now)
-        due = self.book.due(now, REPORT_PERIOD_S, far_s, FLEET_PERIOD_S, self._news_at)
+        due = self.peer_table.due(now, REPORT_PERIOD_S, far_s, FLEET_PERIOD_S, self._news_at)
         if due:
             self._send_digests(due, now)
         self._sharing.apply(now)
@@ -217,17 +226,17 @@
         self._news_at = now
         return True
 
-    def _send_digests(self, tellings: list[Telling], now: float) -> None:
+    def _send_digests(self, tellings: list[DueDigest], now: float) -> None:
         own = self._sharing.own()
         header = self._header(now)
         digests: dict[tuple[Scope, bool], Digest] = {}
         for telling in tellings:
-            is_far = telling.peer.zone != self.book.zone
+            is_far = telling.peer.zone != self.peer_table.zone
             key = (telling.scope, is_far)
             if key not in digests:
                 share = b""
                 if telling.scope is not Scope.NONE:
-                    share = encode_share(self._sharing.sum_up(telling.scope, own, now))
+                    share = encode_totals(self._sharing.sum_up(telling.scope, own, now))
                 is_report = telling.scope is Scope.HOST
                 marks = [] if is_report else self._rosters.marks(is_far, now)
                 digests[key] = msgspec.structs.replace(
@@ -237,7 +246,7 @@
                 self._sharing.note_told(own, now)
             self._send(digests[key], telling.peer, now)
 
-    def _send(self, digest: Digest, peer: Peer, now: float) -> None:
+    def _send(self, digest: Digest, peer: PeerState, now: float) -> None:
         """Send a digest with the receiver's own stamps in it."""
         counted = self._sharing.stamp_of(peer.address) if digest.scope is Scope.FLEET else 0.0
         message = msgspec.structs.replace(
@@ -249,8 +258,8 @@
         self._links.send(peer.address, encode_message(message))
 
     def _note_alive(self, now: float) -> None:
-        self._placement.silent_zones = self.book.silent_zones(now)
-        alive = {peer.address for peer in self.book.alive(now)}
+        self._placement.silent_zones = self.peer_table.silent_zones(now)
+        alive = {peer.address for peer in self.peer_table.alive_peers(now)}
         if alive != self._alive:
             lost = sorted(self._alive - alive)
             found = sorted(alive - self._alive)
@@ -261,8 +270,8 @@
         """Return what all peers are told alike at a time."""
         catalogue = self._knowledge.catalogue
         return Digest(
-            address=self.book.address,
-            zone=self.book.zone,
+            address=self.peer_table.address,
+            zone=self.peer_table.zone,
             stamp=now,
             echo=0.0,
             held_s=0.0,
@@ -280,19 +289,19 @@
         match decode_message(data):
             case Digest() as digest:
                 self._take_digest(digest, now)
-            case RosterAsk() as roster_ask:
+            case RosterRequest() as roster_ask:
                 self._answer_roster(roster_ask, now)
             case Roster() as roster:
                 self._take_roster(roster, now)
-            case Ask() as ask:
+            case StateRequest() as ask:
                 self._links.send(ask.address, encode_message(self._answer(ask)))
-            case Documents() as documents:
+            case StateResponse() as documents:
                 self._take_documents(documents, now)
-            case Changes() as changes:
+            case EndpointChanges() as changes:
                 self._take_changes(changes)
             case HeldSessions() as held:
                 self.sessions.take_held(held)
-            case SessionAsk() as session_ask:
+            case SessionQuery() as session_ask:
                 self.sessions.answer(session_ask)
             case SessionAnswer() as session_answer:
                 self.sessions.take_answer(session_answer)
@@ -300,18 +309,18 @@
                 write_event(events.MessageUnreadable(len(data)))
 
     def _take_digest(self, digest: Digest, now: float) -> None:
-        known = self.book.find(digest.address)
+        known = self.peer_table.find(digest.address)
         is_new = known is None or not known.is_alive(now)
-        if not self.book.take(digest, now):
+        if not self.peer_table.apply_digest(digest, now):
             return
-        peer = self.book.find(digest.address)
+        peer = self.peer_table.find(digest.address)
         # A host that starts, or comes back, hears at once who is there. Its first words may
         # have come while this one's were lost, so that it is known but has heard nothing.
         is_new = is_new or digest.echo <= 0.0
         if is_new and peer is not None and now - peer.told_at >= REPORT_PERIOD_S:
             peer.told_at = now
-            is_near = digest.zone == self.book.zone
-            self._send_digests([Telling(peer, Scope.FLEET if is_near else Scope.NONE)], now)
+            is_near = digest.zone == self.peer_table.zone
+            self._send_digests([DueDigest(peer, Scope.FLEET if is_near else Scope.NONE)], now)
         for mark in digest.marks:
             self._take_mark(digest, mark, now)
         self._sharing.take(digest, now)
@@ -320,8 +329,8 @@
             # On its way to hosts of other zones news passes three hosts: none may wait a round.
             self._tell(now)
 
-    def _take_mark(self, digest: Digest, mark: RosterMark, now: float) -> None:
-        if digest.zone not in (self.book.zone, mark.zone):
+    def _take_mark(self, digest: Digest, mark: RosterFingerprint, now: float) -> None:
+        if digest.zone not in (self.peer_table.zone, mark.zone):
             return
         if self._rosters.take_mark(digest.address, digest.zone, mark, now):
             return
@@ -329,34 +338,36 @@
         if now - self._rosters_asked_at.get(key, float("-inf")) < ROSTER_PERIOD_S:
             return
         self._rosters_asked_at[key] = now
-        self._links.send(digest.address, encode_message(RosterAsk(self.book.address, mark.zone)))
+        self._links.send(
+            digest.address, encode_message(RosterRequest(self.peer_table.address, mark.zone))
+        )
 
     def _take_roster(self, roster: Roster, now: float) -> None:
         # Only what was asked of its sender counts.
-        sender = self.book.find(roster.address)
+        sender = self.peer_table.find(roster.address)
         asked_at = self._rosters_asked_at.pop((roster.address, roster.zone), None)
         if sender is not None and asked_at is not None:
             self._rosters.take_roster(roster, sender.zone, now)
 
-    def _answer_roster(self, ask: RosterAsk, now: float) -> None:
+    def _answer_roster(self, ask: RosterRequest, now: float) -> None:
         hosts = self._rosters.roster(ask.zone, now)
         age_s = self._rosters.roster_age_s(ask.zone, now)
-        roster = Roster(self.book.address, ask.zone, hosts, age_s)
+        roster = Roster(self.peer_table.address, ask.zone, hosts, age_s)
         self._links.send(ask.address, encode_message(roster))
 
     def _take(self, digest: Digest, now: float) -> None:
         catalogue = self._knowledge.catalogue
         version = -1 if catalogue is None else catalogue.version
         if digest.version == version and catalogue is not None:
-            proven_at = self.book.proven_at(digest, digest.age_s)
+            proven_at = self.peer_table.proven_at(digest, digest.age_s)
             if proven_at is not None:
                 self._documents.note_proof(proven_at)
         if digest.documents_end > (self._documents.offset or 0):
             self._documents.reading.hurry()
-        sent_at = self.book.proven_at(digest, 0.0)
+        sent_at = self.peer_table.proven_at(digest, 0.0)
         if sent_at is not None:
             self._listings.note_steady(now - digest.steady_s, sent_at)
-        listed_at = self.book.proven_at(digest, digest.listing_age_s)
+        listed_at = self.peer_table.proven_at(digest, digest.listing_age_s)
         if listed_at is not None:
             self._listings.note_proof(digest.listing_end, listed_at)
         wants_config = self._is_config_late(digest.version, version, now)
@@ -364,7 +375,7 @@
         wants_listing = is_old and digest.listing_age_s < OLD_LISTING_S
         if (wants_config or wants_listing) and now - self._asked_at > ASK_PERIOD_S:
             self._asked_at = now
-            ask = Ask(self.book.address, wants_config, wants_listing)
+            ask = StateRequest(self.peer_table.address, wants_config, wants_listing)
             self._links.send(digest.address, encode_message(ask))
 
     def _is_config_late(self, heard: int, version: int, now: float) -> bool:
@@ -378,18 +389,18 @@
             self._outdated, self._outdated_since = version, now
         return now - self._outdated_since > OLD_CONFIG_S
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _take_changes(self, changes: EndpointChanges) -> None:
         entries = tuple(
             Entry(record.key, record.value, changes.start + place)
             for place, record in enumerate(changes.records)
         )
         self._listings.take_changes(entries, changes.is_lapse)
 
-    def _answer(self, ask: Ask) -> Documents:
+    def _answer(self, ask: StateRequest) -> StateResponse:
         listed = []
         if ask.wants_listing:
             listed = [
-                Listed(
+                ListedEndpoint(
                     listing.lifetime,
                     listing.service,
                     listing.address,
@@ -403,13 +414,13 @@
                 for listing in self._directory.listings()
             ]
         config = self._documents.raw_config if ask.wants_config else b""
-        return Documents(self.book.address, config, listed, self._directory.gone())
+        return StateResponse(self.peer_table.address, config, listed, self._directory.gone())
 
-    def _take_documents(self, documents: Documents, now: float) -> None:
+    def _take_documents(self, documents: StateResponse, now: float) -> None:
         if documents.config:
             try:
                 self._documents.take_config(documents.config, documents.address)
-            except Malformed as error:
+            except MalformedDocument as error:
                 write_event(events.DocumentIgnored("config of a peer", str(error)))
         if not documents.listed and not documents.gone:
             return
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -4,11 +4,11 @@
 import contextlib
 from collections.abc import Callable
 
-from poplarrun.peers import USUAL_TIMES, PeerBook, ReadDuty, ReadTimes
+from poplarrun.peers import DEFAULT_READ_TIMEOUTS, PeerTable, ReadSchedule, ReadTimeouts
 from poplarrun.transport import boot_time
 
 
-class SharedReading:
+class SharedReader:
     """The turn of one host in the reading of one topic.
 
     Parameters
@@ -24,12 +24,14 @@
         Whether the last read did.
     """
 
-    def __init__(self, topic: str, book: PeerBook, times: ReadTimes = USUAL_TIMES) -> None:
+    def __init__(
+        self, topic: str, peer_table: PeerTable, times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
+    ) -> None:
         self.has_failed = False
         self.times = times
         self._topic = topic
-        self._book = book
-        self._duty = ReadDuty(times)
+        self._peer_table = peer_table
+        self._duty = ReadSchedule(times)
         self._wake = asyncio.Event()
 
     @property
@@ -63,4 +65,4 @@
         self._duty.is_behind = False
 
     def _place(self) -> int:
-        return self._book.near_place(self._topic, boot_time())
+        return self._peer_table.reader_rank(self._topic, boot_time())
--- a/poplarrun/gateway/_steward.py
+++ b/poplarrun/gateway/_rollout_controller.py
@@ -37,7 +37,7 @@
 }
 
 
-class Steward:
+class RolloutController:
     """Judges and records the roll-outs; one on every host.
 
     Who writes is a matter of turns and may be two hosts at once. Each append names
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from poplarrun.links import Links
-from poplarrun.peers import HeldSessions, PeerBook, SessionAnswer, SessionAsk, encode_message
+from poplarrun.peers import HeldSessions, PeerTable, SessionAnswer, SessionQuery, encode_message
 from poplarrun.rollouts import HeldSession, Rollouts, SessionKey
 from poplarrun.routing import Work
 from poplarrun.transport import boot_time
@@ -25,15 +25,15 @@
     answer: asyncio.Future[bool]
 
 
-class SessionKeeping:
+class SessionLookup:
     """What a host tells, asks and answers of sessions.
 
     A few hosts keep each session, found by its hash, so that the messages for a request do
     not grow with the number of hosts.
     """
 
-    def __init__(self, book: PeerBook, links: Links, rollouts: Rollouts) -> None:
-        self._book = book
+    def __init__(self, peer_table: PeerTable, links: Links, rollouts: Rollouts) -> None:
+        self._peer_table = peer_table
         self._links = links
         self._rollouts = rollouts
         self._numbers = itertools.count(1)
@@ -54,7 +54,7 @@
             key = SessionKey(message.service, number)
             self._rollouts.sessions.take(HeldSession(key, message.offset))
 
-    def answer(self, ask: SessionAsk) -> None:
+    def answer(self, ask: SessionQuery) -> None:
         """Answer a host that asks."""
         held = HeldSession(SessionKey(ask.service, ask.number), ask.offset)
         is_held = self._rollouts.sessions.is_held(held)
@@ -71,7 +71,7 @@
         if answer.is_held or question.missing <= 0:
             question.answer.set_result(answer.is_held)
 
-    async def learn(self, work: Work) -> bool:
+    async def resolve(self, work: Work) -> bool:
         """Find out whether a request's session is held; False when nobody said so in time.
 
         Only sessions that the trial would take are asked for.
@@ -87,7 +87,9 @@
         question = _Question(held, needed, asyncio.get_running_loop().create_future())
         self._questions[number] = question
         service, session = held.key.service, held.key.number
-        ask = encode_message(SessionAsk(self._book.address, number, service, held.offset, session))
+        ask = encode_message(
+            SessionQuery(self._peer_table.address, number, service, held.offset, session)
+        )
         try:
             for keeper in keepers:
                 self._links.send(keeper, ask)
@@ -100,5 +102,5 @@
 
     def _keepers(self, key: SessionKey) -> list[str]:
         """Return the other hosts that keep a session."""
-        keepers = self._book.keepers(f"{key.service}/{key.number}")
-        return [keeper for keeper in keepers if keeper != self._book.address]
+        keepers = self._peer_table.keepers(f"{key.service}/{key.number}")
+        return [keeper for keeper in keepers if keeper != self._peer_table.address]
--- a/poplarrun/hosts/__init__.py
+++ b/poplarrun/hosts/__init__.py
@@ -1,10 +1,10 @@
 """The other entry hosts: who is live, messages to them, who usually does a job."""
 
-from poplarrun.hosts._listed import ListedHosts, Listing, reconcile
-from poplarrun.hosts._memory import MemoryNetwork, MemoryPeers
+from poplarrun.hosts._listed import ListedHostTable, ListedState, describe_host_state
+from poplarrun.hosts._memory import MemoryPeerNetwork, MemoryPeers
 from poplarrun.hosts._network import NetworkPeers
 from poplarrun.hosts._peers import (
-    Gathered,
+    CollectedSummaries,
     Handler,
     Peer,
     Peers,
@@ -12,23 +12,23 @@
     SummaryTopic,
     ZoneView,
 )
-from poplarrun.hosts._polls import LONGEST_PERIOD_S, TURN_S, StreamPoll
+from poplarrun.hosts._polls import MAX_POLL_INTERVAL_S, SHARED_POLL_INTERVAL_S, StreamPoller
 
 __all__ = [
-    "LONGEST_PERIOD_S",
-    "TURN_S",
-    "Gathered",
+    "MAX_POLL_INTERVAL_S",
+    "SHARED_POLL_INTERVAL_S",
+    "CollectedSummaries",
     "Handler",
-    "ListedHosts",
-    "Listing",
-    "MemoryNetwork",
+    "ListedHostTable",
+    "ListedState",
+    "MemoryPeerNetwork",
     "MemoryPeers",
     "NetworkPeers",
     "Peer",
     "PeerSilent",
     "Peers",
-    "StreamPoll",
+    "StreamPoller",
     "SummaryTopic",
     "ZoneView",
-    "reconcile",
+    "describe_host_state",
 ]
--- a/poplarrun/hosts/_gossip.py
+++ b/poplarrun/hosts/_gossip.py
@@ -106,7 +106,7 @@
             return []
         return self._pass_announcement(item, now)
 
-    def announced(self, topic: str) -> Item | None:
+    def highest_announced(self, topic: str) -> Item | None:
         """Return the highest announcement of a topic that was heard."""
         return self.store.get(ANNOUNCEMENT_PREFIX + topic)
 
@@ -218,7 +218,7 @@
             if item.key.startswith(MEMBER_PREFIX):
                 self._note_member(item, now)
             elif item.key.startswith(ZONE_PREFIX):
-                self.zones.note_item(item, now)
+                self.zones.apply_item(item, now)
         return datagrams
 
     def _may_tell(self, envelope: Envelope, item: Item) -> bool:
@@ -234,7 +234,7 @@
 
     def _note_member(self, item: Item, now: float) -> None:
         before = self.me
-        self.membership.note_item(item, now)
+        self.membership.apply_item(item, now)
         if self.me.incarnation != before.incarnation:
             self.summaries.renew(self.me)
         member = self.membership.find(item.key[len(MEMBER_PREFIX) :])
--- a/poplarrun/hosts/_listed.py
+++ b/poplarrun/hosts/_listed.py
@@ -11,7 +11,7 @@
 DIFFERS = "host_list_differs"
 
 
-class Listing(enum.Enum):
+class ListedState(enum.Enum):
     """What the list says of one host; ``UNKNOWN`` when it names no entry host at all."""
 
     LIVE = "listed live"
@@ -20,7 +20,7 @@
     UNKNOWN = "unknown"
 
 
-def reconcile(listing: Listing, seen: str | None) -> str | None:
+def describe_host_state(listing: ListedState, seen: str | None) -> str | None:
     """Return what ``status`` shows of a host; None for one that is not shown.
 
     Membership decides who is a peer: it sees in seconds what the list tells
@@ -35,24 +35,24 @@
         alive, suspect, dead, left or silent; None when never seen.
     """
     match listing, seen:
-        case Listing.LIVE, None:
+        case ListedState.LIVE, None:
             return f"not seen, {listing.value}"
         case _, None:
             return None
-        case Listing.LIVE, "dead" | "left":
+        case ListedState.LIVE, "dead" | "left":
             return f"{seen}, {listing.value}"
-        case Listing.LEAVING, "alive":
+        case ListedState.LEAVING, "alive":
             return f"alive, {listing.value}"
-        case Listing.LEAVING, "dead":
+        case ListedState.LEAVING, "dead":
             # It ended as planned and was too quick to say so.
             return "left"
-        case Listing.ABSENT, "alive":
+        case ListedState.ABSENT, "alive":
             return f"alive, {listing.value}"
         case _:
             return seen
 
 
-class ListedHosts:
+class ListedHostTable:
     """Keeps the listed entry hosts, and tells where they differ from what is seen.
 
     Parameters
@@ -67,10 +67,12 @@
         self._differs_since: dict[str, float] = {}
         self._counted: set[str] = set()
 
-    def take(self, listed: Iterable[ListedHost], views: Iterable[ZoneView], now: float) -> None:
+    def apply_list(
+        self, listed: Iterable[ListedHost], views: Iterable[ZoneView], now: float
+    ) -> None:
         """Take over a list that was just read."""
         self._listed = {host.name: host for host in listed if host.kind is HostKind.ENTRY}
-        shown = {name: text for view in views for name, text in self.show(view).items()}
+        shown = {name: text for view in views for name, text in self.describe_zone(view).items()}
         differing = {name for name, text in shown.items() if ", " in text}
         self._differs_since = {n: self._differs_since.get(n, now) for n in differing}
         lasting = {n for n, since in self._differs_since.items() if now - since >= LAG_S}
@@ -78,22 +80,22 @@
             self._count(DIFFERS)
         self._counted = lasting
 
-    def show(self, view: ZoneView) -> Mapping[str, str]:
+    def describe_zone(self, view: ZoneView) -> Mapping[str, str]:
         """Return the states of a zone's hosts, those that are only listed among them."""
         listed_here = [name for name, host in self._listed.items() if host.zone == view.zone]
         shown = {
-            name: reconcile(self._listing_of(name), view.hosts.get(name))
+            name: describe_host_state(self._listing_of(name), view.hosts.get(name))
             for name in sorted({*view.hosts, *listed_here})
         }
         return {name: text for name, text in shown.items() if text is not None}
 
-    def _listing_of(self, name: str) -> Listing:
+    def _listing_of(self, name: str) -> ListedState:
         if not self._listed:
-            return Listing.UNKNOWN
+            return ListedState.UNKNOWN
         match self._listed.get(name):
             case None:
-                return Listing.ABSENT
+                return ListedState.ABSENT
             case ListedHost(state=HostState.LEAVING):
-                return Listing.LEAVING
+                return ListedState.LEAVING
             case _:
-                return Listing.LIVE
+                return ListedState.LIVE
--- a/poplarrun/hosts/_membership.py
+++ b/poplarrun/hosts/_membership.py
@@ -185,7 +185,7 @@
         """Ping a host for another one, which gets the answer itself."""
         return [Outgoing(request.address, Ping(0, sender_address, request.number))]
 
-    def note_item(self, item: Item, now: float) -> None:
+    def apply_item(self, item: Item, now: float) -> None:
         """Take a member's item that the store found to be new."""
         member = read_member(item)
         if member is None or member.peer.zone != self.me.zone:
--- a/poplarrun/hosts/_memory.py
+++ b/poplarrun/hosts/_memory.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from poplarrun.hosts._peers import (
-    Gathered,
+    CollectedSummaries,
     Handler,
     Peer,
     PeerSilent,
@@ -13,7 +13,7 @@
 )
 
 
-class MemoryNetwork:
+class MemoryPeerNetwork:
     """Joins ``MemoryPeers`` of one process.
 
     Attributes
@@ -53,9 +53,9 @@
 
 
 class MemoryPeers:
-    """A ``Peers`` of one host on a ``MemoryNetwork``; membership is exact."""
+    """A ``Peers`` of one host on a ``MemoryPeerNetwork``; membership is exact."""
 
-    def __init__(self, network: MemoryNetwork, me: Peer) -> None:
+    def __init__(self, network: MemoryPeerNetwork, me: Peer) -> None:
         self._network = network
         self._me = me
         self.bytes_sent = 0
@@ -102,7 +102,7 @@
         """Replace this host's summary of a topic."""
         self._summaries[topic.name] = payload
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return the summaries of a topic that have been heard."""
         own: dict[str, bytes] = {}
         others: dict[str, list[bytes]] = {}
@@ -114,7 +114,9 @@
                 own[peer.name] = payload
             else:
                 others.setdefault(peer.zone, []).append(payload)
-        return Gathered(own, {zone: topic.merge(payloads) for zone, payloads in others.items()})
+        return CollectedSummaries(
+            own, {zone: topic.merge(payloads) for zone, payloads in others.items()}
+        )
 
     def start(self) -> None:
         """Begin to talk; nothing is needed here."""
@@ -128,7 +130,7 @@
         for peer in self.live():
             self._network.members[peer.name]._hear(topic, number)
 
-    def announced(self, topic: str) -> int:
+    def highest_announced(self, topic: str) -> int:
         """Return the highest number announced of a topic; -1 when none was heard."""
         return self._announced.get(topic, -1)
 
@@ -144,7 +146,7 @@
         return tuple(ZoneView(zone, False, 0.0, hosts) for zone, hosts in found.items())
 
     def _hear(self, topic: str, number: int) -> None:
-        if number <= self.announced(topic):
+        if number <= self.highest_announced(topic):
             return
         self._announced[topic] = number
         for callback in self._callbacks:
--- a/poplarrun/hosts/_network.py
+++ b/poplarrun/hosts/_network.py
@@ -8,7 +8,14 @@
 from poplarrun.hosts._gossip import Datagram, Gossip
 from poplarrun.hosts._items import Item
 from poplarrun.hosts._membership import MemberState
-from poplarrun.hosts._peers import Gathered, Handler, Peer, PeerSilent, SummaryTopic, ZoneView
+from poplarrun.hosts._peers import (
+    CollectedSummaries,
+    Handler,
+    Peer,
+    PeerSilent,
+    SummaryTopic,
+    ZoneView,
+)
 from poplarrun.hosts._wire import (
     PAYLOAD_BYTES,
     Envelope,
@@ -128,17 +135,19 @@
         """Replace this host's summary of a topic."""
         self.gossip.summaries.publish(topic, payload)
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return the summaries of a topic that have been heard."""
-        return self.gossip.summaries.gathered(topic, self.me, self.gossip.membership.live())
+        return self.gossip.summaries.collect_summaries(
+            topic, self.me, self.gossip.membership.live()
+        )
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
         """Tell every host of every zone at once; the highest number of a topic wins."""
         self._send_all(self.gossip.announce(topic, number, payload, self._clock()))
 
-    def announced(self, topic: str) -> int:
+    def highest_announced(self, topic: str) -> int:
         """Return the highest number announced of a topic; -1 when none was heard."""
-        item = self.gossip.announced(topic)
+        item = self.gossip.highest_announced(topic)
         return -1 if item is None else item.major
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
--- a/poplarrun/hosts/_peers.py
+++ b/poplarrun/hosts/_peers.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class CollectedSummaries:
     """The summaries of one topic that a host holds.
 
     Attributes
@@ -118,7 +118,7 @@
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
         """Replace this host's summary of a topic."""
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return the summaries of a topic that have been heard."""
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
@@ -127,7 +127,7 @@
         For rare events of a few bytes, such as a new configuration.
         """
 
-    def announced(self, topic: str) -> int:
+    def highest_announced(self, topic: str) -> int:
         """Return the highest number announced of a topic; -1 when none was heard."""
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
--- a/poplarrun/hosts/_polls.py
+++ b/poplarrun/hosts/_polls.py
@@ -8,15 +8,15 @@
 
 # While all is quiet the hosts together read a stream once in this time, each in its
 # turn; what one of them reads it announces, and the others read at once.
-TURN_S = 0.25
+SHARED_POLL_INTERVAL_S = 0.25
 # No host reads more rarely than this, should announcements be lost.
-LONGEST_PERIOD_S = 2.0
+MAX_POLL_INTERVAL_S = 2.0
 # After an announcement the reads of all hosts are spread over the time in which the log
 # can serve them.
 READS_PER_S = 200.0
 
 
-class StreamPoll:
+class StreamPoller:
     """Paces the reads of one stream at one host.
 
     Were each host to poll on its own, 390 hosts that must know of a record within
@@ -62,8 +62,10 @@
         reach, and the peers that it asked may not have had the news yet.
         """
         hosts = len(self._peers.live())
-        is_behind = is_behind or self._peers.announced(self._topic) > self._read_to()
-        turn_s = max(TURN_S, hosts / READS_PER_S) if is_behind else self._next_turn_s()
+        is_behind = is_behind or self._peers.highest_announced(self._topic) > self._read_to()
+        turn_s = (
+            max(SHARED_POLL_INTERVAL_S, hosts / READS_PER_S) if is_behind else self._next_turn_s()
+        )
         try:
             await asyncio.wait_for(self._woken.wait(), turn_s)
         except TimeoutError:
@@ -83,11 +85,11 @@
         period nobody would.
         """
         names = [peer.name for peer in self._peers.live()]
-        places = max(1, min(len(names), int(LONGEST_PERIOD_S / TURN_S)))
+        places = max(1, min(len(names), int(MAX_POLL_INTERVAL_S / SHARED_POLL_INTERVAL_S)))
         if not self._is_after_news or self._peers.me.name not in names:
-            return TURN_S * places
+            return SHARED_POLL_INTERVAL_S * places
         self._is_after_news = False
-        return TURN_S * (1 + names.index(self._peers.me.name) % places)
+        return SHARED_POLL_INTERVAL_S * (1 + names.index(self._peers.me.name) % places)
 
     def _note_announcement(self, topic: str, number: int) -> None:
         if topic == self._topic and number > self._read_to():
--- a/poplarrun/hosts/_summaries.py
+++ b/poplarrun/hosts/_summaries.py
@@ -4,7 +4,7 @@
 
 from poplarrun.hosts._items import Item, ItemStore
 from poplarrun.hosts._membership import Member
-from poplarrun.hosts._peers import Gathered, Peer, SummaryTopic
+from poplarrun.hosts._peers import CollectedSummaries, Peer, SummaryTopic
 from poplarrun.hosts._zones import Zones, zone_key
 
 SUMMARY_PREFIX = "s/"
@@ -65,7 +65,9 @@
                 found[topic.name] = topic.merge(list(payloads.values()))
         return found
 
-    def gathered(self, topic: SummaryTopic, me: Peer, live: Sequence[Member]) -> Gathered:
+    def collect_summaries(
+        self, topic: SummaryTopic, me: Peer, live: Sequence[Member]
+    ) -> CollectedSummaries:
         """Return the summaries of a topic that have been heard."""
         self.watch(topic)
         own = self._of_zone(topic.name, live)
@@ -76,7 +78,7 @@
             item = self._store.get(zone_key(zone, topic.name))
             if item is not None:
                 others[zone] = item.payload
-        return Gathered(own, others)
+        return CollectedSummaries(own, others)
 
     def _put(self, me: Peer, name: str, payload: bytes) -> None:
         key = _summary_key(me.name, name)
--- a/poplarrun/hosts/_zones.py
+++ b/poplarrun/hosts/_zones.py
@@ -95,7 +95,7 @@
         """Return which members of a zone speak for it."""
         return rank_hosts(f"gateway/{zone}", names)[:GATEWAYS]
 
-    def note_item(self, item: Item, now: float) -> None:
+    def apply_item(self, item: Item, now: float) -> None:
         """Take a zone's item that the store found to be new."""
         _, zone, subject = item.key.split("/", 2)
         if subject == BEAT:
@@ -149,7 +149,7 @@
         # unlike payloads; the checksum makes all hosts keep the same one.
         item = Item(key, stamp, zlib.crc32(payload), payload)
         if self._store.put(item):
-            self.note_item(item, now)
+            self.apply_item(item, now)
             self._spread(item)
 
     def _exchange(self) -> list[Outgoing]:
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -5,7 +5,7 @@
 
 from poplarrun.contracts import ClientAccount, Limits
 from poplarrun.errors import ErrorKind
-from poplarrun.hosts import Gathered, Peers
+from poplarrun.hosts import CollectedSummaries, Peers
 from poplarrun.limits._account import Account, kinds_of
 from poplarrun.limits._buckets import Spend
 from poplarrun.limits._loans import (
@@ -212,7 +212,7 @@
         round_s = max(ROUND_S, self._zone_hosts() * self._bytes / SUMMARY_BYTES_PER_S)
         self._round_ends_at = now + round_s - ROUND_S / 2.0
         self._begin_day(int(wall_s // SECONDS_PER_DAY))
-        gathered = self._peers.gathered(LIMITS_TOPIC)
+        gathered = self._peers.collect_summaries(LIMITS_TOPIC)
         own_zone, other_zones = self._decode_others(gathered)
         if not self._wait_for_start(other_zones):
             return
@@ -272,11 +272,13 @@
         return state
 
     def _first_parts(self, name: str, kinds: Iterable[LimitKind]) -> dict[LimitKind, float]:
-        gathered = self._peers.gathered(LIMITS_TOPIC)
+        gathered = self._peers.collect_summaries(LIMITS_TOPIC)
         own, far = self._decode_others(gathered)
         return {kind: self._start.first_part(name, kind, own, far) for kind in kinds}
 
-    def _decode_others(self, gathered: Gathered) -> tuple[dict[str, Summary], dict[str, Summary]]:
+    def _decode_others(
+        self, gathered: CollectedSummaries
+    ) -> tuple[dict[str, Summary], dict[str, Summary]]:
         own = {
             host: decode(payload)
             for host, payload in gathered.own_zone.items()
@@ -319,7 +321,7 @@
             state.spend = Spend(part=state.spend.part)
             state.spent_by_host.clear()
 
-    def _hear_zones(self, gathered: Gathered) -> tuple[frozenset[str], bool]:
+    def _hear_zones(self, gathered: CollectedSummaries) -> tuple[frozenset[str], bool]:
         others = [zone for zone in self._peers.zones() if zone.zone != self._peers.me.zone]
         silent = frozenset(zone.zone for zone in others if zone.silent)
         late = [zone for zone in others if not zone.silent and zone.silence_s > LATE_AFTER_S]
--- a/poplarrun/links/_interface.py
+++ b/poplarrun/links/_interface.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-Receive = Callable[[bytes], None]
+ReceiveCallback = Callable[[bytes], None]
 
 # Larger messages are dropped by the receiving side before they are decoded.
 MAX_MESSAGE_BYTES = 256 * 1024
@@ -26,7 +26,7 @@
     bytes_sent: int
     bytes_received: int
 
-    def start(self, receive: Receive) -> None:
+    def start(self, receive: ReceiveCallback) -> None:
         """Begin to receive; called on the loop."""
 
     def send(self, address: str, data: bytes) -> bool:
--- a/poplarrun/links/_memory.py
+++ b/poplarrun/links/_memory.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from poplarrun.links._interface import MAX_MESSAGE_BYTES, Receive
+from poplarrun.links._interface import MAX_MESSAGE_BYTES, ReceiveCallback
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,16 +16,16 @@
     ----------
     delay_s, jitter_s : float
         Time one way, and the most that is added to it at random, in seconds.
-    loss : float
+    loss_probability : float
         Share of messages that are dropped.
     """
 
     delay_s: float = 0.0005
     jitter_s: float = 0.0
-    loss: float = 0.0
+    loss_probability: float = 0.0
 
 
-class MemoryNetwork:
+class MemoryLinkNetwork:
     """Joins the ``MemoryLinks`` of one loop.
 
     Cuts name groups: a host's address, or its zone. A message passes unless
@@ -48,7 +48,7 @@
         self.faults = faults or LinkFaults()
         self.zone_faults = zone_faults or LinkFaults(delay_s=0.004, jitter_s=0.002)
         self.cuts: set[tuple[str, str]] = set()
-        self.ends: dict[str, MemoryLinks] = {}
+        self.links_by_address: dict[str, MemoryLinks] = {}
         self._random = source
 
     def cut(self, some: Iterable[str], others: Iterable[str], one_way: bool = False) -> None:
@@ -63,13 +63,13 @@
         """Let everything pass again."""
         self.cuts.clear()
 
-    def carry(self, sender: "MemoryLinks", address: str, data: bytes) -> None:
+    def transmit(self, sender: "MemoryLinks", address: str, data: bytes) -> None:
         """Deliver a message later, or drop it without a word, as TCP to a dead host does."""
-        end = self.ends.get(address)
+        end = self.links_by_address.get(address)
         if end is None or end.receive is None or not self._passes(sender, end):
             return
         faults = self.faults if sender.zone == end.zone else self.zone_faults
-        if self._random.random() < faults.loss:
+        if self._random.random() < faults.loss_probability:
             return
         delay_s = faults.delay_s + self._random.random() * faults.jitter_s
         asyncio.get_running_loop().call_later(delay_s, self._deliver, sender, end, data)
@@ -85,27 +85,27 @@
 
 
 class MemoryLinks:
-    """The ``Links`` of one host on a ``MemoryNetwork``."""
+    """The ``Links`` of one host on a ``MemoryLinkNetwork``."""
 
-    def __init__(self, network: MemoryNetwork, address: str, zone: str) -> None:
+    def __init__(self, network: MemoryLinkNetwork, address: str, zone: str) -> None:
         self.address = address
         self.zone = zone
-        self.receive: Receive | None = None
+        self.receive: ReceiveCallback | None = None
         self.bytes_sent = 0
         self.bytes_received = 0
         self._network = network
 
-    def start(self, receive: Receive) -> None:
+    def start(self, receive: ReceiveCallback) -> None:
         """Begin to receive."""
         self.receive = receive
-        self._network.ends[self.address] = self
+        self._network.links_by_address[self.address] = self
 
     def send(self, address: str, data: bytes) -> bool:
         """Hand a message over for sending; False when it was dropped at once."""
         if self.receive is None or len(data) > MAX_MESSAGE_BYTES:
             return False
         self.bytes_sent += len(data)
-        self._network.carry(self, address, data)
+        self._network.transmit(self, address, data)
         return True
 
     def close_idle(self, now: float) -> int:
@@ -115,5 +115,5 @@
     def stop(self) -> None:
         """Stop receiving."""
         self.receive = None
-        if self._network.ends.get(self.address) is self:
-            del self._network.ends[self.address]
+        if self._network.links_by_address.get(self.address) is self:
+            del self._network.links_by_address[self.address]
--- a/poplarrun/links/_nng.py
+++ b/poplarrun/links/_nng.py
@@ -8,7 +8,7 @@
 
 import pynng
 
-from poplarrun.links._interface import MAX_MESSAGE_BYTES, Receive
+from poplarrun.links._interface import MAX_MESSAGE_BYTES, ReceiveCallback
 from poplarrun.logs import part_logger
 
 MAX_CONNECTIONS = 128
@@ -81,7 +81,7 @@
         """Connections that this host dialled and keeps."""
         return len(self._connections)
 
-    def start(self, receive: Receive) -> None:
+    def start(self, receive: ReceiveCallback) -> None:
         """Listen; called on the loop."""
         self._listening = self._listen()
         self._task = asyncio.get_running_loop().create_task(self._receive_all(receive))
@@ -114,7 +114,7 @@
             self._listening.close()
         self._close_connections()
 
-    async def _receive_all(self, receive: Receive) -> None:
+    async def _receive_all(self, receive: ReceiveCallback) -> None:
         while not self._stopped:
             try:
                 if self._listening is None:
--- a/poplarrun/peers/_messages.py
+++ b/poplarrun/peers/_messages.py
@@ -21,7 +21,7 @@
     pending_ms: int
 
 
-class RolloutNews(msgspec.Struct, frozen=True, array_like=True):
+class RolloutProgress(msgspec.Struct, frozen=True, array_like=True):
     """What the sender knows of a roll-out.
 
     Attributes
@@ -43,7 +43,7 @@
     shifted_age_s: float | None
 
 
-class TallyNews(msgspec.Struct, frozen=True, array_like=True):
+class VersionTally(msgspec.Struct, frozen=True, array_like=True):
     """What some hosts saw of a version in a kind of work."""
 
     service: str
@@ -71,7 +71,7 @@
     FLEET = 3
 
 
-class Share(msgspec.Struct, frozen=True, array_like=True):
+class ActivityTotals(msgspec.Struct, frozen=True, array_like=True):
     """What some hosts run at endpoints and saw of versions, added up.
 
     Attributes
@@ -82,10 +82,10 @@
 
     hosts: int
     loads: list[EndpointLoad] = []
-    tallies: list[TallyNews] = []
+    tallies: list[VersionTally] = []
 
 
-class RosterMark(msgspec.Struct, frozen=True, array_like=True):
+class RosterFingerprint(msgspec.Struct, frozen=True, array_like=True):
     """Stands for the list of a zone's hosts that the sender takes to be alive.
 
     Attributes
@@ -129,7 +129,7 @@
         Stamp of the digest of the receiver whose loads and tallies are in ``share``; 0 for
         none.
     share : bytes
-        A ``Share`` as bytes; empty for the scope ``NONE``. It is the same for all receivers.
+        ``ActivityTotals`` as bytes; empty for the scope ``NONE``. The same for all receivers.
     """
 
     address: str
@@ -146,19 +146,19 @@
     scope: Scope = Scope.NONE
     counted: float = 0.0
     share: bytes = b""
-    rollouts: list[RolloutNews] = []
-    marks: list[RosterMark] = []
+    rollouts: list[RolloutProgress] = []
+    marks: list[RosterFingerprint] = []
 
 
-class RosterAsk(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Asks for the list behind a ``RosterMark``."""
+class RosterRequest(msgspec.Struct, frozen=True, array_like=True, tag=9):
+    """Asks for the list behind a ``RosterFingerprint``."""
 
     address: str
     zone: str
 
 
 class Roster(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Answers a ``RosterAsk``.
+    """Answers a ``RosterRequest``.
 
     Attributes
     ----------
@@ -172,7 +172,7 @@
     age_s: float
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class StateRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Asks a peer for what it has and the sender lacks."""
 
     address: str
@@ -180,7 +180,7 @@
     wants_listing: bool
 
 
-class Listed(msgspec.Struct, frozen=True, array_like=True):
+class ListedEndpoint(msgspec.Struct, frozen=True, array_like=True):
     """An endpoint as the sender knows it."""
 
     lifetime: str
@@ -194,8 +194,8 @@
     sequence: int
 
 
-class Documents(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Answers an ``Ask``.
+class StateResponse(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """Answers a ``StateRequest``.
 
     Attributes
     ----------
@@ -207,7 +207,7 @@
 
     address: str
     config: bytes = b""
-    listed: list[Listed] = []
+    listed: list[ListedEndpoint] = []
     gone: list[str] = []
 
 
@@ -218,7 +218,7 @@
     value: bytes | None
 
 
-class Changes(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class EndpointChanges(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """What the sender has just read of the listed endpoints.
 
     Attributes
@@ -253,7 +253,7 @@
     numbers: list[int]
 
 
-class SessionAsk(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class SessionQuery(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Asks whether a session stays on the old version.
 
     Attributes
@@ -270,7 +270,7 @@
 
 
 class SessionAnswer(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Answers a ``SessionAsk``."""
+    """Answers a ``SessionQuery``."""
 
     question: int
     is_held: bool
@@ -278,19 +278,19 @@
 
 Message = (
     Digest
-    | Ask
-    | Documents
-    | Changes
+    | StateRequest
+    | StateResponse
+    | EndpointChanges
     | HeldSessions
-    | SessionAsk
+    | SessionQuery
     | SessionAnswer
-    | RosterAsk
+    | RosterRequest
     | Roster
 )
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Message)
-_SHARE_DECODER = msgspec.msgpack.Decoder(Share)
+_SHARE_DECODER = msgspec.msgpack.Decoder(ActivityTotals)
 
 
 def encode_message(message: Message) -> bytes:
@@ -306,12 +306,12 @@
         return None
 
 
-def encode_share(share: Share) -> bytes:
+def encode_totals(share: ActivityTotals) -> bytes:
     """Return a share as bytes."""
     return _ENCODER.encode(share)
 
 
-def decode_share(data: bytes) -> Share | None:
+def decode_totals(data: bytes) -> ActivityTotals | None:
     """Return a share; None where the bytes hold none."""
     try:
         return _SHARE_DECODER.decode(data)
--- a/poplarrun/peers/_peer.py
+++ b/poplarrun/peers/_peer.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Peer:
+class PeerState:
     """Another host.
 
     Attributes
--- a/poplarrun/peers/_book.py
+++ b/poplarrun/peers/_peer_table.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from poplarrun.peers._messages import Digest, Scope
-from poplarrun.peers._peer import ALIVE_S, RELAY_SILENT_S, Peer
+from poplarrun.peers._peer import ALIVE_S, RELAY_SILENT_S, PeerState
 from poplarrun.rendezvous import Ranking, rank_hosts
 
 # A zone of which no host has been heard of for so long is taken for cut off, in seconds:
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
+class DueDigest:
     """A digest that is due.
 
     Attributes
@@ -50,7 +50,7 @@
         What it adds up.
     """
 
-    peer: Peer
+    peer: PeerState
     scope: Scope
 
 
@@ -69,14 +69,14 @@
     """
 
     at: float
-    by_zone: dict[str, list[Peer]]
-    lost: list[Peer]
+    by_zone: dict[str, list[PeerState]]
+    lost: list[PeerState]
     zones: set[str]
     relays: dict[str, list[str]] = field(default_factory=dict)
 
 
 @dataclass
-class PeerBook:
+class PeerTable:
     """Peers by address.
 
     In each zone the first hosts by rendezvous hashing are its relays. All hosts of the zone
@@ -93,20 +93,20 @@
 
     address: str
     zone: str
-    _peers: dict[str, Peer] = field(default_factory=dict)
+    _peers: dict[str, PeerState] = field(default_factory=dict)
     _zone_heard_at: dict[str, float] = field(default_factory=dict)
     _rankings: dict[str, Ranking] = field(default_factory=dict)
     _reporting: set[str] = field(default_factory=set)
     _last_census: _Census | None = None
     _forgot_at: float = -math.inf
 
-    def name(self, address: str, now: float, zone: str = "") -> None:
+    def add_address(self, address: str, now: float, zone: str = "") -> None:
         """Take in that a host may be at an address."""
         if address == self.address:
             return
         if address not in self._peers:
             self._last_census = None
-        peer = self._peers.setdefault(address, Peer(address))
+        peer = self._peers.setdefault(address, PeerState(address))
         peer.zone = peer.zone or zone
         peer.first_named_at = min(peer.first_named_at, now)
         peer.named_at = now
@@ -118,11 +118,11 @@
             return False
         return now - max(peer.first_named_at, peer.last_known_at) > bound_s
 
-    def take(self, digest: Digest, now: float) -> bool:
+    def apply_digest(self, digest: Digest, now: float) -> bool:
         """Take in a digest; False where it is older than the last one of its sender."""
         if digest.address == self.address:
             return False
-        peer = self._peers.setdefault(digest.address, Peer(digest.address))
+        peer = self._peers.setdefault(digest.address, PeerState(digest.address))
         # A host that started anew has a later clock as well, as hosts don't go back
         # in time; one that was replaced may have an earlier one.
         if digest.stamp <= peer.last_stamp and now - peer.heard_at < ALIVE_S:
@@ -137,7 +137,7 @@
         self._note_zone(digest.zone, now)
         return True
 
-    def find(self, address: str) -> Peer | None:
+    def find(self, address: str) -> PeerState | None:
         """Return a host by its address."""
         return self._peers.get(address)
 
@@ -168,15 +168,15 @@
         """Whether no other host is known of."""
         return not self._peers
 
-    def alive(self, now: float) -> list[Peer]:
+    def alive_peers(self, now: float) -> list[PeerState]:
         """Return the hosts that were heard of lately, by this host or a relay."""
         return [peer for peers in self._census(now).by_zone.values() for peer in peers]
 
-    def near(self, now: float) -> list[Peer]:
+    def zone_peers(self, now: float) -> list[PeerState]:
         """Return the hosts of the own zone that were heard of lately."""
         return self.alive_in(self.zone, now)
 
-    def alive_in(self, zone: str, now: float) -> list[Peer]:
+    def alive_in(self, zone: str, now: float) -> list[PeerState]:
         """Return the hosts of a zone that were heard of lately."""
         return self._census(now).by_zone.get(zone, [])
 
@@ -196,7 +196,7 @@
 
     def silent_zones(self, now: float) -> frozenset[str]:
         """Return the other zones that had hosts, of which none is heard any more."""
-        bound_s = SILENT_S if self.is_relay(now) else SILENT_S + RELAYED_S
+        bound_s = SILENT_S if self.is_aggregator(now) else SILENT_S + RELAYED_S
         heard = {zone for zone, at in self._zone_heard_at.items() if now - at < bound_s}
         had_hosts = self._census(now).zones & self._zone_heard_at.keys()
         return frozenset(had_hosts - heard - {self.zone})
@@ -206,7 +206,7 @@
 
     # Relays
 
-    def relays(self, zone: str, now: float) -> list[str]:
+    def aggregators(self, zone: str, now: float) -> list[str]:
         """Return the addresses of a zone's relays, this host's possibly included.
 
         The hosts that read the store for the zone are among them: what they prove to a host
@@ -245,9 +245,9 @@
                 break
         return found
 
-    def is_relay(self, now: float) -> bool:
+    def is_aggregator(self, now: float) -> bool:
         """Tell whether this host adds up for its zone."""
-        return self.address in self.relays(self.zone, now)
+        return self.address in self.aggregators(self.zone, now)
 
     def zone_age_s(self, zone: str, now: float) -> float:
         """Return how long ago a zone was last heard of."""
@@ -273,7 +273,7 @@
                 continue
             peer = self._peers.get(address)
             if peer is None:
-                peer = self._peers[address] = Peer(address)
+                peer = self._peers[address] = PeerState(address)
                 self._last_census = None
             peer.zone = zone
             if is_first_hand:
@@ -298,7 +298,7 @@
         far_s: float,
         fleet_s: float,
         news_at: float = -math.inf,
-    ) -> list[Telling]:
+    ) -> list[DueDigest]:
         """Return the digests that should go out now.
 
         Parameters
@@ -310,14 +310,14 @@
             Since when there is something that can't wait for the end of a pause.
         """
         self._forget(now)
-        relays = self.relays(self.zone, now)
+        relays = self.aggregators(self.zone, now)
         tellings = [
-            Telling(self._peers[each], Scope.HOST) for each in relays if each in self._peers
+            DueDigest(self._peers[each], Scope.HOST) for each in relays if each in self._peers
         ]
         self._note_reports({telling.peer.address for telling in tellings}, now)
         due = [each for each in tellings if each.peer.is_due(now, near_s, news_at)]
         due += [
-            Telling(peer, Scope.FLEET)
+            DueDigest(peer, Scope.FLEET)
             for peer in self.served(now)
             if peer.address not in relays and peer.is_due(now, fleet_s, news_at)
         ]
@@ -328,9 +328,9 @@
             telling.peer.told_at = now
         return due
 
-    def served(self, now: float) -> list[Peer]:
+    def served(self, now: float) -> list[PeerState]:
         """Return the hosts of the own zone that report to this one."""
-        return [peer for peer in self.near(now) if now - peer.reported_at < REPORTED_S]
+        return [peer for peer in self.zone_peers(now) if now - peer.reported_at < REPORTED_S]
 
     def _note_reports(self, relays: set[str], now: float) -> None:
         for address in self._reporting - relays:
@@ -341,30 +341,30 @@
             self._peers[address].report_since = now
         self._reporting = relays
 
-    def _due_far(self, now: float, far_s: float, news_at: float) -> list[Telling]:
+    def _due_far(self, now: float, far_s: float, news_at: float) -> list[DueDigest]:
         zones = sorted(self._census(now).zones - {"", self.zone})
-        peers = [self._peers[address] for zone in zones for address in self.relays(zone, now)]
-        return [Telling(peer, Scope.ZONE) for peer in peers if peer.is_due(now, far_s, news_at)]
+        peers = [self._peers[address] for zone in zones for address in self.aggregators(zone, now)]
+        return [DueDigest(peer, Scope.ZONE) for peer in peers if peer.is_due(now, far_s, news_at)]
 
-    def _probes(self, now: float) -> list[Telling]:
+    def _probes(self, now: float) -> list[DueDigest]:
         """Return some hosts that are not known to live, where one of their zone is needed."""
         census = self._census(now)
         if not census.lost:
             return []
         needed = {""}
-        if not any(now - peer.heard_at < RELAY_SILENT_S for peer in self.near(now)):
+        if not any(now - peer.heard_at < RELAY_SILENT_S for peer in self.zone_peers(now)):
             needed.add(self.zone)
-        is_relay = self.is_relay(now)
-        if is_relay:
+        is_aggregator = self.is_aggregator(now)
+        if is_aggregator:
             needed |= census.zones - census.by_zone.keys() - {self.zone}
         unknown = [
             peer
             for peer in census.lost
             if (peer.zone in needed and now - peer.told_at >= PROBE_S)
-            or (is_relay and peer.zone == self.zone and now - peer.told_at >= LOST_PROBE_S)
+            or (is_aggregator and peer.zone == self.zone and now - peer.told_at >= LOST_PROBE_S)
         ]
         unknown.sort(key=lambda peer: peer.told_at)
-        return [Telling(peer, Scope.NONE) for peer in unknown[:PROBES]]
+        return [DueDigest(peer, Scope.NONE) for peer in unknown[:PROBES]]
 
     def _forget(self, now: float) -> None:
         if now - self._forgot_at < FORGET_PAUSE_S:
@@ -377,9 +377,9 @@
 
     # Who does what
 
-    def near_place(self, topic: str, now: float) -> int:
+    def reader_rank(self, topic: str, now: float) -> int:
         """Return how many live hosts of the own zone come before this one in reading."""
-        hosts = [self.address, *(peer.address for peer in self.near(now))]
+        hosts = [self.address, *(peer.address for peer in self.zone_peers(now))]
         return self._rank(topic, self.zone, hosts).index(self.address)
 
     def keepers(self, session: str) -> list[str]:
@@ -390,9 +390,9 @@
         """
         return rank_hosts(session, [self.address, *self._peers])[:KEEPERS]
 
-    def turn(self, job: str, now: float) -> int:
+    def job_rank(self, job: str, now: float) -> int:
         """Return how many live hosts come before this one for a job."""
-        hosts = [self.address, *(peer.address for peer in self.alive(now))]
+        hosts = [self.address, *(peer.address for peer in self.alive_peers(now))]
         return self._rank(job, "", hosts).index(self.address)
 
     def _rank(self, key: str, group: str, hosts: list[str]) -> list[str]:
@@ -400,5 +400,5 @@
         return ranking.rank(key, tuple(sorted(hosts)))
 
 
-def _any_heard(peers: list[Peer], now: float) -> bool:
+def _any_heard(peers: list[PeerState], now: float) -> bool:
     return any(now - peer.heard_at < ALIVE_S for peer in peers)
--- a/poplarrun/peers/_duty.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadTimes:
+class ReadTimeouts:
     """How long reads of the store take, and hosts wait for each other's.
 
     Attributes
@@ -39,7 +39,7 @@
     outage_s: float
 
     @classmethod
-    def within(cls, bound_s: float) -> "ReadTimes":
+    def within(cls, bound_s: float) -> "ReadTimeouts":
         """Return the times that keep a bound.
 
         Parameters
@@ -52,11 +52,11 @@
         return cls(held_s, patience_s, patience_s + OUTAGE_MARGIN_S)
 
 
-USUAL_TIMES = ReadTimes.within(USUAL_BOUND_S)
+DEFAULT_READ_TIMEOUTS = ReadTimeouts.within(USUAL_BOUND_S)
 
 
 @dataclass
-class ReadDuty:
+class ReadSchedule:
     """Whether this host reads a topic now, or goes on by what its zone's reader proves.
 
     The first in line of a zone reads all the time and tells the others what it read, and
@@ -70,7 +70,7 @@
         Whether a peer has more than this host.
     """
 
-    times: ReadTimes = USUAL_TIMES
+    times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     is_behind: bool = False
 
     def wait_s(self, place: int, true_at: float, now: float) -> float:
--- a/poplarrun/peers/_rosters.py
+++ b/poplarrun/peers/_rosters.py
@@ -4,9 +4,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from poplarrun.peers._book import PeerBook
-from poplarrun.peers._messages import Roster, RosterMark
+from poplarrun.peers._messages import Roster, RosterFingerprint
 from poplarrun.peers._peer import ALIVE_S, TOLD_ALIVE_S
+from poplarrun.peers._peer_table import PeerTable
 from poplarrun.rendezvous import salt_of
 
 # A list whose mark was not told for so long holds no more, in seconds: its host is dead, or
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class _Listed:
+class _KnownRoster:
     """The hosts of a zone, as one host lists them.
 
     Attributes
@@ -39,10 +39,10 @@
     hosts on the list that its receiver has.
     """
 
-    _book: PeerBook
-    _listed: dict[tuple[str, str], _Listed] = field(default_factory=dict)
+    _peer_table: PeerTable
+    _listed: dict[tuple[str, str], _KnownRoster] = field(default_factory=dict)
 
-    def marks(self, is_far: bool, now: float) -> list[RosterMark]:
+    def marks(self, is_far: bool, now: float) -> list[RosterFingerprint]:
         """Return what stands for the lists of the zones' hosts.
 
         Parameters
@@ -51,25 +51,25 @@
             Whether a host of another zone is told, which needs the own zone's only: zones
             don't vouch for third ones.
         """
-        zones = {self._book.zone} if is_far else self._book.heard_zones(now)
+        zones = {self._peer_table.zone} if is_far else self._peer_table.heard_zones(now)
         return [
-            RosterMark(zone, mark_of(self.roster(zone, now)), self.roster_age_s(zone, now))
+            RosterFingerprint(zone, mark_of(self.roster(zone, now)), self.roster_age_s(zone, now))
             for zone in sorted(zones)
         ]
 
     def roster(self, zone: str, now: float) -> list[str]:
         """Return the hosts of a zone that this one knows first-hand to be alive."""
-        peers = self._book.alive_in(zone, now)
-        if zone == self._book.zone:
+        peers = self._peer_table.alive_in(zone, now)
+        if zone == self._peer_table.zone:
             heard = [peer.address for peer in peers if now - peer.heard_at < ALIVE_S]
-            return [self._book.address, *heard]
+            return [self._peer_table.address, *heard]
         return [peer.address for peer in peers if peer.is_known_first_hand(now)]
 
     def roster_age_s(self, zone: str, now: float) -> float:
         """Return how long ago a zone was last heard of."""
-        return 0.0 if zone == self._book.zone else self._book.zone_age_s(zone, now)
+        return 0.0 if zone == self._peer_table.zone else self._peer_table.zone_age_s(zone, now)
 
-    def take_mark(self, source: str, source_zone: str, mark: RosterMark, now: float) -> bool:
+    def take_mark(self, source: str, source_zone: str, mark: RosterFingerprint, now: float) -> bool:
         """Take in that a host vouches for a zone's hosts; False where its list is not known."""
         if mark.age_s > TOLD_ALIVE_S:
             return True
@@ -83,19 +83,19 @@
             listed = next(same, None)
             if listed is None:
                 return False
-            listed = _Listed(listed.mark, listed.hosts, now)
+            listed = _KnownRoster(listed.mark, listed.hosts, now)
             self._list(source, mark.zone, listed)
         listed.confirmed_at = now
         is_first_hand = source_zone == mark.zone
-        self._book.vouch(mark.zone, listed.hosts, now - max(0.0, mark.age_s), is_first_hand)
+        self._peer_table.vouch(mark.zone, listed.hosts, now - max(0.0, mark.age_s), is_first_hand)
         return True
 
     def take_roster(self, roster: Roster, source_zone: str, now: float) -> None:
         """Take in the list of a zone's hosts."""
-        listed = _Listed(mark_of(roster.hosts), frozenset(roster.hosts), now)
+        listed = _KnownRoster(mark_of(roster.hosts), frozenset(roster.hosts), now)
         self._list(roster.address, roster.zone, listed)
         at = now - max(0.0, roster.age_s)
-        self._book.vouch(roster.zone, listed.hosts, at, source_zone == roster.zone)
+        self._peer_table.vouch(roster.zone, listed.hosts, at, source_zone == roster.zone)
 
     def forget(self, now: float) -> None:
         """Drop the lists that are not told any more."""
@@ -104,7 +104,7 @@
                 del self._listed[source, zone]
                 self._drop(zone, listed.hosts)
 
-    def _list(self, source: str, zone: str, listed: _Listed) -> None:
+    def _list(self, source: str, zone: str, listed: _KnownRoster) -> None:
         before = self._listed.get((source, zone))
         self._listed[source, zone] = listed
         if before is not None:
@@ -115,7 +115,7 @@
         lists = [each.hosts for (_, of), each in self._listed.items() if of == zone]
         # Where all lists of a zone are gone, its hosts count until their time is over.
         if lists:
-            self._book.drop_vouched(hosts.difference(*lists))
+            self._peer_table.drop_vouched(hosts.difference(*lists))
 
 
 def mark_of(hosts: Iterable[str]) -> int:
--- a/poplarrun/peers/_shares.py
+++ b/poplarrun/peers/_totals.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from poplarrun.peers._messages import EndpointLoad, Share, TallyNews
+from poplarrun.peers._messages import ActivityTotals, EndpointLoad, VersionTally
 
 # A share that is older counts no more, in seconds: its host may be dead, or its holder have
 # lost its zone.
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReceivedTotals:
     """A share that another host told.
 
     Attributes
@@ -25,20 +25,20 @@
         The sender's clock as it sent it.
     """
 
-    share: Share
+    share: ActivityTotals
     at: float
     stamp: float = 0.0
 
 
-class ShareSum:
+class TotalsAccumulator:
     """Adds shares up, or takes one of them out again."""
 
     def __init__(self) -> None:
         self.hosts = 0
         self._loads: dict[str, tuple[int, int]] = {}
-        self._tallies: dict[tuple[str, str, str], TallyNews] = {}
+        self._tallies: dict[tuple[str, str, str], VersionTally] = {}
 
-    def add(self, share: Share, sign: int = 1) -> None:
+    def add(self, share: ActivityTotals, sign: int = 1) -> None:
         """Add a share.
 
         Parameters
@@ -59,20 +59,20 @@
             self._tallies[key] = news if known is None else _add(known, news, sign)
 
     @property
-    def share(self) -> Share:
+    def share(self) -> ActivityTotals:
         """The sum."""
         loads = [
             EndpointLoad(lifetime, in_flight, pending_ms)
             for lifetime, (in_flight, pending_ms) in self._loads.items()
             if in_flight or pending_ms
         ]
-        return Share(self.hosts, loads, list(self._tallies.values()))
+        return ActivityTotals(self.hosts, loads, list(self._tallies.values()))
 
 
-def _add(one: TallyNews, other: TallyNews, sign: int) -> TallyNews:
+def _add(one: VersionTally, other: VersionTally, sign: int) -> VersionTally:
     # Endpoints that broke off are a set: taking them out would lose those that others saw.
     broken = sorted({*one.broken, *other.broken})
-    return TallyNews(
+    return VersionTally(
         one.service,
         one.version,
         one.kind,
@@ -85,16 +85,16 @@
     )
 
 
-def add_up(shares: Iterable[Share]) -> Share:
+def add_up(shares: Iterable[ActivityTotals]) -> ActivityTotals:
     """Return the sum of shares."""
-    total = ShareSum()
+    total = TotalsAccumulator()
     for share in shares:
         total.add(share)
     return total.share
 
 
 @dataclass
-class Shares:
+class TotalsTable:
     """What a host knows of the shares of all others.
 
     Its own zone's hosts tell theirs if they take it for a relay, relays of other zones tell
@@ -103,26 +103,26 @@
     begun, or hears few, hides nothing.
     """
 
-    _near: dict[str, Told] = field(default_factory=dict)
-    _zones: dict[str, dict[str, Told]] = field(default_factory=dict)
-    _fleet: dict[str, Told] = field(default_factory=dict)
-    _own: OrderedDict[float, Share] = field(default_factory=OrderedDict)
+    _near: dict[str, ReceivedTotals] = field(default_factory=dict)
+    _zones: dict[str, dict[str, ReceivedTotals]] = field(default_factory=dict)
+    _fleet: dict[str, ReceivedTotals] = field(default_factory=dict)
+    _own: OrderedDict[float, ActivityTotals] = field(default_factory=OrderedDict)
 
-    def note_own(self, share: Share, stamp: float) -> None:
+    def note_own(self, share: ActivityTotals, stamp: float) -> None:
         """Remember what this host told of itself."""
         self._own[stamp] = share
         while len(self._own) > OWN_KEPT:
             self._own.popitem(last=False)
 
-    def take_near(self, host: str, told: Told) -> None:
+    def take_near(self, host: str, told: ReceivedTotals) -> None:
         """Take in the own share of a host of the own zone."""
         self._near[host] = told
 
-    def take_zone(self, zone: str, host: str, told: Told) -> None:
+    def take_zone(self, zone: str, host: str, told: ReceivedTotals) -> None:
         """Take in the sum of another zone, as one of its hosts tells it."""
         self._zones.setdefault(zone, {})[host] = told
 
-    def take_fleet(self, host: str, told: Told, counted: float) -> None:
+    def take_fleet(self, host: str, told: ReceivedTotals, counted: float) -> None:
         """Take in the sum of all hosts, without what this one has told itself.
 
         Parameters
@@ -135,32 +135,32 @@
             own = self._own.get(counted)
             if own is None:
                 return
-            rest = ShareSum()
+            rest = TotalsAccumulator()
             rest.add(share)
             rest.add(own, -1)
             share = rest.share
-        self._fleet[host] = Told(share, told.at, told.stamp)
+        self._fleet[host] = ReceivedTotals(share, told.at, told.stamp)
 
     def stamp_of(self, host: str) -> float:
         """Return the stamp of the share of a host that counts in the sums told; 0 for none."""
         told = self._near.get(host)
         return 0.0 if told is None else told.stamp
 
-    def zone_sum(self, own: Share, now: float) -> Share:
+    def zone_sum(self, own: ActivityTotals, now: float) -> ActivityTotals:
         """Return the sum of the own zone, this host included."""
         _drop_old(self._near, now)
         return add_up([own, *(told.share for told in self._near.values())])
 
-    def far_sum(self, now: float) -> Share:
+    def far_sum(self, now: float) -> ActivityTotals:
         """Return the sum of all other zones."""
         found = [_best(tellers, now) for tellers in self._zones.values()]
         return add_up(told.share for told in found if told is not None)
 
-    def fleet_sum(self, own: Share, now: float) -> Share:
+    def fleet_sum(self, own: ActivityTotals, now: float) -> ActivityTotals:
         """Return the sum of all zones, this host included."""
         return add_up([self.zone_sum(own, now), self.far_sum(now)])
 
-    def others(self, now: float) -> Share:
+    def others(self, now: float) -> ActivityTotals:
         """Return the best known sum of all hosts but this one."""
         _drop_old(self._near, now)
         near = [told.share for told in self._near.values()]
@@ -169,12 +169,12 @@
         return known if told is None or told.share.hosts <= known.hosts else told.share
 
 
-def _drop_old(told: dict[str, Told], now: float) -> None:
+def _drop_old(told: dict[str, ReceivedTotals], now: float) -> None:
     for host in [host for host, each in told.items() if now - each.at > SHARE_KEPT_S]:
         del told[host]
 
 
-def _best(told: dict[str, Told], now: float) -> Told | None:
+def _best(told: dict[str, ReceivedTotals], now: float) -> ReceivedTotals | None:
     """Return the share that covers most hosts, the newest of these; None for none."""
     _drop_old(told, now)
     return max(told.values(), key=lambda each: (each.share.hosts, each.at), default=None)
--- a/poplarrun/platform/__init__.py
+++ b/poplarrun/platform/__init__.py
@@ -1,7 +1,7 @@
 """The users' platform: its names, formats and calls; nothing here decides."""
 
 from poplarrun.platform._documents import (
-    Malformed,
+    MalformedDocument,
     decode_catalogue,
     decode_order,
     decode_status,
@@ -21,21 +21,21 @@
     EndpointAnswer,
     decode_answer,
     decode_request,
-    encode_send,
+    encode_request_headers,
 )
 from poplarrun.platform._settings import (
     PATH_VARIABLE,
-    BadSettings,
+    InvalidSettings,
     NodeSettings,
     load_node_settings,
 )
 from poplarrun.platform._store import (
     Appended,
     Entry,
-    Forgotten,
+    LatestRecords,
     Moved,
-    Newest,
     NoAnswer,
+    OffsetExpired,
     Records,
     Refused,
     StoreClient,
@@ -51,15 +51,15 @@
     "STATUS_TOPIC",
     "Appended",
     "BadRequest",
-    "BadSettings",
     "EndpointAnswer",
     "Entry",
-    "Forgotten",
-    "Malformed",
+    "InvalidSettings",
+    "LatestRecords",
+    "MalformedDocument",
     "Moved",
-    "Newest",
     "NoAnswer",
     "NodeSettings",
+    "OffsetExpired",
     "Records",
     "Refused",
     "StoreClient",
@@ -69,7 +69,7 @@
     "decode_order",
     "decode_request",
     "decode_status",
-    "encode_send",
+    "encode_request_headers",
     "encode_status",
     "load_node_settings",
 ]
--- a/poplarrun/platform/_documents.py
+++ b/poplarrun/platform/_documents.py
@@ -5,7 +5,7 @@
 
 from msgspec import Meta, Struct
 
-from poplarrun.platform._validation import Invalid, validate
+from poplarrun.platform._validation import InvalidDocument, validate
 from poplarrun.routing import (
     Account,
     CallerLimits,
@@ -110,7 +110,7 @@
     service: str | None = None
 
 
-class Malformed(Exception):
+class MalformedDocument(Exception):
     """A document that has no effect; the text names the field."""
 
 
@@ -179,12 +179,12 @@
 
 def _route(route: _Route) -> Route:
     if route.type not in REPEATS:
-        raise Malformed(f"routes.{route.name}.type: {route.type!r} is not known")
+        raise MalformedDocument(f"routes.{route.name}.type: {route.type!r} is not known")
     shares = tuple(Share(split.service, split.weight) for split in route.split)
     if not shares and route.service is not None:
         shares = (Share(route.service, 1.0),)
     if not shares:
-        raise Malformed(f"routes.{route.name}.service: is missing")
+        raise MalformedDocument(f"routes.{route.name}.service: is missing")
     return Route(
         name=route.name,
         host=route.host.lower(),
@@ -215,7 +215,7 @@
 def _validate(model: type[M], value: bytes) -> M:
     try:
         return validate(model, json.loads(value))
-    except Invalid as error:
-        raise Malformed(str(error)) from error
+    except InvalidDocument as error:
+        raise MalformedDocument(str(error)) from error
     except (ValueError, RecursionError) as error:
-        raise Malformed(f"document: {error}") from error
+        raise MalformedDocument(f"document: {error}") from error
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -102,7 +102,7 @@
     )
 
 
-def encode_send(
+def encode_request_headers(
     work: Work, lifetime: str, time_left_s: float, urgency: int
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of one send to an endpoint.
--- a/poplarrun/platform/_settings.py
+++ b/poplarrun/platform/_settings.py
@@ -7,7 +7,7 @@
 import yaml
 from msgspec import Struct, field
 
-from poplarrun.platform._validation import Address, Invalid, validate
+from poplarrun.platform._validation import Address, InvalidDocument, validate
 
 PATH_VARIABLE = "POPLARRUN_NODE_FILE"
 # The platform reads metrics at a port that the deploy file names, while the ports of the
@@ -112,18 +112,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadSettings:
+class InvalidSettings:
     """Why a settings file can't be used, a line a field."""
 
     lines: tuple[str, ...]
 
 
-def load_node_settings(path: Path) -> NodeSettings | BadSettings:
+def load_node_settings(path: Path) -> NodeSettings | InvalidSettings:
     """Read the platform's settings file."""
     try:
         node = validate(_Node, yaml.safe_load(path.read_text()))
-    except (OSError, yaml.YAMLError, Invalid) as error:
-        return BadSettings((str(error),))
+    except (OSError, yaml.YAMLError, InvalidDocument) as error:
+        return InvalidSettings((str(error),))
     bounds = node.bounds
     first_port, last_port = node.port_range
     return NodeSettings(
--- a/poplarrun/platform/_store.py
+++ b/poplarrun/platform/_store.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Newest:
+class LatestRecords:
     """The newest record of each key."""
 
     entries: tuple[Entry, ...]
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forgotten:
+class OffsetExpired:
     """The records from this offset on are no longer kept.
 
     Attributes
@@ -146,7 +146,7 @@
 
     async def read(
         self, topic: str, offset: int, wait_s: float = 0.0
-    ) -> Records | Forgotten | Failure:
+    ) -> Records | OffsetExpired | Failure:
         """Read records with keys, waiting for the first one for some time."""
         query: dict[str, Any] = {"topic": topic, "part": 0, "from": offset}
         if wait_s > 0.0:
@@ -162,12 +162,12 @@
                 is_waited = not entries and wait_s > 0.0
                 return Records(entries, end, first, sent_at + (wait_s if is_waited else 0.0))
             case (410, body):
-                return Forgotten(int(_decode_json(body).get("first", 0)))
+                return OffsetExpired(int(_decode_json(body).get("first", 0)))
             case (status, body):
                 return Refused(status, _reason(body))
         return answer
 
-    async def newest(self, topic: str) -> Newest | Failure:
+    async def read_latest(self, topic: str) -> LatestRecords | Failure:
         """Read the newest record of each key, page by page.
 
         Pages are no snapshot: what changes meanwhile is read again from ``end`` on,
@@ -187,7 +187,7 @@
                     page = _decode_json(body)
                 case (404, _):
                     # A topic is created by its first record.
-                    return Newest((), 0, sent_at)
+                    return LatestRecords((), 0, sent_at)
                 case (status, body):
                     return Refused(status, _reason(body))
                 case failure:
@@ -196,7 +196,7 @@
             entries += [_decode_entry(entry) for entry in listed]
             end = page.get("end", 0) if end is None else end
             if not page.get("hasMore") or not listed:
-                return Newest(tuple(entries), int(end or 0), sent_at)
+                return LatestRecords(tuple(entries), int(end or 0), sent_at)
             after = listed[-1]["key"]
 
     async def append(
--- a/poplarrun/platform/_validation.py
+++ b/poplarrun/platform/_validation.py
@@ -11,7 +11,7 @@
 _MESSAGE = re.compile(r"(?P<text>.*?)(?: - at `(?:key in )?\$\.?(?P<place>.*)`)?", re.DOTALL)
 
 
-class Invalid(Exception):
+class InvalidDocument(Exception):
     """A document that doesn't fit its model; the text names the field."""
 
 
@@ -29,4 +29,4 @@
         match = _MESSAGE.fullmatch(str(error))
         assert match is not None, error
         place = (match["place"] or "document").replace("[", ".").replace("]", "")
-        raise Invalid(f"{place}: {match['text']}") from error
+        raise InvalidDocument(f"{place}: {match['text']}") from error
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -14,7 +14,7 @@
     LoadReport,
 )
 from poplarrun.endpoints import Endpoint, EndpointTable, LoadSharing
-from poplarrun.hosts import ListedHosts, Peers
+from poplarrun.hosts import ListedHostTable, Peers
 from poplarrun.metrics import Metrics
 
 FIRST_REPORTS_BOUND_S = 2.0
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.list_seen_at: float | None = None
-        self.entry_hosts = ListedHosts(metrics.count_event)
+        self.entry_hosts = ListedHostTable(metrics.count_event)
         self._peers = peers
         self._endpoints = table
         self._sharing = LoadSharing(peers, table)
@@ -88,7 +88,7 @@
                 self._metrics.count_event("host_list_failed")
             case listed:
                 self._endpoints.apply_list(listed, self._clock())
-                self.entry_hosts.take(listed, self._peers.zones(), self._clock())
+                self.entry_hosts.apply_list(listed, self._peers.zones(), self._clock())
                 self.list_seen_at = self.list_seen_at or self._clock()
 
     async def poll_loads(self) -> None:
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -269,7 +269,7 @@
 
     def _follow_orders(self) -> None:
         """Take over the drains and what comes, of every zone."""
-        gathered = self._peers.gathered(ORDERS_TOPIC)
+        gathered = self._peers.collect_summaries(ORDERS_TOPIC)
         own = [decode_orders(payload) for payload in gathered.own_zone.values()]
         heard = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
         heard[self._zone] = max(own, key=lambda s: s.stamp, default=OrdersSummary())
@@ -286,14 +286,14 @@
 
     def _demand(self) -> dict[str, DemandSummary]:
         """Return what each live host of the own zone tells; nothing counts as nothing applied."""
-        payloads = self._peers.gathered(DEMAND_TOPIC).own_zone
+        payloads = self._peers.collect_summaries(DEMAND_TOPIC).own_zone
         hosts = [peer.name for peer in self._peers.live() if peer.zone == self._zone]
         return {name: decode_demand(payloads.get(name, b"")) for name in hosts}
 
     def _other_zones(self) -> list[DemandSummary]:
         """Return what the zones tell that are heard; a silent one reaches no engine here."""
         silent = {view.zone for view in self._peers.zones() if view.silent}
-        payloads = self._peers.gathered(DEMAND_TOPIC).other_zones
+        payloads = self._peers.collect_summaries(DEMAND_TOPIC).other_zones
         return [decode_demand(p) for zone, p in payloads.items() if zone not in silent]
 
     def _needs(self, demand: DemandSummary) -> list[Need]:
--- a/poplarrun/server/_peering.py
+++ b/poplarrun/server/_peering.py
@@ -9,8 +9,8 @@
 
 from poplarrun.config import CONFIG_STREAM, OperatorKeys
 from poplarrun.hosts import (
-    ListedHosts,
-    MemoryNetwork,
+    ListedHostTable,
+    MemoryPeerNetwork,
     MemoryPeers,
     NetworkPeers,
     Peer,
@@ -50,7 +50,7 @@
     incarnation = int(time.time() * MILLISECONDS_PER_SECOND)
     me = Peer(settings.name, settings.zone, settings.region, incarnation)
     if settings.peer_listen is None:
-        return MemoryPeers(MemoryNetwork(), me)
+        return MemoryPeers(MemoryPeerNetwork(), me)
     tls = settings.tls.peers
     files = None if tls is None else TlsFiles(tls.authority, tls.identity)
     links = NngLinks(settings.peer_listen, files)
@@ -82,9 +82,9 @@
     highest: int | None = None
 
 
-def read_zones(peers: Peers, listed: ListedHosts) -> tuple[ZoneStatus, ...]:
+def read_zones(peers: Peers, listed: ListedHostTable) -> tuple[ZoneStatus, ...]:
     """Return what status shows of each zone."""
-    gathered = peers.gathered(OFFSETS)
+    gathered = peers.collect_summaries(OFFSETS)
     by_zone = dict(gathered.other_zones)
     by_zone[peers.me.zone] = merge_offsets(list(gathered.own_zone.values()))
     found = []
@@ -97,7 +97,7 @@
                 round(view.silence_s, 1),
                 offsets.lowest,
                 offsets.highest,
-                dict(listed.show(view)),
+                dict(listed.describe_zone(view)),
             )
         )
     return tuple(found)
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -11,7 +11,7 @@
 
 from poplarrun.clients import Ratings, RatingsUnavailable
 from poplarrun.config import CONFIG_STREAM, NO_KEYS, OperatorKeys, Withdrawal, sign_system_record
-from poplarrun.hosts import Peers, StreamPoll
+from poplarrun.hosts import Peers, StreamPoller
 from poplarrun.log import Appended, Gap, Log, ReadFailed, StreamReader
 from poplarrun.logs import part_logger
 from poplarrun.metrics import Metrics
@@ -88,7 +88,7 @@
         self._in_thread = in_thread
         self._clock = clock
         self._reader = StreamReader(log, ROLLOUTS_STREAM)
-        self._poll = StreamPoll(
+        self._poll = StreamPoller(
             peers,
             ROLLOUTS_STREAM,
             lambda: self._reader.next_offset - 1,
--- a/poplarrun/versions/_estimates.py
+++ b/poplarrun/versions/_estimates.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from poplarrun.contracts import Document
-from poplarrun.hosts import Gathered
+from poplarrun.hosts import CollectedSummaries
 from poplarrun.versions._cells import NOTHING_KNOWN, Cell, Estimate, Thresholds
 from poplarrun.versions._evidence import (
     GRID,
@@ -169,7 +169,7 @@
                 cell.aged = told
                 self._changed.add(number)
 
-    def take(self, gathered: Gathered) -> None:
+    def take(self, gathered: CollectedSummaries) -> None:
         """Add what other hosts and zones counted since the last time."""
         sources = {f"host {name}": data for name, data in gathered.own_zone.items()}
         sources.pop(f"host {self._host}", None)
--- a/poplarrun/versions/_part.py
+++ b/poplarrun/versions/_part.py
@@ -124,7 +124,7 @@
             receivers = sum(peer.zone == peers.me.zone for peer in peers.live()) - 1
             self._publish_at = now + len(payload) * receivers / EVIDENCE_BYTES_PER_S
         self.estimates.age(now)
-        self.estimates.take(peers.gathered(EVIDENCE_TOPIC))
+        self.estimates.take(peers.collect_summaries(EVIDENCE_TOPIC))
         self.estimates.refresh()
 
     def decide(self, peers: Peers, now: float) -> list[DueRecord]:
--- a/scripts/capacity_roles.py
+++ b/scripts/capacity_roles.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from poplarrun.hosts import LONGEST_PERIOD_S, TURN_S
+from poplarrun.hosts import MAX_POLL_INTERVAL_S, SHARED_POLL_INTERVAL_S
 
 HOSTS = 390
 ZONES = 7
@@ -147,7 +147,7 @@
 LEASE_RENEWAL_S = 4.0
 
 LOAD_POLLS_PER_S = POLLED_ENDPOINTS / LOAD_POLL_S
-LOG_READS_PER_S = LOG_STREAMS_FOLLOWED / min(LONGEST_PERIOD_S, TURN_S * HOSTS)
+LOG_READS_PER_S = LOG_STREAMS_FOLLOWED / min(MAX_POLL_INTERVAL_S, SHARED_POLL_INTERVAL_S * HOSTS)
 
 # One host of each zone reads each of two topics of the store, by reads that it holds back;
 # part of poplarrun/peers/_duty.py and the operators' bound of 2 s.
@@ -396,8 +396,10 @@
   second; rounds get that long, so a share follows demand that moves in minutes. The change: tell
   only shares that moved, and give the accounts of a zone to a few of its hosts each.
 - **Log reads.** {HOSTS} hosts that each read {LOG_STREAMS_FOLLOWED} streams every
-  {LONGEST_PERIOD_S:g} s make {HOSTS * LOG_READS_PER_S:,.0f} reads a second; whether the log serves
-  so many is not given. One host reads a stream every {TURN_S} s and announces what came, so the
+  {MAX_POLL_INTERVAL_S:g} s make {HOSTS * LOG_READS_PER_S:,.0f} reads a second; whether the log \
+serves
+  so many is not given. One host reads a stream every {SHARED_POLL_INTERVAL_S} s and announces \
+what came, so the
   others could read more rarely still; they don't, for announcements can be lost.
 - **Bytes.** The two large parts are membership with its summaries, counted both ways at the busiest
   host, and the copies of open bills at two peers. Copies that are sent in batches, or smaller
--- a/standins/histories/_chat_world.py
+++ b/standins/histories/_chat_world.py
@@ -123,7 +123,7 @@
         for name in sorted(self._world.members):
             spawn(None, self._carry_announcement, name, topic, number)
 
-    def announced(self, topic: str) -> int:
+    def highest_announced(self, topic: str) -> int:
         """Return the highest number announced of a topic; -1 when none was heard."""
         return self._announced.get(topic, -1)
 
@@ -150,7 +150,7 @@
             spawn(receiver.process, receiver._hear, topic, number)
 
     async def _hear(self, topic: str, number: int) -> None:
-        if number <= self.announced(topic):
+        if number <= self.highest_announced(topic):
             return
         self._announced[topic] = number
         for callback in self._callbacks:
--- a/standins/histories/_world.py
+++ b/standins/histories/_world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from poplarrun.hosts import Gathered, Handler, Peer, PeerSilent, SummaryTopic
+from poplarrun.hosts import CollectedSummaries, Handler, Peer, PeerSilent, SummaryTopic
 from poplarrun.log import (
     AppendOutcome,
     AppendRefused,
@@ -201,9 +201,9 @@
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
         """Keep no summaries: the outcomes use none."""
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return no summaries."""
-        return Gathered({}, {})
+        return CollectedSummaries({}, {})
 
     async def _carry(
         self, peer: str, kind: str, payload: bytes, answered: "asyncio.Future[bytes]"
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -16,7 +16,7 @@
 from poplarrun.config import Configuration
 from poplarrun.contracts import Document, Price, Stage, Version, VersionId
 from poplarrun.endpoints import EndpointTable
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.leases import LeaseKeeper
 from poplarrun.log import AppendOutcome, AppendRefused, MemoryLog, ReadFailed, ReadOutcome
 from poplarrun.metrics import Metrics
@@ -144,7 +144,7 @@
     ) -> None:
         self.loop = loop
         self.engines = engines
-        self.network = MemoryNetwork()
+        self.network = MemoryPeerNetwork()
         self.log = MemoryLog()
         self.orders = MemoryOrders(engines, loop.time)
         self.store = store or MemoryWeightStore()
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -26,8 +26,8 @@
         self.messages = 0
         self.far_messages = 0
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._carry = self._network.carry
-        self._network.carry = self._count  # type: ignore[method-assign]
+        self._carry = self._network.transmit
+        self._network.transmit = self._count  # type: ignore[method-assign]
         self.lose(0.0)
 
     @property
@@ -36,7 +36,7 @@
 
     def lose(self, share: float) -> None:
         """Let links lose a share of the messages."""
-        self._network.faults = LinkFaults(loss=share)
+        self._network.faults = LinkFaults(loss_probability=share)
         self._network.zone_faults = LinkFaults(FAR_DELAY_S, 0.001, share)
 
     def run_requests(self, requests: int, endpoints: int) -> None:
@@ -55,21 +55,21 @@
         """End hosts without a word."""
         for host in list(hosts):
             self._running.pop(host.address).cancel()
-            self._network.ends.pop(host.address, None)
+            self._network.links_by_address.pop(host.address, None)
             self.hosts.remove(host)
 
     async def suspend(self, host: RolloutHost, seconds: float) -> None:
         """Let a host stand still; what comes meanwhile is lost."""
         self._running.pop(host.address).cancel()
-        end = self._network.ends.pop(host.address)
+        end = self._network.links_by_address.pop(host.address)
         await asyncio.sleep(seconds)
-        self._network.ends[host.address] = end
+        self._network.links_by_address[host.address] = end
         self._running[host.address] = asyncio.ensure_future(host.peering.run(()))
 
     def relays(self, zone: str) -> list[RolloutHost]:
         """Return the relays of a zone as its first host sees them."""
         host = next(host for host in self.hosts if host.zone == zone)
-        relays = host.peering.book.relays(zone, self.now)
+        relays = host.peering.peer_table.aggregators(zone, self.now)
         return [host for host in self.hosts if host.address in relays]
 
     def cut_zone(self, zone: str) -> None:
@@ -91,7 +91,7 @@
 
     def bytes_sent(self) -> list[int]:
         """Return what each host has sent so far."""
-        return [self._network.ends[host.address].bytes_sent for host in self.hosts]
+        return [self._network.links_by_address[host.address].bytes_sent for host in self.hosts]
 
     def find_wrong(self, hosts: list[RolloutHost], living: list[RolloutHost]) -> list[str]:
         """Return what hosts take for alive, and should not, or the other way round."""
@@ -110,7 +110,7 @@
         ]
 
     def _alive(self, host: RolloutHost) -> set[str]:
-        return {peer.address for peer in host.peering.book.alive(self.now)}
+        return {peer.address for peer in host.peering.peer_table.alive_peers(self.now)}
 
     def find_wrong_sums(self) -> list[str]:
         """Return the hosts that don't know what the others run."""
@@ -128,14 +128,14 @@
         readers: dict[tuple[str, str], int] = {}
         for host in self.hosts:
             for topic in READ_TOPICS:
-                place = host.peering.book.near_place(topic, self.now)
+                place = host.peering.peer_table.reader_rank(topic, self.now)
                 key = (host.zone, topic)
                 readers[key] = readers.get(key, 0) + (place == 0)
         return readers
 
     def count_on_duty(self) -> int:
         """Return how many hosts take themselves for the first one of a duty."""
-        return sum(host.peering.turn(SERVICE) == 0 for host in self.hosts)
+        return sum(host.peering.job_rank(SERVICE) == 0 for host in self.hosts)
 
     async def wait_until(self, is_so: Callable[[], bool], seconds: float) -> bool:
         """Look again and again; False where it was not so in time."""
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -17,9 +17,9 @@
 from poplarrun.dispatch import Dispatch, Knowledge, Send
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._peering import Peering
-from poplarrun.gateway._reading import SharedReading
-from poplarrun.links import MemoryLinks, MemoryNetwork
-from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook
+from poplarrun.gateway._reading import SharedReader
+from poplarrun.links import MemoryLinkNetwork, MemoryLinks
+from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable
 from poplarrun.placement import Directory, Listing, Placement
 from poplarrun.platform import StoreClient
 from poplarrun.rollouts import Rollouts
@@ -88,7 +88,7 @@
 class RolloutHost:
     """The decisions of one host, and its conversation with the others."""
 
-    def __init__(self, network: MemoryNetwork, address: str, zone: str, seed: int) -> None:
+    def __init__(self, network: MemoryLinkNetwork, address: str, zone: str, seed: int) -> None:
         self.address = address
         self.zone = zone
         self.knowledge = Knowledge(None)
@@ -99,16 +99,18 @@
         )
         self.knowledge.take(CATALOGUE)
         self.placement.update(list(_list_endpoints(OLD)))
-        book = PeerBook(address, zone)
+        peer_table = PeerTable(address, zone)
         # Nobody reads the store here: orders are handed to the hosts that would read them.
         store = cast(StoreClient, None)
         directory = Directory()
         documents = DocumentFollower(
-            store, self.knowledge, self.rollouts, lambda: None, SharedReading(DOCUMENTS, book)
+            store, self.knowledge, self.rollouts, lambda: None, SharedReader(DOCUMENTS, peer_table)
+        )
+        listings = ListingFollower(
+            store, directory, self.placement, SharedReader(ENDPOINTS, peer_table)
         )
-        listings = ListingFollower(store, directory, self.placement, SharedReading(ENDPOINTS, book))
         self.peering = Peering(
-            book,
+            peer_table,
             MemoryLinks(network, address, zone),
             store,
             self.knowledge,
@@ -137,7 +139,7 @@
         clock = asyncio.get_running_loop().time
         work = self.dispatch.admit(_make_request(session, number), clock())
         assert isinstance(work, Work), work
-        await self.peering.sessions.learn(work)
+        await self.peering.sessions.resolve(work)
         step = self.dispatch.choose(work, clock())
         assert isinstance(step, Send), step
         sent_at = clock()
@@ -163,7 +165,7 @@
 
     def __init__(self, seed: int, hosts: int, zones: str = "abc") -> None:
         self.random = random.Random(seed)
-        self._network = MemoryNetwork(self.random)
+        self._network = MemoryLinkNetwork(self.random)
         self.hosts = [
             RolloutHost(self._network, f"{zone}{place}", zone, self.random.getrandbits(32))
             for place in range(hosts // len(zones))
--- a/standins/version_world.py
+++ b/standins/version_world.py
@@ -18,7 +18,7 @@
     fold_entry,
 )
 from poplarrun.contracts import ClientAccount, Version, VersionId
-from poplarrun.hosts import Gathered, Peer, SummaryTopic
+from poplarrun.hosts import CollectedSummaries, Peer, SummaryTopic
 from poplarrun.log import MemoryLog
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
@@ -183,13 +183,13 @@
         self._network.published_bytes += len(payload)
         self._network.merged.pop((topic.name, self._me.zone), None)
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return what is heard."""
         zone = self._me.zone
         members = self._network.by_zone[zone]
         own = {m._me.name: m.summaries[topic.name] for m in members if m.summaries}
         others = [z for z in self._network.zones_heard(zone) if z != zone]
-        return Gathered(own, {z: self._merge(topic, z) for z in others})
+        return CollectedSummaries(own, {z: self._merge(topic, z) for z in others})
 
     def _merge(self, topic: SummaryTopic, zone: str) -> bytes:
         known = self._network.merged.get((topic.name, zone))
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from poplarrun.hosts import NetworkPeers, Peer
-from poplarrun.links import LinkFaults, MemoryLinks, MemoryNetwork
+from poplarrun.links import LinkFaults, MemoryLinkNetwork, MemoryLinks
 from poplarrun.metrics import Metrics
 
 STEP_S = 0.05
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    network : MemoryNetwork
+    network : MemoryLinkNetwork
         The links between them; cuts name zones or the hosts' names.
     peers : dict of str to NetworkPeers
         The running hosts.
@@ -25,7 +25,7 @@
     def __init__(self, seed: int, zones: str = "abc", faults: LinkFaults | None = None) -> None:
         self.random = random.Random(seed)
         self.zones = zones
-        self.network = MemoryNetwork(self.random, faults)
+        self.network = MemoryLinkNetwork(self.random, faults)
         self.peers: dict[str, NetworkPeers] = {}
         self.links: dict[str, MemoryLinks] = {}
         self.metrics: dict[str, Metrics] = {}
