--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -14,7 +14,7 @@
 
 from bench.figures import Figure, Slope, report
 from poplarrun import peers
-from poplarrun.logs import BoundedHandler, events, write_event
+from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_share
 from poplarrun.placement import Listing, Placement
 from poplarrun.platform import decode_catalogue
@@ -136,17 +136,17 @@
 def measure_lines() -> tuple[float, float]:
     """Return processor time and bytes of one log line."""
     out = io.StringIO()
-    set_up(BoundedHandler(out.write, clock=lambda: 0.0))
+    set_up(NonBlockingHandler(out.write, clock=lambda: 0.0))
     micros = time_us(lambda n: write_event(make_event(n)))
     out.seek(0)
     out.truncate()
-    handler = set_up(BoundedHandler(out.write))
+    handler = set_up(NonBlockingHandler(out.write))
     write_event(make_event(1))
     handler.flush()
     return micros, float(len(out.getvalue()) or 1)
 
 
-def set_up(handler: BoundedHandler) -> BoundedHandler:
+def set_up(handler: NonBlockingHandler) -> NonBlockingHandler:
     """Have events written by a handler."""
     handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(message)s"))
     logger = logging.getLogger("poplarrun")
@@ -163,13 +163,13 @@
     def count(text: str) -> None:
         written[0] += text.count("\n")
 
-    handler = set_up(BoundedHandler(count, clock=lambda: now[0]))
+    handler = set_up(NonBlockingHandler(count, clock=lambda: now[0]))
     lines = int(REQUESTS_PER_S * FLOOD * LINES_A_REQUEST * FLOOD_S)
     for number in range(lines):
         now[0] = number * FLOOD_S / lines
         write_event(make_event(number))
         handler.flush()
-    return written[0] / FLOOD_S, sum(handler.left_out.values()) / FLOOD_S
+    return written[0] / FLOOD_S, sum(handler.dropped_counts.values()) / FLOOD_S
 
 
 def main() -> int:
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -134,7 +134,9 @@
         world.offer([str(version) for version in VERSIONS])
         ask(world, before)
         await asyncio.sleep(SETTLE_S)
-        fetched, orders = len(world.store.fetched), sum(len(e.taken) for e in engines.values())
+        fetched, orders = len(world.store.fetched), sum(
+            len(e.accepted_orders) for e in engines.values()
+        )
         ask(world, after)
         for _ in range(SHIFT_S):
             held = [
@@ -143,7 +145,7 @@
             course.shares.append(served_share(held, after))
             await asyncio.sleep(1.0)
         course.fetched = len(world.store.fetched) - fetched
-        course.orders = sum(len(e.taken) for e in engines.values()) - orders
+        course.orders = sum(len(e.accepted_orders) for e in engines.values()) - orders
 
     loop.run_until_complete(run())
     loop.end()
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -31,7 +31,7 @@
 from poplarrun.clients import HttpLog
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer, Peers
 from poplarrun.log import (
-    PART_BYTES,
+    MAX_PART_BYTES,
     AppendOutcome,
     Entry,
     LogKeys,
@@ -267,7 +267,7 @@
         Figure("bill_fold", fold_s / millions, "us/bill"),
         Figure("bill_fold_memory", used / SNAPSHOT_BILLS, "bytes/id"),
         Figure("bill_snapshot_size", len(whole.data) / SNAPSHOT_BILLS, "bytes/id"),
-        Figure("bill_snapshot_parts", -(-len(whole.data) // PART_BYTES), "appends"),
+        Figure("bill_snapshot_parts", -(-len(whole.data) // MAX_PART_BYTES), "appends"),
         Figure("bill_snapshot_take", take_s * 1000, "ms"),
         Figure("bill_snapshot_restore", restore_s * 1000, "ms"),
     ]
@@ -276,7 +276,7 @@
 def measure_signing() -> list[Figure]:
     """Sign and check records of the size of a batch, and of a part of a snapshot."""
     figures = []
-    for name, size, rounds in (("batch", 1000, 20_000), ("part", PART_BYTES, 500)):
+    for name, size, rounds in (("batch", 1000, 20_000), ("part", MAX_PART_BYTES, 500)):
         memory = MemoryLog()
         log = SignedLog(memory, LogKeys((b"a-key-of-the-hosts",)), print)
         data, plain = bytes(size), MemoryLog()
--- a/examples/library/keepers.py
+++ b/examples/library/keepers.py
@@ -5,7 +5,7 @@
 
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.leases import LeaseKeeper
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from poplarrun.metrics import Metrics
 
 JOB = "nightly-report"
@@ -42,7 +42,7 @@
     keepers = {}
     for name in ("a1", "b1"):
         peers = MemoryPeers(network, Peer(name, name[0], "local", 1))
-        threaded = ThreadedLog(log, call_here)
+        threaded = ThreadedLog(log, call_inline)
         keepers[name] = LeaseKeeper(threaded, peers, Metrics(), random.Random(name), clock)
         keepers[name].want(JOB, DURATION_S)
     fence = await wait_for_fence(keepers["a1"], clock)
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-import poplarrun.log._parts as parts_module
+import poplarrun.log._snapshot_parts as parts_module
 from poplarrun.billing import (
     SHARDS,
     Bill,
@@ -17,7 +17,7 @@
 )
 from poplarrun.billing._totals import BillTotals
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, PartCollector, ThreadedLog, call_here, split_snapshot
+from poplarrun.log import MemoryLog, SnapshotAssembler, ThreadedLog, call_inline, split_snapshot
 from standins.histories import run_virtual
 
 START = 1_000_000.0
@@ -28,15 +28,18 @@
 
 
 def set_part_bytes(context, size):
-    context.add_cleanup(setattr, parts_module, "PART_BYTES", parts_module.PART_BYTES)
-    parts_module.PART_BYTES = size
+    context.add_cleanup(setattr, parts_module, "MAX_PART_BYTES", parts_module.MAX_PART_BYTES)
+    parts_module.MAX_PART_BYTES = size
 
 
 def make_writer(context, name="a1"):
     """Return a writer that sees no other host, so every shard is its own."""
     peers = MemoryPeers(MemoryNetwork(), Peer(name, "a", "r", 1))
     return BillSnapshots(
-        peers, ThreadedLog(context.bill_log, call_here), lambda: context.wall, lambda: context.wall
+        peers,
+        ThreadedLog(context.bill_log, call_inline),
+        lambda: context.wall,
+        lambda: context.wall,
     )
 
 
@@ -61,7 +64,7 @@
 
 
 def whole_snapshots(context):
-    collector = PartCollector()
+    collector = SnapshotAssembler()
     found = (collector.add(entry) for entry in entries_of(context))
     return [whole for whole in found if whole is not None]
 
@@ -126,7 +129,7 @@
     for entry in entries_of(context):
         totals.fold(entry)
     whole = totals.take_snapshot(START)
-    context.covered = whole.through
+    context.covered = whole.last_offset
     *parts, _ = split_snapshot(whole)
     assert parts
     for part in parts:
@@ -146,7 +149,7 @@
 def step_drop(context):
     context.before = read_now(context)
     snapshots = whole_snapshots(context)
-    through = snapshots[-1].through if snapshots else context.covered
+    through = snapshots[-1].last_offset if snapshots else context.covered
     context.bill_log.truncate(stream_of(0), through + 1)
 
 
@@ -183,11 +186,11 @@
     """Cut off a host with a bill, then all that finish it, in the order of their names."""
     loop = asyncio.get_running_loop()
     network = MemoryNetwork()
-    log = ThreadedLog(context.bill_log, call_here)
+    log = ThreadedLog(context.bill_log, call_inline)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
     keepers = [BillKeeper(p, log, loop.time, loop.time) for p in peers]
     # The log takes what each host appends, and its answers are lost; then it is gone.
-    context.bill_log.lost_answers = 10**6
+    context.bill_log.responses_to_lose = 10**6
     await keepers[0].keep(bill_of(1, START))
     for gone in range(1, len(names)):
         network.cut(names[:gone], names[gone:])
--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -15,7 +15,7 @@
     stream_of,
 )
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from standins.histories import run_virtual
 
 NOW = 1_000_000.0
@@ -71,7 +71,7 @@
 
 async def bill_through_outage(context, per_s, seconds):
     loop = asyncio.get_running_loop()
-    log = ThreadedLog(context.bill_log, call_here)
+    log = ThreadedLog(context.bill_log, call_inline)
     network = MemoryNetwork()
     keepers = [
         BillKeeper(MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time)
@@ -84,14 +84,14 @@
                 await keeper.tend()
             await asyncio.sleep(1.0)
 
-    context.bill_log.down = True
+    context.bill_log.is_down = True
     for second in range(seconds):
         for number in range(per_s):
             bill = Bill(f"r{second}-{number}", "shop", "larch:1", 0.1)
             await keepers[second % 3].keep(bill)
         await tend_all(1)
     context.held_in_outage = max(keeper.size for keeper in keepers)
-    context.bill_log.down = False
+    context.bill_log.is_down = False
     await tend_all(10)
     context.held_after = [keeper.size for keeper in keepers]
 
@@ -132,7 +132,7 @@
     async def fill():
         loop = asyncio.get_running_loop()
         network = MemoryNetwork()
-        log = ThreadedLog(MemoryLog(), call_here)
+        log = ThreadedLog(MemoryLog(), call_inline)
         keepers = [
             BillKeeper(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
             for name in ("a1", "a2")
--- a/features/steps/claim_fold.py
+++ b/features/steps/claim_fold.py
@@ -5,7 +5,7 @@
 
 from poplarrun.claims import Claim, ClaimFold, Lost, Outcome, Release, encode_batch
 from poplarrun.claims._shard import Shard
-from poplarrun.log import Entry, MemoryLog, ThreadedLog, call_here
+from poplarrun.log import Entry, MemoryLog, ThreadedLog, call_inline
 
 STREAM = "claims-00"
 
@@ -67,7 +67,7 @@
 def step_random_shard(context, count, seed):
     source = random.Random(seed)
     context.claim_log = MemoryLog()
-    context.loop_log = ThreadedLog(context.claim_log, call_here)
+    context.loop_log = ThreadedLog(context.claim_log, call_inline)
     context.wall = 0.0
 
     async def fill():
--- a/features/steps/claim_parts.py
+++ b/features/steps/claim_parts.py
@@ -3,16 +3,16 @@
 from behave import given
 
 import poplarrun.claims._shard as shard_module
-import poplarrun.log._parts as parts_module
+import poplarrun.log._snapshot_parts as parts_module
 from features.steps.claim_fold import STREAM
 from poplarrun.claims import Claim, encode_batch
 from poplarrun.claims._shard import Shard
 from poplarrun.log import (
     MemoryLog,
-    PartCollector,
+    SnapshotAssembler,
+    StreamSnapshot,
     ThreadedLog,
-    WholeSnapshot,
-    call_here,
+    call_inline,
     split_snapshot,
 )
 
@@ -25,7 +25,7 @@
 
 
 def list_snapshots(log):
-    collector = PartCollector()
+    collector = SnapshotAssembler()
     found = [(entry.offset, collector.add(entry)) for entry in read_all(log)]
     return [(offset, whole) for offset, whole in found if whole is not None]
 
@@ -55,15 +55,15 @@
 @given("two owners of a shard that write snapshots in parts, between claims")
 def step_two_owners(context):
     for module, name, value in (
-        (shard_module, "PART_BYTES", SMALL),
-        (parts_module, "PART_BYTES", SMALL),
+        (shard_module, "MAX_PART_BYTES", SMALL),
+        (parts_module, "MAX_PART_BYTES", SMALL),
         (shard_module, "MIN_APPEND_INTERVAL_S", 0.0),
         (parts_module, "PART_PAUSE_S", 0.001),
     ):
         context.add_cleanup(setattr, module, name, getattr(module, name))
         setattr(module, name, value)
     context.claim_log = MemoryLog()
-    context.loop_log = ThreadedLog(context.claim_log, call_here)
+    context.loop_log = ThreadedLog(context.claim_log, call_inline)
     context.wall = START
     asyncio.run(write_both(context))
     assert len(list_snapshots(context.claim_log)) == 2
@@ -71,7 +71,7 @@
 
 def append_snapshot(context, keep):
     snapshot = context.old_fold.take_snapshot(context.wall)
-    parts = split_snapshot(WholeSnapshot(snapshot.through, snapshot.at, encode_batch([snapshot])))
+    parts = split_snapshot(StreamSnapshot(snapshot.through, snapshot.at, encode_batch([snapshot])))
     for part in parts[:keep]:
         context.claim_log.append(STREAM, part)
     for entry in read_all(context.claim_log):
@@ -91,7 +91,7 @@
 @given("the log has dropped all that the first snapshot covers")
 def step_drop_covered(context):
     _, first = list_snapshots(context.claim_log)[0]
-    context.claim_log.truncate(STREAM, first.through + 1)
+    context.claim_log.truncate(STREAM, first.last_offset + 1)
 
 
 @given("the log has dropped the first parts of the first snapshot")
--- a/features/steps/config.py
+++ b/features/steps/config.py
@@ -49,7 +49,7 @@
 
 @when('"{operator}" publishes and the answer is lost once')
 def step_lost_answer(context, operator):
-    context.log.lost_answers = 1
+    context.log.responses_to_lose = 1
     data = encode_record(publication(operator, 0))
     append_until_known(context.log, CONFIG_STREAM, data, lambda: None, attempts=3)
 
--- a/features/steps/config_follow.py
+++ b/features/steps/config_follow.py
@@ -18,8 +18,8 @@
     make_snapshot,
     sign_record,
 )
-from poplarrun.log import Appended, AppendRefused, MemoryLog, ReadFailed, call_here
-from poplarrun.logs._logs import ROOT_NAME
+from poplarrun.log import Appended, AppendRefused, MemoryLog, ReadFailed, call_inline
+from poplarrun.logging._setup import ROOT_NAME
 
 VERSION = "{stage: offered, price: {input_per_mtok: 1, output_per_mtok: 1}}"
 KEY = b"a key of sixteen"
@@ -68,7 +68,7 @@
         context.ways[name],
         peers,
         context.virtual.metrics[name],
-        call_here,
+        call_inline,
         note,
         random.Random(name),
         clock=context.loop.time,
@@ -197,12 +197,12 @@
 
 @when("the log is down for everyone")
 def step_log_down(context):
-    context.log.down = True
+    context.log.is_down = True
 
 
 @when("all is healed")
 def step_all_healed(context):
-    context.log.down = False
+    context.log.is_down = False
     context.virtual.network.heal()
     for way in context.ways.values():
         way.cut = False
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -11,7 +11,7 @@
     make_work,
 )
 from poplarrun.dispatch import ConnectionBroke, Knowledge, Send, first_patience_s, gap_patience_s
-from poplarrun.errors import NotRun, Refusal, answer_for
+from poplarrun.errors import NotRun, Refusal, response_for
 from poplarrun.gateway._host import RETRY_PART, part_of_allowance
 from poplarrun.placement import Seat
 from poplarrun.routing import Account, Repeat, Work
@@ -48,7 +48,7 @@
 def step_refused(context, kind, at):
     refusal = context.dispatch.admit(make_request(), at)
     assert isinstance(refusal, Refusal) and refusal.kind.value == kind, refusal
-    assert answer_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
+    assert response_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
 
 
 @then("after a new confirmation at {confirmed:f} a keyed request is admitted at {at:f}")
@@ -90,7 +90,7 @@
 @then('it may not be sent, and the refusal says "not run"')
 def step_not_sent(context):
     assert isinstance(context.refusal, Refusal), context.refusal
-    assert answer_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
+    assert response_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
 
 
 @when("the versions {first:d}, {second:d} and {third:d} arrive in this order")
@@ -119,7 +119,7 @@
 @then('the refusal doesn\'t say "not run"')
 def step_not_promised(context):
     assert isinstance(context.refusal, Refusal)
-    answer = answer_for(context.refusal.kind)
+    answer = response_for(context.refusal.kind)
     assert answer.not_run is not NotRun.YES and answer.status not in (408, 421, 429, 503)
 
 
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -3,7 +3,14 @@
 
 from behave import given, then, when
 
-from poplarrun.clients import BLOCK_WORDS, CacheEvent, HostKind, HostState, ListedHost, LoadReport
+from poplarrun.clients import (
+    WORDS_PER_BLOCK,
+    CacheEvent,
+    HostKind,
+    HostState,
+    ListedHost,
+    LoadReport,
+)
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import Demand, EndpointTable, LoadSharing, assign_endpoints
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
@@ -165,7 +172,7 @@
 
 
 def choose_for_prompt(context, at):
-    demand = Demand(len(context.blocks) * BLOCK_WORDS, context.blocks)
+    demand = Demand(len(context.blocks) * WORDS_PER_BLOCK, context.blocks)
     return context.endpoint_table.choose_engine(VERSION, at, (), demand).endpoint.name
 
 
--- a/features/steps/errors.py
+++ b/features/steps/errors.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from prometheus_client.parser import text_string_to_metric_families
 
-from poplarrun.errors import ANSWERS, ErrorKind, NotRun, answer_for
+from poplarrun.errors import ERROR_RESPONSES, ErrorKind, NotRun, response_for
 from poplarrun.metrics import Metrics
 from scripts.error_table import CALLERS_PAGE, render_error_table
 
@@ -29,18 +29,18 @@
 
 @then("every error kind has a status, a type and a not_run mark")
 def step_table(context):
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
     for kind in ErrorKind:
-        answer = answer_for(kind)
+        answer = response_for(kind)
         assert 400 <= answer.status <= 599 and answer.type, kind
         assert isinstance(answer.not_run, NotRun), kind
 
 
 @then("every kind that says when to come back answers 409, 429, 502 or 503")
 def step_come_back(context):
-    told = {kind for kind in ErrorKind if answer_for(kind).retry_after_s is not None}
+    told = {kind for kind in ErrorKind if response_for(kind).retry_after_s is not None}
     assert told
-    assert {answer_for(kind).status for kind in told} <= COMES_BACK
+    assert {response_for(kind).status for kind in told} <= COMES_BACK
 
 
 @then("docs/CALLERS.md holds the table of error kinds")
--- a/features/steps/explanations.py
+++ b/features/steps/explanations.py
@@ -6,7 +6,7 @@
 
 from features.steps.gateway_faults import set_faults
 from poplarrun.cli._status import Explain
-from poplarrun.cli._story import read_lines, tell_story
+from poplarrun.cli._timeline import build_timeline, read_log_lines
 
 KEYS = ("counter-key", "second-key", "stolen-key")
 
@@ -16,7 +16,7 @@
     path = context.installation.log_path(0)
 
     def is_told():
-        return tell_story(request_id, read_lines([str(path)])).end is not None
+        return build_timeline(request_id, read_log_lines([str(path)])).end is not None
 
     context.installation.wait_for(is_told, f"the end of {request_id} is told")
     output = io.StringIO()
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -13,7 +13,7 @@
 from poplarrun.gateway._events import EventCutter
 from poplarrun.gateway._followers import DocumentFollower
 from poplarrun.gateway._reading import SharedReading
-from poplarrun.logs import EVENTS, BoundedHandler
+from poplarrun.logging import EVENTS, NonBlockingHandler
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, Digest, PeerBook
 from poplarrun.platform import Newest, NoAnswer, Records, decode_listing
@@ -182,7 +182,7 @@
 
     reads = threading.Event()
     context.add_cleanup(reads.set)
-    context.handler = BoundedHandler(lambda _: reads.wait(30.0), lambda: 50.0)
+    context.handler = NonBlockingHandler(lambda _: reads.wait(30.0), lambda: 50.0)
 
 
 @when("{usual:d} usual lines and {notable:d} notable ones are written")
@@ -197,8 +197,8 @@
 
 @then("the loop never waited, and the lines left out are counted by event")
 def step_left_out(context):
-    assert context.handler.left_out["Usual"] > 4000
-    assert context.handler.left_out["Notable"] == 0
+    assert context.handler.dropped_counts["Usual"] > 4000
+    assert context.handler.dropped_counts["Notable"] == 0
 
 
 @then("docs/OPERATIONS.md explains every event, and no other")
@@ -219,7 +219,7 @@
 @then('the metrics tell of {usual:d} "{one}" and {notable:d} "{other}" lines')
 def step_counted(context, usual, one, notable, other):
     metrics = Metrics()
-    metrics.expose_lines(context.handler.counts)
+    metrics.attach_line_counts(context.handler.line_counts)
     text = metrics.render().decode()
     for event, count in ((one, usual), (other, notable)):
         assert f'poplarrun_log_lines_total{{event="{event}"}} {count}.0' in text, text
@@ -228,7 +228,7 @@
 @given("a log that keeps what is written at once")
 def step_kept_writes(context):
     context.writes = []
-    context.handler = BoundedHandler(context.writes.append)
+    context.handler = NonBlockingHandler(context.writes.append)
 
 
 @when("{count:d} lines of {least:d} to {most:d} characters are written")
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from poplarrun.gateway import _peering, _sharing
-from poplarrun.logs import events
+from poplarrun.logging import events
 from poplarrun.peers import (
     Digest,
     EndpointLoad,
--- a/features/steps/leases.py
+++ b/features/steps/leases.py
@@ -112,10 +112,10 @@
 
 @when("the lease log is down for {seconds:d} s")
 def step_log_down(context, seconds):
-    context.log.down = True
+    context.log.is_down = True
     passing(context, seconds)
     context.during = len(holders(context))
-    context.log.down = False
+    context.log.is_down = False
 
 
 @when("the holder's renewal is held back while another host takes over")
@@ -133,7 +133,7 @@
 
 @when("the answers to the next {count:d} lease appends are lost")
 def step_lost(context, count):
-    context.log.lost_answers = count
+    context.log.responses_to_lose = count
 
 
 @when("{seconds:d} s pass for the leases")
@@ -166,9 +166,9 @@
         case 1:
             host.way.cut = not host.way.cut
         case 2:
-            context.log.lost_answers = 2
+            context.log.responses_to_lose = 2
         case 3:
-            context.log.down = not context.log.down
+            context.log.is_down = not context.log.is_down
 
 
 @when("{count:d} random faults strike with seed {seed:d}")
--- a/features/steps/log_signatures.py
+++ b/features/steps/log_signatures.py
@@ -11,7 +11,7 @@
     encode_lease_record,
     fold_lease_entry,
 )
-from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, seal_record
+from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, sign_log_record
 from poplarrun.versions import ROLLOUTS_STREAM, Granted, Rollouts, encode_rollout, fold_rollout
 
 KEYS = {"first": b"first-key-of-the-hosts", "second": b"second-key-of-the-hosts"}
@@ -27,7 +27,7 @@
 
 @given('a host\'s record in stream "{stream}", {changed}, read with keys "{keys}"')
 def step_record(context, stream, changed, keys):
-    sealed = seal_record(stream, BILL, KEYS["first"])
+    sealed = sign_log_record(stream, BILL, KEYS["first"])
     log = MemoryLog()
     match changed:
         case "with another byte at its end":
@@ -35,7 +35,7 @@
         case "cut to half its length":
             sealed = sealed[: len(sealed) // 2]
         case "moved to another stream":
-            sealed = seal_record("billing-01", BILL, KEYS["first"])
+            sealed = sign_log_record("billing-01", BILL, KEYS["first"])
         case "without its signature":
             sealed = BILL
     log.append(stream, sealed)
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from poplarrun.cli._losses import ShowLosses, find_losses
-from poplarrun.cli._story import read_lines
+from poplarrun.cli._timeline import read_log_lines
 
 SENT = {"event": "RequestSent", "send": 1}
 ANSWERED = {
@@ -53,7 +53,7 @@
 
 @then('its loss is "{cause}"')
 def step_loss(context, cause):
-    losses = find_losses(read_lines([str(context.path)]))
+    losses = find_losses(read_log_lines([str(context.path)]))
     assert losses.asked == {"draft": 1}
     assert [loss.cause for loss in losses.found] == ([] if cause == "none" else [cause])
 
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -38,7 +38,7 @@
 
 
 def loads(context):
-    return {name: list(engine.loads) for name, engine in context.world.engines.items()}
+    return {name: list(engine.started_loads) for name, engine in context.world.engines.items()}
 
 
 @given(
@@ -124,7 +124,7 @@
 @then("it kept the order back")
 def step_kept_back(context):
     assert context.holder.counted("order_kept_back") == 1
-    orders = [order for e in context.world.engines.values() for order in e.taken]
+    orders = [order for e in context.world.engines.values() for order in e.accepted_orders]
     assert context.late_order not in orders
 
 
@@ -165,7 +165,7 @@
 
 @then("the engine refused it, which its sender counted")
 def step_refused(context):
-    assert context.late_order not in context.late_engine.taken
+    assert context.late_order not in context.late_engine.accepted_orders
     assert context.holder.counted("order_refused_fence") == 1
 
 
@@ -348,7 +348,7 @@
 @when('an engine of zone "{zone}" that holds "{version}" falls silent')
 def step_silent(context, zone, version):
     (context.silent,) = engine_with(context, zone, version)
-    context.world.engines[context.silent].silent = True
+    context.world.engines[context.silent].is_silent = True
 
 
 @then('another engine of zone "{zone}" holds "{version}"')
@@ -358,17 +358,17 @@
 
 @when("the log is out for the orders")
 def step_log_out(context):
-    context.world.log.down = True
+    context.world.log.is_down = True
 
 
 @when("the log is back for the orders")
 def step_log_back(context):
-    context.world.log.down = False
+    context.world.log.is_down = False
 
 
 @then("no order came after the lease lapsed")
 def step_no_orders(context):
-    orders = [o for e in context.world.engines.values() for o in e.taken]
+    orders = [o for e in context.world.engines.values() for o in e.accepted_orders]
     assert all("yew:1" not in msgspec.to_builtins(o)["versions"] for o in orders)
 
 
--- a/features/steps/refused_bills.py
+++ b/features/steps/refused_bills.py
@@ -4,7 +4,7 @@
 
 from poplarrun.billing import Bill, BillKeeper, read_statement
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from standins.histories import run_virtual
 
 HOSTS = {"a1": "a", "b1": "b", "c1": "c"}
@@ -22,7 +22,7 @@
     keepers = {
         name: BillKeeper(
             MemoryPeers(network, Peer(name, zone, "r", 1)),
-            ThreadedLog(log, call_here),
+            ThreadedLog(log, call_inline),
             loop.time,
             loop.time,
         )
--- a/features/steps/service_tls.py
+++ b/features/steps/service_tls.py
@@ -5,10 +5,10 @@
 from poplarrun.clients import (
     HttpServiceCaller,
     PlatformTls,
-    ServiceAnswer,
     ServiceCall,
     ServiceNotSent,
-    ServiceUnknown,
+    ServiceOutcomeUnknown,
+    ServiceResponse,
 )
 from standins import ServiceStandIn
 
@@ -46,12 +46,12 @@
 def step_finished(context, ends):
     answer = None
     if context.is_ready:
-        assert context.prepared.hand_over()
+        assert context.prepared.start_sending()
         answer = context.prepared.finish(TIMEOUT_S)
         context.prepared.close()
     if ends == "ran with its own body":
-        assert isinstance(answer, ServiceAnswer) and answer.status == 200, answer
+        assert isinstance(answer, ServiceResponse) and answer.status == 200, answer
         assert [e["body"] for e in context.service.effects] == [context.body.decode()]
     else:
-        assert answer is None or isinstance(answer, ServiceUnknown)
+        assert answer is None or isinstance(answer, ServiceOutcomeUnknown)
         assert context.service.effects == []
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -8,7 +8,7 @@
 from poplarrun.peers import ENDPOINTS, Digest, PeerBook, ReadDuty
 from poplarrun.placement import Directory, Placement
 from poplarrun.platform import Entry, Newest, Records
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 NOW = 100.0
 
@@ -79,7 +79,7 @@
 
     async def read(self, topic, offset, wait_s=0.0):
         self.reads.append(offset)
-        return Records((), offset, 0, boot_time())
+        return Records((), offset, 0, seconds_since_boot())
 
 
 def make_entries(first, last):
@@ -108,8 +108,8 @@
     numbers = range(20)
     book = next(
         book
-        for book in (make_book(number, 20, boot_time()) for number in numbers)
-        if book.near_place(ENDPOINTS, boot_time()) > 0
+        for book in (make_book(number, 20, seconds_since_boot()) for number in numbers)
+        if book.near_place(ENDPOINTS, seconds_since_boot()) > 0
     )
     context.store, context.directory = OneList(), Directory()
     context.follower = ListingFollower(
@@ -146,7 +146,7 @@
     " and reads that record {number:d} takes endpoint {gone:d} away"
 )
 def step_cut(context, cut, number, gone):
-    now = boot_time()
+    now = seconds_since_boot()
     health = context.follower._health
     health.answered_at = now - cut
     context.follower._note_answer(now)
@@ -155,7 +155,7 @@
 
 @when("a peer tells that the store answered it for the last {steady:f} s")
 def step_steady(context, steady):
-    now = boot_time()
+    now = seconds_since_boot()
     context.follower.note_steady(now - steady, now)
 
 
@@ -176,7 +176,7 @@
             await context.follower.reading.wait(lambda: context.follower.true_at)
         await context.follower._step()
 
-    context.follower.true_at = boot_time()
+    context.follower.true_at = seconds_since_boot()
     asyncio.run(read())
     assert context.store.reads == [number], context.store.reads
 
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -49,7 +49,7 @@
     context.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
     context.rollouts.evidence.own[("engines", "v2", "a")] = Tally(8, 8)
     context.steward = Steward(context.store, context.rollouts, lambda _: turn, lambda _: None)
-    clock = mock.patch.object(steward_module, "boot_time", lambda: context.now)
+    clock = mock.patch.object(steward_module, "seconds_since_boot", lambda: context.now)
     clock.start()
     context.add_cleanup(clock.stop)
 
--- a/features/steps/versions_cascades.py
+++ b/features/steps/versions_cascades.py
@@ -6,7 +6,7 @@
 import msgspec
 from behave import given, then, when
 
-from poplarrun.clients import pool_for
+from poplarrun.clients import get_pool_manager
 from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key, parse_document
 from poplarrun.versions import AnswerSeen, CellKey, Estimates, Evidence, find_cut, make_cuts
 from poplarrun.versions._cascades import SecondStep
@@ -184,7 +184,7 @@
         "messages": [{"role": "user", "content": "a digest"}],
         "stream": True,
     }
-    response = pool_for().request(
+    response = get_pool_manager().request(
         "POST",
         f"http://{host.address}/v1/chat/completions",
         json=body,
@@ -198,7 +198,9 @@
 
 
 def explain(host, request_id):
-    response = pool_for().request("GET", f"http://{host.address}/explain?request_id={request_id}")
+    response = get_pool_manager().request(
+        "GET", f"http://{host.address}/explain?request_id={request_id}"
+    )
     return response.json()
 
 
--- a/features/steps/versions_rollout.py
+++ b/features/steps/versions_rollout.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from poplarrun.clients import HttpLog, pool_for
+from poplarrun.clients import HttpLog, get_pool_manager
 from poplarrun.config import Withdrawal
 from poplarrun.config import decode_record as decode_config
 from poplarrun.contracts import hash_key
@@ -67,7 +67,7 @@
 
 def ask(host, work_class):
     body = {"model": work_class, "messages": [{"role": "user", "content": "a note"}]}
-    response = pool_for().request(
+    response = get_pool_manager().request(
         "POST",
         f"http://{host.address}/v1/chat/completions",
         json=body,
@@ -166,7 +166,7 @@
 
 def ask_in_session(host, **headers):
     body = {"model": "note", "messages": [{"role": "user", "content": "a note"}]}
-    response = pool_for().request(
+    response = get_pool_manager().request(
         "POST",
         f"http://{host.address}/v1/chat/completions",
         json=body,
--- a/poplarrun/billing/_reading.py
+++ b/poplarrun/billing/_reading.py
@@ -1,7 +1,7 @@
 """Reading one billing stream into its totals, past records that are gone."""
 
 from poplarrun.billing._totals import BillTotals
-from poplarrun.log import Entry, Page, PartCollector, WholeSnapshot
+from poplarrun.log import Entry, Page, SnapshotAssembler, StreamSnapshot
 
 
 class ShardReading:
@@ -17,7 +17,7 @@
         The state of the stream up to ``position``.
     position : int
         The offset to read from.
-    snapshot : WholeSnapshot, optional
+    snapshot : StreamSnapshot, optional
         The last whole snapshot that was met, without its data.
     bytes_since : int
         Bytes of the records behind it.
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self.totals = BillTotals()
         self.position = 0
-        self.snapshot: WholeSnapshot | None = None
+        self.snapshot: StreamSnapshot | None = None
         self.bytes_since = 0
         self.snapshot_bytes = 0
         self.horizon = 0
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
         # Where the search for a snapshot began; None while records are folded.
         self._searched_from: int | None = None
 
@@ -55,7 +55,7 @@
 
     def _search(self, horizon: int) -> None:
         self.position = self._searched_from = horizon
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
 
     def _take_entry(self, entry: Entry) -> bool:
         """Take one entry; tell whether reading goes on from elsewhere."""
@@ -66,9 +66,9 @@
         whole = self._parts.add(entry)
         if whole is None:
             return False
-        self.snapshot = WholeSnapshot(whole.through, whole.at, b"")
+        self.snapshot = StreamSnapshot(whole.last_offset, whole.written_at, b"")
         self.snapshot_bytes, self.bytes_since = len(whole.data), 0
-        if self._searched_from is None or whole.through + 1 < self._searched_from:
+        if self._searched_from is None or whole.last_offset + 1 < self._searched_from:
             return False
         restored = BillTotals.restore(whole)
         if restored is not None:
@@ -79,4 +79,4 @@
         self.totals = totals
         self.position = totals.next_offset
         self._searched_from = None
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -84,12 +84,12 @@
         tried_at = self._tried_at.get(shard)
         if tried_at is not None and self._now() - tried_at < RETRY_S:
             return False
-        through = -1 if reading.snapshot is None else reading.snapshot.through
+        through = -1 if reading.snapshot is None else reading.snapshot.last_offset
         since = reading.totals.next_offset - 1 - through
         if not since:
             return False
         if reading.snapshot is not None:
-            if self._wall() - reading.snapshot.at >= SNAPSHOT_INTERVAL_S:
+            if self._wall() - reading.snapshot.written_at >= SNAPSHOT_INTERVAL_S:
                 return True
             # The log drops records sooner than the interval foresees: half of what
             # it keeps is already behind the last snapshot.
--- a/poplarrun/billing/_totals.py
+++ b/poplarrun/billing/_totals.py
@@ -8,7 +8,7 @@
 
 from poplarrun.billing._records import Bill, decode_bills
 from poplarrun.billing._window import REPEATS_S, Generation, IdWindow, number_of
-from poplarrun.log import Entry, WholeSnapshot
+from poplarrun.log import Entry, StreamSnapshot
 
 DAY_S = 86400
 KEPT_DAYS = 400
@@ -81,20 +81,20 @@
         for bill in bills:
             self._fold_bill(bill)
 
-    def take_snapshot(self, at: float) -> WholeSnapshot:
+    def take_snapshot(self, at: float) -> StreamSnapshot:
         """Return the state after the last folded record; equal states, equal bytes."""
         sums = [(*cell, count, str(units)) for cell, (count, units) in sorted(self._sums.items())]
         opened = [(i, *o.cell, str(o.units), o.clock) for i, o in sorted(self._open.items())]
         state = _State(self._clock, self.missing_below, sums, opened, self._ids.save())
-        return WholeSnapshot(self.next_offset - 1, at, _encode(state))
+        return StreamSnapshot(self.next_offset - 1, at, _encode(state))
 
     @classmethod
-    def restore(cls, snapshot: WholeSnapshot) -> "BillTotals | None":
+    def restore(cls, snapshot: StreamSnapshot) -> "BillTotals | None":
         """Return the state that a snapshot tells; None when it can't be read."""
         try:
             state = _decoder.decode(snapshot.data)
             totals = cls(state.missing_below)
-            totals.next_offset = snapshot.through + 1
+            totals.next_offset = snapshot.last_offset + 1
             totals._clock = state.clock
             for account, item, day, is_late, count, units in state.sums:
                 totals._sums[Cell(account, item, day, is_late)] = (count, int(units))
--- a/poplarrun/claims/_shard.py
+++ b/poplarrun/claims/_shard.py
@@ -18,15 +18,15 @@
     encode_batch,
 )
 from poplarrun.log import (
-    PART_BYTES,
+    MAX_PART_BYTES,
     Appended,
     AppendRefused,
     AppendUnknown,
     AsyncLog,
     Entry,
     Page,
-    PartCollector,
-    WholeSnapshot,
+    SnapshotAssembler,
+    StreamSnapshot,
     append_parts,
     split_snapshot,
 )
@@ -81,7 +81,7 @@
         self._snapshot_at = wall()
         self._snapshot_wanted: Snapshot | None = None
         self._writing: asyncio.Task[bool] | None = None
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
         self._next_append_at = 0.0
         self._waiting: list[_Waiting] = []
         self._pump: asyncio.Task[None] | None = None
@@ -124,11 +124,11 @@
             return
         snapshot = self.fold.take_snapshot(self._wall())
         data = encode_batch([snapshot])
-        if len(data) <= PART_BYTES:
+        if len(data) <= MAX_PART_BYTES:
             self._snapshot_wanted = snapshot
             self._start()
             return
-        parts = split_snapshot(WholeSnapshot(snapshot.through, snapshot.at, data))
+        parts = split_snapshot(StreamSnapshot(snapshot.through, snapshot.at, data))
         self.appends += len(parts)
         self._writing = asyncio.create_task(append_parts(self._log, self._stream, parts))
 
@@ -214,7 +214,7 @@
         must then be longer than that of the keys, as the operators' page asks.
         """
         position = horizon
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
         while True:
             page = await self._log.read(self._stream, position, READ_LIMIT)
             if not isinstance(page, Page) or not page.entries:
--- a/poplarrun/cli/_config.py
+++ b/poplarrun/cli/_config.py
@@ -22,7 +22,7 @@
     LogAddress,
     count_noun,
 )
-from poplarrun.cli._views import ZoneView, ask_fleet
+from poplarrun.cli._views import ZoneView, fetch_fleet_view
 from poplarrun.clients import HttpLog
 from poplarrun.config import (
     CONFIG_STREAM,
@@ -243,7 +243,7 @@
     began = time.monotonic()
     told: set[str] = set()
     while True:
-        view = ask_fleet(hosts)
+        view = fetch_fleet_view(hosts)
         zones = view.zones()
         for zone in zones:
             if zone.zone not in told and zone.offset is not None and zone.offset >= offset:
--- a/poplarrun/cli/_losses.py
+++ b/poplarrun/cli/_losses.py
@@ -14,7 +14,7 @@
 import cappa
 
 from poplarrun.cli._arguments import EXIT_INVALID, AsJson
-from poplarrun.cli._story import RESTART, Line, read_lines
+from poplarrun.cli._timeline import RESTART, Line, read_log_lines
 from poplarrun.sizes import EVEN_CONFIDENCE
 
 BAR_WIDTH = 40
@@ -168,7 +168,7 @@
     def __call__(self) -> None:
         """Print the tables, or each loss as a line of JSON."""
         try:
-            losses = find_losses(read_lines(self.logs))
+            losses = find_losses(read_log_lines(self.logs))
         except OSError as error:
             raise cappa.Exit(f"logs: {error}", code=EXIT_INVALID) from error
         if not self.as_json:
--- a/poplarrun/cli/_status.py
+++ b/poplarrun/cli/_status.py
@@ -19,8 +19,8 @@
     read_addresses,
 )
 from poplarrun.cli._http import Silent, get_json
-from poplarrun.cli._story import encode_story, read_lines, render_story, tell_story
-from poplarrun.cli._views import FleetView, ask_fleet
+from poplarrun.cli._timeline import build_timeline, encode_story, read_log_lines, render_story
+from poplarrun.cli._views import FleetView, fetch_fleet_view
 
 WATCH_PERIOD_S = 1.0
 USUAL_STATES = ("alive", "left")
@@ -40,7 +40,7 @@
     def __call__(self) -> None:
         """Print the status, once or until interrupted."""
         while True:
-            view = ask_fleet(self.hosts)
+            view = fetch_fleet_view(self.hosts)
             if self.watch:
                 print(CLEAR_SCREEN, end="")
             print(_encode_view(view) if self.json else render_view(view), flush=True)
@@ -92,7 +92,7 @@
 
     def _read_logs(self) -> None:
         try:
-            story = tell_story(self.request_id, read_lines(self.logs))
+            story = build_timeline(self.request_id, read_log_lines(self.logs))
         except OSError as error:
             raise cappa.Exit(f"logs: {error}", code=EXIT_INVALID) from error
         if not story.lines:
--- a/poplarrun/cli/_story.py
+++ b/poplarrun/cli/_timeline.py
@@ -16,7 +16,7 @@
 AFTER_S = 15.0
 RESTART = "HostStarted"
 # Events with which a request ends for its caller.
-ENDS = frozenset(("RequestAnswered", "RequestRefused", "AnswerBroken", "CallerLeft"))
+FINAL_EVENTS = frozenset(("RequestAnswered", "RequestRefused", "AnswerBroken", "CallerLeft"))
 # Events that change what a host believes, and concern each request that it serves.
 BELIEFS = frozenset(
     (
@@ -72,7 +72,7 @@
     @property
     def end(self) -> Line | None:
         """The line that tells what its caller got; None where no line tells."""
-        ends = [line for line in self.lines if line.event in ENDS]
+        ends = [line for line in self.lines if line.event in FINAL_EVENTS]
         return ends[-1] if ends else None
 
     @property
@@ -86,7 +86,7 @@
         return after[0] if after else None
 
 
-def read_lines(paths: Iterable[str]) -> Iterator[Line]:
+def read_log_lines(paths: Iterable[str]) -> Iterator[Line]:
     """Read log lines from files, or from standard input for ``-``.
 
     Whatever stands before the line, such as a collector's time and name, is passed
@@ -100,7 +100,7 @@
             yield from _decode_lines(file)
 
 
-def tell_story(request_id: str, lines: Iterable[Line]) -> Story:
+def build_timeline(request_id: str, lines: Iterable[Line]) -> Story:
     """Pick what concerns one request out of all lines."""
     kept = [line for line in lines if _may_concern(line, request_id)]
     kept.sort(key=lambda line: line.at)
--- a/poplarrun/cli/_views.py
+++ b/poplarrun/cli/_views.py
@@ -67,7 +67,7 @@
         return total
 
 
-def ask_fleet(addresses: Iterable[str]) -> FleetView:
+def fetch_fleet_view(addresses: Iterable[str]) -> FleetView:
     """Ask hosts for their status, several at once."""
     with ThreadPoolExecutor(ASKED_AT_ONCE) as pool:
         found = list(pool.map(_ask_host, addresses))
--- a/poplarrun/clients/__init__.py
+++ b/poplarrun/clients/__init__.py
@@ -1,13 +1,13 @@
 """Adapters to the outside systems, one small module each."""
 
 from poplarrun.clients._engines import (
-    BLOCK_WORDS,
-    Answer,
+    WORDS_PER_BLOCK,
     CacheEvent,
     Chunk,
     Engine,
     EngineCall,
     EngineFailed,
+    GenerationEvent,
     HttpEngine,
     LoadReport,
     Usage,
@@ -21,7 +21,13 @@
     ListedHost,
     ListUnavailable,
 )
-from poplarrun.clients._http import PlatformTls, close_pool, pool_for, use_plain_http, use_tls
+from poplarrun.clients._http import (
+    PlatformTls,
+    close_pool,
+    get_pool_manager,
+    use_plain_http,
+    use_tls,
+)
 from poplarrun.clients._log import HttpLog
 from poplarrun.clients._orders import (
     EngineModels,
@@ -31,33 +37,34 @@
     MemoryOrders,
     MemoryWeightStore,
     ModelsOrder,
+    OrderAccepted,
     OrderFailed,
     OrderFenced,
     Orders,
-    OrderTaken,
-    TakesNoOrders,
+    OrdersUnsupported,
     WeightStore,
 )
-from poplarrun.clients._ratings import HttpRatings, RatedAnswer, Ratings, RatingsUnavailable
+from poplarrun.clients._ratings import AnswerRating, HttpRatings, Ratings, RatingsUnavailable
 from poplarrun.clients._services import (
     HttpServiceCaller,
     PreparedCall,
-    ServiceAnswer,
     ServiceCall,
     ServiceCaller,
     ServiceNotSent,
-    ServiceUnknown,
+    ServiceOutcomeUnknown,
+    ServiceResponse,
 )
 
 __all__ = [
-    "BLOCK_WORDS",
-    "Answer",
+    "WORDS_PER_BLOCK",
+    "AnswerRating",
     "CacheEvent",
     "Chunk",
     "Engine",
     "EngineCall",
     "EngineFailed",
     "EngineModels",
+    "GenerationEvent",
     "HostKind",
     "HostList",
     "HostState",
@@ -75,26 +82,25 @@
     "MemoryOrders",
     "MemoryWeightStore",
     "ModelsOrder",
+    "OrderAccepted",
     "OrderFailed",
     "OrderFenced",
-    "OrderTaken",
     "Orders",
+    "OrdersUnsupported",
     "PlatformTls",
     "PreparedCall",
-    "RatedAnswer",
     "Ratings",
     "RatingsUnavailable",
-    "ServiceAnswer",
     "ServiceCall",
     "ServiceCaller",
     "ServiceNotSent",
-    "ServiceUnknown",
-    "TakesNoOrders",
+    "ServiceOutcomeUnknown",
+    "ServiceResponse",
     "Usage",
     "WeightStore",
     "close_pool",
+    "get_pool_manager",
     "hash_blocks",
-    "pool_for",
     "use_plain_http",
     "use_tls",
 ]
--- a/poplarrun/clients/_engines.py
+++ b/poplarrun/clients/_engines.py
@@ -8,7 +8,7 @@
 import msgspec
 import urllib3
 
-from poplarrun.clients._http import pool_for, pool_of, url_of
+from poplarrun.clients._http import base_url, get_pool_manager, pool_for_address
 from poplarrun.clients._streams import StreamedBody
 from poplarrun.contracts import VersionId
 
@@ -20,7 +20,7 @@
 # An engine answers these before it starts any work.
 NOT_STARTED_STATUSES = frozenset({404, 409, 429, 503})
 JSON_HEADERS = {"Content-Type": "application/json"}
-BLOCK_WORDS = 16
+WORDS_PER_BLOCK = 16
 HASH_BYTES = 7
 
 
@@ -90,7 +90,7 @@
     reason: str
 
 
-Answer = Chunk | Usage | EngineFailed
+GenerationEvent = Chunk | Usage | EngineFailed
 
 
 class LoadReport(msgspec.Struct, frozen=True):
@@ -142,7 +142,9 @@
 class Engine(Protocol):
     """Model engines, by address. Calls block and never raise."""
 
-    def generate(self, address: str, call: EngineCall, timeout_s: float) -> Iterator[list[Answer]]:
+    def generate(
+        self, address: str, call: EngineCall, timeout_s: float
+    ) -> Iterator[list[GenerationEvent]]:
         """Generate an answer, all that has arrived at a time.
 
         The last of all is a ``Usage`` or an ``EngineFailed``.
@@ -154,7 +156,7 @@
     def move_cache(self, source: str, target: str, request_id: str) -> bool:
         """Move a stream's KV cache to another engine; tell whether that has it now."""
 
-    def report_load(self, address: str) -> LoadReport | EngineFailed:
+    def fetch_load(self, address: str) -> LoadReport | EngineFailed:
         """Read the engine's load."""
 
     def list_cache_events(self, address: str, after: int) -> list[CacheEvent] | EngineFailed:
@@ -170,8 +172,8 @@
     words = prompt.split()
     digest = hashlib.sha256()
     hashes = []
-    for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
-        digest.update(" ".join(words[start : start + BLOCK_WORDS]).encode())
+    for start in range(0, len(words) - WORDS_PER_BLOCK + 1, WORDS_PER_BLOCK):
+        digest.update(" ".join(words[start : start + WORDS_PER_BLOCK]).encode())
         hashes.append(int.from_bytes(digest.digest()[:HASH_BYTES]))
     return tuple(hashes)
 
@@ -192,7 +194,9 @@
 class HttpEngine:
     """An ``Engine`` over HTTP, answers as one JSON object a line."""
 
-    def generate(self, address: str, call: EngineCall, timeout_s: float) -> Iterator[list[Answer]]:
+    def generate(
+        self, address: str, call: EngineCall, timeout_s: float
+    ) -> Iterator[list[GenerationEvent]]:
         """Generate an answer, all that has arrived at a time.
 
         The last of all is a ``Usage`` or an ``EngineFailed``.
@@ -206,7 +210,7 @@
             call.from_position,
         )
         try:
-            response = pool_of(address).urlopen(
+            response = pool_for_address(address).urlopen(
                 "POST",
                 "/v1/generate",
                 body=msgspec.json.encode(body),
@@ -233,8 +237,8 @@
     def cancel(self, address: str, request_id: str) -> None:
         """Ask the engine to stop a stream; a lost ask costs tokens, nothing else."""
         try:
-            pool_for().request(
-                "DELETE", f"{url_of(address)}/v1/generate/{request_id}", timeout=CANCEL_TIMEOUT_S
+            get_pool_manager().request(
+                "DELETE", f"{base_url(address)}/v1/generate/{request_id}", timeout=CANCEL_TIMEOUT_S
             )
         except urllib3.exceptions.HTTPError:
             return
@@ -243,21 +247,23 @@
         """Move a stream's KV cache to another engine; tell whether that has it now."""
         path = f"/v1/kv/{request_id}"
         try:
-            taken = pool_for().request("GET", f"http://{source}{path}", timeout=MOVE_TIMEOUT_S)
+            taken = get_pool_manager().request(
+                "GET", f"http://{source}{path}", timeout=MOVE_TIMEOUT_S
+            )
             if taken.status != OK:
                 return False
-            given = pool_for().request(
+            given = get_pool_manager().request(
                 "PUT", f"http://{target}{path}", body=taken.data, timeout=MOVE_TIMEOUT_S
             )
         except urllib3.exceptions.HTTPError:
             return False
         return given.status == OK
 
-    def report_load(self, address: str) -> LoadReport | EngineFailed:
+    def fetch_load(self, address: str) -> LoadReport | EngineFailed:
         """Read the engine's load."""
         try:
-            response = pool_for().request(
-                "GET", f"{url_of(address)}/v1/load", timeout=REPORT_TIMEOUT_S
+            response = get_pool_manager().request(
+                "GET", f"{base_url(address)}/v1/load", timeout=REPORT_TIMEOUT_S
             )
             return msgspec.json.decode(response.data, type=LoadReport)
         except (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError):
@@ -268,15 +274,17 @@
     def list_cache_events(self, address: str, after: int) -> list[CacheEvent] | EngineFailed:
         """Read the engine's cache events with a number above ``after``, in their order."""
         try:
-            response = pool_for().request(
-                "GET", f"{url_of(address)}/v1/cache-events?after={after}", timeout=REPORT_TIMEOUT_S
+            response = get_pool_manager().request(
+                "GET",
+                f"{base_url(address)}/v1/cache-events?after={after}",
+                timeout=REPORT_TIMEOUT_S,
             )
             return _events_decoder.decode(response.data)
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as error:
             return EngineFailed(started=False, reason=type(error).__name__)
 
 
-def _read_answers(response: urllib3.BaseHTTPResponse) -> Iterator[list[Answer]]:
+def _read_answers(response: urllib3.BaseHTTPResponse) -> Iterator[list[GenerationEvent]]:
     body = StreamedBody(response)
     rest = b""
     finished = False
@@ -285,7 +293,7 @@
             lines, end, rest = (rest + arrived).rpartition(b"\n")
             if not end:
                 continue
-            answers: list[Answer] = [*_answer_decoder.decode_lines(lines)]
+            answers: list[GenerationEvent] = [*_answer_decoder.decode_lines(lines)]
             finished = any(isinstance(answer, Usage) for answer in answers)
             if answers:
                 yield answers
--- a/poplarrun/clients/_hostlist.py
+++ b/poplarrun/clients/_hostlist.py
@@ -7,7 +7,7 @@
 import msgspec
 import urllib3
 
-from poplarrun.clients._http import pool_for, url_of
+from poplarrun.clients._http import base_url, get_pool_manager
 
 TIMEOUT_S = 2.0
 OK = 200
@@ -87,12 +87,12 @@
     """A ``HostList`` over the platform's HTTP interface."""
 
     def __init__(self, address: str) -> None:
-        self._url = f"{url_of(address)}/v1/hosts"
+        self._url = f"{base_url(address)}/v1/hosts"
 
     def read(self) -> tuple[ListedHost, ...] | ListUnavailable:
         """Read the whole list."""
         try:
-            response = pool_for().request("GET", self._url, timeout=TIMEOUT_S)
+            response = get_pool_manager().request("GET", self._url, timeout=TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             return ListUnavailable(type(error).__name__)
         if response.status != OK:
--- a/poplarrun/clients/_http.py
+++ b/poplarrun/clients/_http.py
@@ -57,12 +57,12 @@
     _manager, _scheme = _make_manager(None), "http"
 
 
-def url_of(address: str) -> str:
+def base_url(address: str) -> str:
     """Return the beginning of an address's URLs."""
     return f"{_scheme}://{address}"
 
 
-def pool_for() -> urllib3.PoolManager:
+def get_pool_manager() -> urllib3.PoolManager:
     """Return the pool manager; it repeats nothing on its own.
 
     Library retries stay off: a repeat that the retry budget does not see
@@ -71,7 +71,7 @@
     return _manager
 
 
-def pool_of(address: str) -> urllib3.HTTPConnectionPool:
+def pool_for_address(address: str) -> urllib3.HTTPConnectionPool:
     """Return the pool of one ``ip:port``, for calls that are made very often.
 
     The pool manager parses the whole URL on each call, which is a tenth or more
--- a/poplarrun/clients/_log.py
+++ b/poplarrun/clients/_log.py
@@ -5,7 +5,7 @@
 import msgspec
 import urllib3
 
-from poplarrun.clients._http import pool_for, url_of
+from poplarrun.clients._http import base_url, get_pool_manager
 from poplarrun.log import (
     Appended,
     AppendOutcome,
@@ -45,12 +45,12 @@
     """A ``Log`` over the platform's HTTP interface."""
 
     def __init__(self, address: str) -> None:
-        self._base = f"{url_of(address)}/v1/streams"
+        self._base = f"{base_url(address)}/v1/streams"
 
     def append(self, stream: str, data: bytes) -> AppendOutcome:
         """Append one record to a stream."""
         try:
-            response = pool_for().request(
+            response = get_pool_manager().request(
                 "POST",
                 f"{self._base}/{stream}/records",
                 body=data,
@@ -70,7 +70,7 @@
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
         """Read at most ``limit`` records of a stream from an offset on."""
         try:
-            response = pool_for().request(
+            response = get_pool_manager().request(
                 "GET",
                 f"{self._base}/{stream}/records",
                 fields={"from": str(from_offset), "limit": str(limit)},
--- a/poplarrun/clients/_orders.py
+++ b/poplarrun/clients/_orders.py
@@ -7,7 +7,7 @@
 import msgspec
 import urllib3
 
-from poplarrun.clients._http import pool_for, url_of
+from poplarrun.clients._http import base_url, get_pool_manager
 
 TIMEOUT_S = 1.0
 # The store hands out big files; a slow one still counts as answering.
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderTaken:
+class OrderAccepted:
     """The engine took the order."""
 
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakesNoOrders:
+class OrdersUnsupported:
     """The engine tells of no room: nothing is ordered of it."""
 
 
@@ -81,10 +81,10 @@
 class Orders(Protocol):
     """Orders to engines, by address. Calls block and never raise."""
 
-    def read_models(self, address: str) -> EngineModels | TakesNoOrders | OrderFailed:
+    def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
         """Read what an engine holds."""
 
-    def send(self, address: str, order: ModelsOrder) -> OrderTaken | OrderFenced | OrderFailed:
+    def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
         """Send an order."""
 
 
@@ -98,24 +98,26 @@
 class HttpOrders:
     """``Orders`` over HTTP."""
 
-    def read_models(self, address: str) -> EngineModels | TakesNoOrders | OrderFailed:
+    def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
         """Read what an engine holds."""
         try:
-            response = pool_for().request("GET", f"{url_of(address)}/v1/models", timeout=TIMEOUT_S)
+            response = get_pool_manager().request(
+                "GET", f"{base_url(address)}/v1/models", timeout=TIMEOUT_S
+            )
             if response.status == UNKNOWN:
-                return TakesNoOrders()
+                return OrdersUnsupported()
             if response.status != OK:
                 return OrderFailed(f"status_{response.status}")
             return msgspec.json.decode(response.data, type=EngineModels)
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
             return OrderFailed(type(error).__name__)
 
-    def send(self, address: str, order: ModelsOrder) -> OrderTaken | OrderFenced | OrderFailed:
+    def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
         """Send an order."""
         try:
-            response = pool_for().request(
+            response = get_pool_manager().request(
                 "POST",
-                f"{url_of(address)}/v1/orders",
+                f"{base_url(address)}/v1/orders",
                 body=msgspec.json.encode(order),
                 headers={"Content-Type": "application/json"},
                 timeout=TIMEOUT_S,
@@ -124,20 +126,22 @@
             return OrderFailed(type(error).__name__)
         if response.status == CONFLICT:
             return OrderFenced()
-        return OrderTaken() if response.status == OK else OrderFailed(f"status_{response.status}")
+        return (
+            OrderAccepted() if response.status == OK else OrderFailed(f"status_{response.status}")
+        )
 
 
 class HttpWeightStore:
     """``WeightStore`` over HTTP."""
 
     def __init__(self, address: str) -> None:
-        self._base = f"{url_of(address)}/v1/weights"
+        self._base = f"{base_url(address)}/v1/weights"
 
     def fetch(self, version: str, engine: str) -> str:
         """Have a version's weights handed to an engine; return why not, or ''."""
         path = f"{self._base}/{version}?engine={engine}"
         try:
-            response = pool_for().request("GET", path, timeout=STORE_TIMEOUT_S)
+            response = get_pool_manager().request("GET", path, timeout=STORE_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             return type(error).__name__
         return "" if response.status == OK else f"status_{response.status}"
@@ -162,13 +166,13 @@
     checks_fencing: bool = True
     load_s: float = 0.0
     fence: int = -1
-    silent: bool = False
+    is_silent: bool = False
 
     def __post_init__(self) -> None:
         self.loading: dict[str, float] = {}
         self.wanted: list[str] = []
-        self.taken: list[ModelsOrder] = []
-        self.loads: list[str] = []
+        self.accepted_orders: list[ModelsOrder] = []
+        self.started_loads: list[str] = []
 
     def restart(self) -> None:
         """Forget everything, as a process that starts anew."""
@@ -176,19 +180,19 @@
         self.loading.clear()
         self.wanted, self.fence = [], -1
 
-    def take(self, order: ModelsOrder, now: float) -> OrderTaken | OrderFenced:
+    def take(self, order: ModelsOrder, now: float) -> OrderAccepted | OrderFenced:
         """Take an order, or refuse its fencing number."""
         if self.checks_fencing and order.fence < self.fence:
             return OrderFenced()
         self.fence, self.wanted = order.fence, order.versions
-        self.taken.append(order)
+        self.accepted_orders.append(order)
         self.loaded &= set(order.versions)
         self.loading = {v: at for v, at in self.loading.items() if v in order.versions}
         for version in order.versions:
             if version not in self.loaded and version not in self.loading:
                 self.loading[version] = now + self.load_s
-                self.loads.append(version)
-        return OrderTaken()
+                self.started_loads.append(version)
+        return OrderAccepted()
 
     def report(self, now: float) -> EngineModels:
         """Return what it holds now."""
@@ -207,17 +211,17 @@
         self.engines = engines
         self._clock = clock
 
-    def read_models(self, address: str) -> EngineModels | TakesNoOrders | OrderFailed:
+    def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
         """Read what an engine holds."""
         engine = self.engines.get(address)
         if engine is None:
-            return TakesNoOrders()
-        return OrderFailed("silent") if engine.silent else engine.report(self._clock())
+            return OrdersUnsupported()
+        return OrderFailed("silent") if engine.is_silent else engine.report(self._clock())
 
-    def send(self, address: str, order: ModelsOrder) -> OrderTaken | OrderFenced | OrderFailed:
+    def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
         """Send an order."""
         engine = self.engines[address]
-        return OrderFailed("silent") if engine.silent else engine.take(order, self._clock())
+        return OrderFailed("silent") if engine.is_silent else engine.take(order, self._clock())
 
 
 class MemoryWeightStore:
--- a/poplarrun/clients/_ratings.py
+++ b/poplarrun/clients/_ratings.py
@@ -6,13 +6,13 @@
 import msgspec
 import urllib3
 
-from poplarrun.clients._http import pool_for, url_of
+from poplarrun.clients._http import base_url, get_pool_manager
 
 TIMEOUT_S = 2.0
 OK = 200
 
 
-class RatedAnswer(msgspec.Struct, frozen=True):
+class AnswerRating(msgspec.Struct, frozen=True):
     """A rating of an answer, 0 (useless) to 1."""
 
     request_id: str
@@ -32,7 +32,7 @@
     def submit(self, request_id: str, answer: str) -> bool:
         """Hand in an answer to be rated; false when it was not taken."""
 
-    def collect(self, request_ids: list[str]) -> list[RatedAnswer] | RatingsUnavailable:
+    def collect(self, request_ids: list[str]) -> list[AnswerRating] | RatingsUnavailable:
         """Read the ratings that are ready among the requests asked for."""
 
 
@@ -49,26 +49,26 @@
     """``Ratings`` over HTTP."""
 
     def __init__(self, address: str) -> None:
-        self._base = f"{url_of(address)}/v1"
+        self._base = f"{base_url(address)}/v1"
 
     def submit(self, request_id: str, answer: str) -> bool:
         """Hand in an answer to be rated; false when it was not taken."""
         status, _ = self._post("answers", _SubmitBody(request_id, answer))
         return status == OK
 
-    def collect(self, request_ids: list[str]) -> list[RatedAnswer] | RatingsUnavailable:
+    def collect(self, request_ids: list[str]) -> list[AnswerRating] | RatingsUnavailable:
         """Read the ratings that are ready among the requests asked for."""
         status, data = self._post("ratings", _CollectBody(request_ids))
         if status != OK:
             return RatingsUnavailable(f"status {status}")
         try:
-            return msgspec.json.decode(data, type=list[RatedAnswer])
+            return msgspec.json.decode(data, type=list[AnswerRating])
         except msgspec.DecodeError:
             return RatingsUnavailable("the ratings could not be read")
 
     def _post(self, path: str, body: msgspec.Struct) -> tuple[int, bytes]:
         try:
-            response = pool_for().request(
+            response = get_pool_manager().request(
                 "POST",
                 f"{self._base}/{path}",
                 body=msgspec.json.encode(body),
--- a/poplarrun/clients/_services.py
+++ b/poplarrun/clients/_services.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """The service ran the call and answered."""
 
     status: int
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceUnknown:
+class ServiceOutcomeUnknown:
     """Bytes went out and no whole answer came: it may have run."""
 
     reason: str
@@ -50,7 +50,7 @@
 class PreparedCall(Protocol):
     """A call whose connection is open and of which no byte was sent."""
 
-    def hand_over(self) -> bool:
+    def start_sending(self) -> bool:
         """Send the first bytes; False when none went. Never blocks, never raises.
 
         The loop calls this in the step that decides that the call may run.
@@ -58,11 +58,11 @@
         between the two, and the call would run long after it was refused.
         """
 
-    def finish(self, timeout_s: float) -> ServiceAnswer | ServiceUnknown:
+    def finish(self, timeout_s: float) -> ServiceResponse | ServiceOutcomeUnknown:
         """Send the rest and wait for the answer. Blocks, never raises."""
 
     def close(self) -> None:
-        """Close the connection; without ``hand_over`` nothing was sent."""
+        """Close the connection; without ``start_sending`` nothing was sent."""
 
 
 class ServiceCaller(Protocol):
@@ -97,7 +97,7 @@
         self._connection = connection
         self._sent = 0
 
-    def hand_over(self) -> bool:
+    def start_sending(self) -> bool:
         """Send the first bytes; False when none went. Never blocks, never raises.
 
         Over TLS the first piece is one record at most. If the socket takes only
@@ -110,19 +110,19 @@
             return False
         return self._sent > 0
 
-    def finish(self, timeout_s: float) -> ServiceAnswer | ServiceUnknown:
+    def finish(self, timeout_s: float) -> ServiceResponse | ServiceOutcomeUnknown:
         """Send the rest and wait for the answer. Blocks, never raises."""
         try:
             self._connection.sock.settimeout(max(0.001, timeout_s))
             self._connection.sock.sendall(self._connection.held[self._sent :])
             response = self._connection.getresponse()
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return ServiceUnknown(type(error).__name__)
+            return ServiceOutcomeUnknown(type(error).__name__)
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return ServiceAnswer(response.status, response.data, content_type)
+        return ServiceResponse(response.status, response.data, content_type)
 
     def close(self) -> None:
-        """Close the connection; without ``hand_over`` nothing was sent."""
+        """Close the connection; without ``start_sending`` nothing was sent."""
         with contextlib.suppress(OSError):
             self._connection.close()
 
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -22,11 +22,11 @@
 from poplarrun.config._state import Configuration
 from poplarrun.hosts import Peers, PeerSilent, StreamPoll
 from poplarrun.log import Entry, Gap, Log, ReadFailed, StreamReader
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.rendezvous import rank_hosts
 
-_notes = part_logger("config")
+_notes = component_logger("config")
 ANNOUNCEMENT = "config"
 ASKED_PEERS = 2
 ASK_TIMEOUT_S = 1.0
--- a/poplarrun/endpoints/_choice.py
+++ b/poplarrun/endpoints/_choice.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 from dataclasses import dataclass, field
 
-from poplarrun.clients import BLOCK_WORDS as BLOCK_TOKENS
+from poplarrun.clients import WORDS_PER_BLOCK as BLOCK_TOKENS
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints._endpoint import Endpoint
 from poplarrun.endpoints._pool import Pool
--- a/poplarrun/errors/__init__.py
+++ b/poplarrun/errors/__init__.py
@@ -1,6 +1,6 @@
 """The closed list of error kinds and the answer that belongs to each."""
 
 from poplarrun.errors._kinds import ErrorKind, NotRun, Refusal
-from poplarrun.errors._table import ANSWERS, ErrorAnswer, answer_for
+from poplarrun.errors._table import ERROR_RESPONSES, ErrorResponse, response_for
 
-__all__ = ["ANSWERS", "ErrorAnswer", "ErrorKind", "NotRun", "Refusal", "answer_for"]
+__all__ = ["ERROR_RESPONSES", "ErrorKind", "ErrorResponse", "NotRun", "Refusal", "response_for"]
--- a/poplarrun/gateway/__main__.py
+++ b/poplarrun/gateway/__main__.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from poplarrun.gateway import GatewayHost
-from poplarrun.logs import set_up_logs
+from poplarrun.logging import configure_logging
 from poplarrun.platform import PATH_VARIABLE, BadSettings, load_node_settings
 
 
@@ -17,7 +17,7 @@
     if isinstance(settings, BadSettings):
         print("\n".join(settings.lines), file=sys.stderr)
         return 2
-    handler = set_up_logs(settings.name)
+    handler = configure_logging(settings.name)
     try:
         asyncio.run(GatewayHost(path, settings, handler).run())
     finally:
--- a/poplarrun/gateway/_exchange.py
+++ b/poplarrun/gateway/_exchange.py
@@ -17,19 +17,19 @@
     first_patience_s,
     gap_patience_s,
 )
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
 from poplarrun.gateway._events import Event, EventCutter, NoEvents
 from poplarrun.gateway._records import RequestRecorder
 from poplarrun.gateway._sessions import SessionKeeping
 from poplarrun.platform import EndpointAnswer, decode_answer, encode_send
 from poplarrun.routing import Repeat, Work
 from poplarrun.transport import (
-    Broken,
     CallerConnection,
     ClientConnection,
     ConnectFailed,
+    ConnectionBroken,
     ConnectionPool,
-    boot_time,
+    seconds_since_boot,
 )
 
 # Longest wait for a connection, in seconds. Both ways between zones take some 10 ms;
@@ -106,10 +106,10 @@
         """Answer the caller, by a whole answer, a refusal or a break-off."""
         work = self._work
         try:
-            async with asyncio.timeout(max(0.0, work.left_s(boot_time()))):
+            async with asyncio.timeout(max(0.0, work.left_s(seconds_since_boot()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
-            self._end_attempt(TookTooLong(boot_time() - work.arrived_at))
+            self._end_attempt(TookTooLong(seconds_since_boot() - work.arrived_at))
             refusal = self._out_of_time()
         except asyncio.CancelledError:
             self._recorder.left(work)
@@ -124,9 +124,9 @@
         if not await self._sessions.learn(self._work):
             self._recorder.unanswered()
         while True:
-            now = boot_time()
+            now = seconds_since_boot()
             step = self._dispatch.choose(self._work, now)
-            self._recorder.chosen(self._work, boot_time() - now)
+            self._recorder.chosen(self._work, seconds_since_boot() - now)
             if isinstance(step, Refusal):
                 return step
             try:
@@ -157,7 +157,7 @@
     def _drop_for_larger(self, opened: _Open) -> bool:
         """Drop a doubtful answer, of which the caller has seen nothing."""
         confidence = opened.answer.confidence
-        now = boot_time()
+        now = seconds_since_boot()
         if self._is_started or confidence is None:
             return False
         if not self._dispatch.ask_larger(self._work, opened.attempt, confidence, now):
@@ -174,7 +174,7 @@
         work = self._work
         # Nothing may be awaited between this check and the hand-over: a request that
         # waited, or a host that was suspended, would send what is due to be refused.
-        now = boot_time()
+        now = seconds_since_boot()
         refusal = self._dispatch.recheck(work, now)
         if refusal is not None:
             raise RefusedError(refusal)
@@ -196,8 +196,8 @@
             async with asyncio.timeout(patience_s):
                 head = await connection.read_head()
         except TimeoutError as error:
-            raise AttemptError(TookTooLong(boot_time() - attempt.sent_at)) from error
-        except Broken as error:
+            raise AttemptError(TookTooLong(seconds_since_boot() - attempt.sent_at)) from error
+        except ConnectionBroken as error:
             raise AttemptError(ConnectionBroke(str(error))) from error
         answer = decode_answer(head.status, head.headers)
         attempt.confidence = answer.confidence
@@ -207,7 +207,7 @@
     async def _connect(self, step: Send) -> ClientConnection:
         listing = step.seat.member.listing
         if self._work.route.may_repeat:
-            idle = self._pool.take_idle(listing.address, listing.lifetime)
+            idle = self._pool.acquire_idle(listing.address, listing.lifetime)
             if idle is not None:
                 return idle
         # What may run only once gets a connection of its own: on one that was used
@@ -231,7 +231,7 @@
 
     async def _relay_whole(self, opened: _Open) -> None:
         body = await self._read_body(opened)
-        now = boot_time()
+        now = seconds_since_boot()
         self._dispatch.note_first(self._work, opened.attempt, now)
         self._recorder.first(self._work, opened.attempt)
         self._end_well(opened, now)
@@ -254,7 +254,7 @@
                 size += len(data)
                 if size > MOST_ANSWER_BYTES:
                     raise AttemptError(Garbled("the answer is too large"))
-        except Broken as error:
+        except ConnectionBroken as error:
             raise AttemptError(ConnectionBroke(str(error))) from error
         return b"".join(parts)
 
@@ -273,29 +273,29 @@
                     patience_s = gap_patience_s(self._work)
         except TimeoutError as error:
             raise AttemptError(TookTooLong(patience_s or 0.0)) from error
-        except (Broken, NoEvents) as error:
+        except (ConnectionBroken, NoEvents) as error:
             raise AttemptError(ConnectionBroke(str(error))) from error
         if not cutter.is_between:
             raise AttemptError(ConnectionBroke("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
             self._is_started = True
-        self._end_well(opened, boot_time())
-        self._caller.finish()
+        self._end_well(opened, seconds_since_boot())
+        self._caller.end_response()
 
     async def _pass_on(self, opened: _Open, events: list[Event]) -> None:
         """Send whole events to the caller, each once and in order."""
         if opened.attempt.first_at is None:
-            self._dispatch.note_first(self._work, opened.attempt, boot_time())
+            self._dispatch.note_first(self._work, opened.attempt, seconds_since_boot())
             self._recorder.first(self._work, opened.attempt)
-        opened.attempt.note_events(len(events), boot_time())
+        opened.attempt.note_events(len(events), seconds_since_boot())
         due = self._due(events)
         if not due:
             return
         if not self._is_started:
             self._is_started = True
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
-        await self._caller.push(b"".join(event.data for event in due))
+        await self._caller.send_chunk(b"".join(event.data for event in due))
 
     def _due(self, events: list[Event]) -> list[Event]:
         """Return the events that follow those that the caller has."""
@@ -323,14 +323,14 @@
     def _give_back(self, opened: _Open) -> None:
         self._connection = None
         lifetime = opened.attempt.seat.member.listing.lifetime
-        self._pool.give_back(opened.connection, lifetime)
+        self._pool.release(opened.connection, lifetime)
 
     def _learn(self, step: Send, failure: Failure) -> Refusal | None:
         """Close a broken send; None where another one follows."""
         attempt, self._attempt = self._attempt, None
         self._abort_connection()
         refusal = self._dispatch.note_failure(
-            self._work, step.seat.member, attempt, failure, boot_time()
+            self._work, step.seat.member, attempt, failure, seconds_since_boot()
         )
         self._recorder.failed(self._work, step, failure, refusal is not None)
         return refusal
@@ -339,7 +339,7 @@
         if self._attempt is not None:
             member = self._attempt.seat.member
             attempt, self._attempt = self._attempt, None
-            self._dispatch.note_failure(self._work, member, attempt, failure, boot_time())
+            self._dispatch.note_failure(self._work, member, attempt, failure, seconds_since_boot())
 
     def _drop_attempt(self) -> None:
         """Stop what is still under way at an endpoint: nobody waits for it."""
@@ -362,7 +362,7 @@
         """Tell the caller that there is no answer, or break a begun one off."""
         if self._is_started:
             self._recorder.refused(self._work, refusal, True)
-            self._caller.break_off()
+            self._caller.abort_response()
             return
         if self._failed_answer is not None:
             answer = self._failed_answer.answer
@@ -375,7 +375,7 @@
 
 def respond_refusal(caller: CallerConnection, refusal: Refusal) -> None:
     """Answer with a refusal; 429 and 503 promise that the request has not run."""
-    answer = answer_for(refusal.kind)
+    answer = response_for(refusal.kind)
     headers = [(b"Content-Type", b"text/plain")]
     retry_s = refusal.retry_after_s if refusal.retry_after_s is not None else answer.retry_after_s
     if retry_s is not None and answer.not_run is NotRun.YES:
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -7,7 +7,7 @@
 
 from poplarrun.dispatch import Knowledge
 from poplarrun.gateway._reading import SharedReading
-from poplarrun.logs import events, write_event
+from poplarrun.logging import events, write_event
 from poplarrun.peers import USUAL_TIMES
 from poplarrun.placement import LAPSE_GRACE_S, Directory, DirectoryEvent, Placement
 from poplarrun.platform import (
@@ -30,7 +30,7 @@
     decode_status,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Pause after a read of listed endpoints, in seconds: many may change one after the other.
 CHANGED_PAUSE_S = 0.1
@@ -133,7 +133,7 @@
         self._knowledge = knowledge
         self._rollouts = rollouts
         self._changed = changed
-        self._health = StoreHealth(boot_time(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
 
     async def run(self) -> None:
         """Follow for ever."""
@@ -146,7 +146,7 @@
 
     async def _step(self) -> bool:
         answer = await self._read()
-        now = boot_time()
+        now = seconds_since_boot()
         match answer:
             case Newest(entries=entries, end=end, true_at=true_at):
                 self._take_all(entries, now)
@@ -237,21 +237,21 @@
         self._store = store
         self._directory = directory
         self._placement = placement
-        self._health = StoreHealth(boot_time(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
             await self.reading.wait(lambda: self.true_at)
             is_good = await self._step()
-            self._expire(boot_time())
+            self._expire(seconds_since_boot())
             if is_good:
                 self.tell_zone()
             await asyncio.sleep(CHANGED_PAUSE_S if is_good else FAILED_PAUSE_S)
 
     async def _step(self) -> bool:
         answer = await self._read()
-        now = boot_time()
+        now = seconds_since_boot()
         match answer:
             case Newest(entries=entries, end=end, true_at=true_at):
                 self._take_newest(entries, now)
@@ -305,7 +305,7 @@
         What was taken for lapsed in an outage that there was not has really left.
         """
         if self._health.note_steady(since, until):
-            self._drop_lapsed(boot_time(), 0.0)
+            self._drop_lapsed(seconds_since_boot(), 0.0)
 
     def take_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
         """Take in records that a peer has read; after a gap this host reads for itself."""
@@ -317,7 +317,7 @@
         fresh = [entry for entry in entries if entry.offset >= self._directory.offset]
         if not fresh:
             return
-        now = boot_time()
+        now = seconds_since_boot()
         for entry in fresh:
             self._take(entry, now, is_lapse)
         self._directory.offset = fresh[-1].offset + 1
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -18,7 +18,7 @@
 from poplarrun.gateway._records import RequestRecorder
 from poplarrun.gateway._steward import Steward
 from poplarrun.links import NngLinks
-from poplarrun.logs import BoundedHandler, events, write_event
+from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook, ReadTimes
 from poplarrun.placement import Directory, Placement
@@ -38,7 +38,7 @@
     CallerServer,
     ConnectionPool,
     RequestHead,
-    boot_time,
+    seconds_since_boot,
 )
 
 # Part of the operators' bound on second sends that is used, and the hosts among
@@ -72,12 +72,12 @@
         The settings file, read again on a signal and when it changes.
     """
 
-    def __init__(self, path: Path, settings: NodeSettings, handler: BoundedHandler) -> None:
+    def __init__(self, path: Path, settings: NodeSettings, handler: NonBlockingHandler) -> None:
         self._path = path
         self._handler = handler
         self.settings = settings
         self.metrics = Metrics()
-        self.metrics.expose_lines(handler.counts)
+        self.metrics.attach_line_counts(handler.line_counts)
         self._store = StoreClient(settings.store, self._record_call)
         self._knowledge = Knowledge(settings.key_bound_s)
         self._directory = Directory()
@@ -97,7 +97,7 @@
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
         self._capacity = find_capacity(settings.memory_mb, settings.most_sockets)
-        self._callers.most_connections = self._capacity.callers
+        self._callers.max_connections = self._capacity.callers
         book = PeerBook(settings.peers, settings.zone)
         times = ReadTimes.within(settings.change_bound_s)
         self._documents = DocumentFollower(
@@ -137,7 +137,7 @@
     def is_ready(self) -> bool:
         """Whether callers may come."""
         is_known = self._knowledge.catalogue is not None and self._listings.is_served
-        is_informed = self._peering.is_informed(boot_time())
+        is_informed = self._peering.is_informed(seconds_since_boot())
         return is_known and is_informed and not self._leaving.is_set()
 
     async def run(self) -> None:
@@ -169,7 +169,7 @@
 
     async def _stop(self) -> None:
         """Let the balancer turn callers away, then finish what is open."""
-        begun_at = boot_time()
+        begun_at = seconds_since_boot()
         write_event(events.HostStopping(self._open))
         self._callers.is_stopping = True
         self._start(self._peering.withdraw())
@@ -177,7 +177,7 @@
         self._is_closed = True
         self._callers.close_idle()
         stop_at = begun_at + self.settings.stop_s - STOP_MARGIN_S
-        while self._open and boot_time() < stop_at:
+        while self._open and seconds_since_boot() < stop_at:
             await asyncio.sleep(STOP_POLL_S)
             self._callers.close_idle()
         self._callers.stop_accepting()
@@ -189,7 +189,7 @@
         if isinstance(request, BadRequest):
             respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.text))
             return
-        now = boot_time()
+        now = seconds_since_boot()
         self._note_belief(now)
         work = self._admit(request, now)
         if isinstance(work, Refusal):
@@ -245,11 +245,11 @@
         changed_at = self._modified_at()
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            self._pool.drop_stale()
+            self._pool.close_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
             self._dispatch.divide_allowance(part_of_allowance(self.settings.retry_allowance, peers))
-            left_out = self._handler.take_left_out()
+            left_out = self._handler.collect_dropped_counts()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
             modified_at = self._modified_at()
@@ -266,7 +266,7 @@
             missing.append("configuration")
         if not self._listings.is_served:
             missing.append("endpoints")
-        if not self._peering.is_informed(boot_time()):
+        if not self._peering.is_informed(seconds_since_boot()):
             missing.append("peers")
         if self._leaving.is_set():
             missing.append("stopping")
@@ -290,7 +290,7 @@
         self._rollouts.session_s = loaded.session_s
         self._rollouts.exposure = loaded.exposure
         self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
-        self._callers.most_connections = self._capacity.callers
+        self._callers.max_connections = self._capacity.callers
         self._store.address = loaded.store
 
     def _report_crash(self, error: BaseException | None) -> None:
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -11,7 +11,7 @@
 from poplarrun.gateway._sessions import SessionKeeping
 from poplarrun.gateway._sharing import RolloutState, Sharing
 from poplarrun.links import Links
-from poplarrun.logs import events, write_event
+from poplarrun.logging import events, write_event
 from poplarrun.peers import (
     Ask,
     ChangedRecord,
@@ -37,7 +37,7 @@
 from poplarrun.placement import Directory, Listing, Placement
 from poplarrun.platform import HOST_TOPIC, Appended, Entry, Malformed, Newest, StoreClient
 from poplarrun.rollouts import Rollouts
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Pauses between two digests, in seconds: reports to the relays of the own zone, sums of a
 # zone to other zones, and sums of all to a host of the own zone, which has two relays.
@@ -114,7 +114,7 @@
 
     def tell_zone(self) -> None:
         """Prove to the hosts of the own zone what this one has just read."""
-        now = boot_time()
+        now = seconds_since_boot()
         digest = self._header(now)
         for peer in self.book.served(now):
             self._send(digest, peer, now)
@@ -124,16 +124,16 @@
         records = [ChangedRecord(entry.key, entry.value) for entry in entries]
         start, end = entries[0].offset, entries[-1].offset + 1
         message = encode_message(Changes(self.book.address, start, end, is_lapse, records))
-        for peer in self.book.near(boot_time()):
+        for peer in self.book.near(seconds_since_boot()):
             self._links.send(peer.address, message)
 
     def count_alive(self) -> int:
         """Return how many other hosts are heard of."""
-        return len(self.book.alive(boot_time()))
+        return len(self.book.alive(seconds_since_boot()))
 
     def turn(self, service: str) -> int:
         """Return how many live hosts come before this one for a service's roll-outs."""
-        return self.book.turn(service, boot_time())
+        return self.book.turn(service, seconds_since_boot())
 
     def is_informed(self, now: float) -> bool:
         """Tell whether a host that started knows how far roll-outs are.
@@ -147,12 +147,12 @@
 
     async def run(self, seeds: tuple[str, ...]) -> None:
         """Tell and hear for ever."""
-        self._started_at = boot_time()
+        self._started_at = seconds_since_boot()
         for seed in seeds:
-            self.book.name(seed, boot_time())
+            self.book.name(seed, seconds_since_boot())
         self._links.start(self._receive)
         while True:
-            self._tell(boot_time())
+            self._tell(seconds_since_boot())
             await asyncio.sleep(ROUND_S)
 
     async def announce(self) -> None:
@@ -166,8 +166,8 @@
             newest = await self._store.newest(HOST_TOPIC)
             if isinstance(newest, Newest):
                 is_listed = self.book.address in [entry.key for entry in newest.entries]
-                await self._read_addresses(newest.entries, boot_time())
-            is_relay = self.book.is_relay(boot_time())
+                await self._read_addresses(newest.entries, seconds_since_boot())
+            is_relay = self.book.is_relay(seconds_since_boot())
             await asyncio.sleep(_spread(READ_HOSTS_S if is_relay else LATER_READ_HOSTS_S))
 
     async def withdraw(self) -> None:
@@ -276,7 +276,7 @@
         )
 
     def _receive(self, data: bytes) -> None:
-        now = boot_time()
+        now = seconds_since_boot()
         match decode_message(data):
             case Digest() as digest:
                 self._take_digest(digest, now)
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from poplarrun.peers import USUAL_TIMES, PeerBook, ReadDuty, ReadTimes
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 
 class SharedReading:
@@ -55,7 +55,7 @@
         true_at : callable
             When what it knows was the newest for sure; peers prove that anew meanwhile.
         """
-        while wait_s := self._duty.wait_s(self._place(), true_at(), boot_time()):
+        while wait_s := self._duty.wait_s(self._place(), true_at(), seconds_since_boot()):
             self._wake.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -63,4 +63,4 @@
         self._duty.is_behind = False
 
     def _place(self) -> int:
-        return self._book.near_place(self._topic, boot_time())
+        return self._book.near_place(self._topic, seconds_since_boot())
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 from poplarrun.dispatch import Attempt, Failure, Send, may_have_run, reason_of
-from poplarrun.errors import Refusal, answer_for
-from poplarrun.logs import events, write_event
+from poplarrun.errors import Refusal, response_for
+from poplarrun.logging import events, write_event
 from poplarrun.metrics import Metrics
 from poplarrun.routing import Request, Work
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 
 class RequestRecorder:
@@ -108,7 +108,7 @@
         attempt : Attempt, optional
             The one whose answer was whole; None for an endpoint's own failure.
         """
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         self._metrics.record_latency("whole", work.route.name, took_s)
         event = events.RequestAnswered(work.request.id, work.route.name, status, work.sends, took_s)
         if attempt is not None and attempt.first_at is not None:
@@ -129,7 +129,7 @@
 
     def refused(self, work: Work, refusal: Refusal, is_started: bool) -> None:
         """Note a refusal, or an answer that was broken off."""
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         if not is_started:
             self._refuse(work.request.id, work.route.name, refusal, work.sends, took_s)
             return
@@ -149,14 +149,14 @@
     def left(self, work: Work) -> None:
         """Note that the caller closed its connection."""
         self._metrics.count_event("caller_left")
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         write_event(events.CallerLeft(work.request.id, work.route.name, work.sends, took_s))
 
     def _refuse(
         self, request_id: str, route: str, refusal: Refusal, sends: int, took_s: float
     ) -> None:
         self._metrics.count_refusal(refusal.kind)
-        answer = answer_for(refusal.kind)
+        answer = response_for(refusal.kind)
         write_event(
             events.RequestRefused(
                 request_id,
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -10,7 +10,7 @@
 from poplarrun.peers import HeldSessions, PeerBook, SessionAnswer, SessionAsk, encode_message
 from poplarrun.rollouts import HeldSession, Rollouts, SessionKey
 from poplarrun.routing import Work
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Answers of keepers that are waited for, and for how long in seconds: one keeper may be
 # dead, or newer than the session.
@@ -76,7 +76,7 @@
 
         Only sessions that the trial would take are asked for.
         """
-        held = self._rollouts.find_unknown(work, boot_time())
+        held = self._rollouts.find_unknown(work, seconds_since_boot())
         if held is None:
             return True
         keepers = self._keepers(held.key)
--- a/poplarrun/gateway/_sharing.py
+++ b/poplarrun/gateway/_sharing.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from poplarrun.logs import events, write_event
+from poplarrun.logging import events, write_event
 from poplarrun.peers import (
     Digest,
     EndpointLoad,
--- a/poplarrun/gateway/_steward.py
+++ b/poplarrun/gateway/_steward.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from poplarrun.gateway._followers import StatusFollower
-from poplarrun.logs import events, write_event
+from poplarrun.logging import events, write_event
 from poplarrun.platform import (
     ROLLOUT_PREFIX,
     STATUS_TOPIC,
@@ -15,7 +15,7 @@
 )
 from poplarrun.rollouts import Rollout, Rollouts, Verdict
 from poplarrun.routing import RolloutPhase, RolloutStatus
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Pause between two looks at the roll-outs that are under way, in seconds.
 PERIOD_S = 0.25
@@ -71,13 +71,13 @@
         """Look after the roll-outs for ever."""
         while True:
             if self._rollouts.active():
-                self._judge_open(boot_time())
+                self._judge_open(seconds_since_boot())
             for rollout in self._rollouts.active():
                 await self._look_after(rollout)
             await asyncio.sleep(PERIOD_S)
 
     async def _look_after(self, rollout: Rollout) -> None:
-        now = boot_time()
+        now = seconds_since_boot()
         turn = self._turn(rollout.order.service)
         period_s = READ_PERIOD_S if turn == 0 else LATER_READ_PERIOD_S
         if turn < MOST_READERS and now - self._read_at > period_s:
--- a/poplarrun/hosts/_network.py
+++ b/poplarrun/hosts/_network.py
@@ -19,7 +19,7 @@
     encode_envelope,
 )
 from poplarrun.links import Links
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 
 TICK_S = 0.1
@@ -65,7 +65,7 @@
         self._serving: set[asyncio.Task[None]] = set()
         self._turns: asyncio.Task[None] | None = None
         self._close_idle_at = 0.0
-        self._log = part_logger("hosts")
+        self._log = component_logger("hosts")
 
     @property
     def me(self) -> Peer:
--- a/poplarrun/links/_nng.py
+++ b/poplarrun/links/_nng.py
@@ -9,7 +9,7 @@
 import pynng
 
 from poplarrun.links._interface import MAX_MESSAGE_BYTES, Receive
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 
 MAX_CONNECTIONS = 128
 IDLE_CLOSE_S = 60.0
@@ -74,7 +74,7 @@
         self._listening: pynng.Pull0 | None = None
         self._stopped = False
         self._task: asyncio.Task[None] | None = None
-        self._log = part_logger("links")
+        self._log = component_logger("links")
 
     @property
     def open_connections(self) -> int:
--- a/poplarrun/log/__init__.py
+++ b/poplarrun/log/__init__.py
@@ -1,6 +1,6 @@
 """The platform's append-only log: the interface, an in-memory version, records."""
 
-from poplarrun.log._async import AsyncLog, ThreadedLog, call_here
+from poplarrun.log._async import AsyncLog, ThreadedLog, call_inline
 from poplarrun.log._interface import (
     Appended,
     AppendOutcome,
@@ -13,18 +13,18 @@
     ReadOutcome,
 )
 from poplarrun.log._memory import MemoryLog
-from poplarrun.log._parts import (
-    PART_BYTES,
-    PartCollector,
-    WholeSnapshot,
+from poplarrun.log._signed import LogKeys, SignedLog, sign_log_record
+from poplarrun.log._snapshot_parts import (
+    MAX_PART_BYTES,
+    SnapshotAssembler,
+    StreamSnapshot,
     append_parts,
     split_snapshot,
 )
-from poplarrun.log._signed import LogKeys, SignedLog, seal_record
 from poplarrun.log._stream import Gap, StreamReader, append_until_known
 
 __all__ = [
-    "PART_BYTES",
+    "MAX_PART_BYTES",
     "AppendOutcome",
     "AppendRefused",
     "AppendUnknown",
@@ -36,16 +36,16 @@
     "LogKeys",
     "MemoryLog",
     "Page",
-    "PartCollector",
     "ReadFailed",
     "ReadOutcome",
     "SignedLog",
+    "SnapshotAssembler",
     "StreamReader",
+    "StreamSnapshot",
     "ThreadedLog",
-    "WholeSnapshot",
     "append_parts",
     "append_until_known",
-    "call_here",
-    "seal_record",
+    "call_inline",
+    "sign_log_record",
     "split_snapshot",
 ]
--- a/poplarrun/log/_async.py
+++ b/poplarrun/log/_async.py
@@ -16,7 +16,7 @@
         """Read at most ``limit`` records of a stream from an offset on."""
 
 
-async def call_here(call: Callable[..., Any], *arguments: Any) -> Any:
+async def call_inline(call: Callable[..., Any], *arguments: Any) -> Any:
     """Run a call at once, for a ``ThreadedLog`` over one that doesn't block, as in memory."""
     return call(*arguments)
 
--- a/poplarrun/log/_memory.py
+++ b/poplarrun/log/_memory.py
@@ -36,24 +36,24 @@
     """
 
     def __init__(self) -> None:
-        self.down = False
-        self.lost_answers = 0
+        self.is_down = False
+        self.responses_to_lose = 0
         self._streams: dict[str, _Stream] = {}
 
     def append(self, stream: str, data: bytes) -> AppendOutcome:
         """Append one record to a stream."""
-        if self.down:
+        if self.is_down:
             return AppendRefused("the log is down")
         target = self._streams.setdefault(stream, _Stream())
         target.records.append(data)
-        if self.lost_answers > 0:
-            self.lost_answers -= 1
+        if self.responses_to_lose > 0:
+            self.responses_to_lose -= 1
             return AppendUnknown("the answer was lost")
         return Appended(target.end - 1)
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
         """Read at most ``limit`` records of a stream from an offset on."""
-        if self.down:
+        if self.is_down:
             return ReadFailed("the log is down")
         source = self._streams.get(stream, _Stream())
         first = max(from_offset, source.horizon)
--- a/poplarrun/log/_signed.py
+++ b/poplarrun/log/_signed.py
@@ -48,7 +48,7 @@
     count : callable
         Counts a record that was refused, or signed and not checked for lack of
         keys, by its reason; called on any thread.
-    plain_streams : frozenset of str
+    exempt_streams : frozenset of str
         Streams that carry signatures of their own.
     """
 
@@ -57,17 +57,17 @@
         log: Log,
         keys: LogKeys,
         count: Callable[[str], None],
-        plain_streams: frozenset[str] = frozenset(),
+        exempt_streams: frozenset[str] = frozenset(),
     ) -> None:
         self._log = log
         self._keys = keys
         self._count = count
-        self._plain = plain_streams
+        self._plain = exempt_streams
 
     def append(self, stream: str, data: bytes) -> AppendOutcome:
         """Append one record to a stream, signed when there are keys."""
         if self._keys.keys and stream not in self._plain:
-            data = seal_record(stream, data, self._keys.keys[0])
+            data = sign_log_record(stream, data, self._keys.keys[0])
         return self._log.append(stream, data)
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
@@ -97,7 +97,7 @@
         return b""
 
 
-def seal_record(stream: str, data: bytes, key: bytes) -> bytes:
+def sign_log_record(stream: str, data: bytes, key: bytes) -> bytes:
     """Return a record with its signature."""
     return _HEADING + _sign(stream, data, key) + data
 
--- a/poplarrun/log/_parts.py
+++ b/poplarrun/log/_snapshot_parts.py
@@ -10,7 +10,7 @@
 from poplarrun.log._interface import Appended, AppendRefused, Entry
 
 # The largest record that a snapshot makes, but for its short heading.
-PART_BYTES = 256 * 1024
+MAX_PART_BYTES = 256 * 1024
 MAX_PARTS = 4096
 # Parts go one after the other, so that a large snapshot leaves the log's appends to others.
 PART_PAUSE_S = 0.1
@@ -35,25 +35,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeSnapshot:
+class StreamSnapshot:
     """A snapshot all of whose parts stand in the stream.
 
     Attributes
     ----------
-    through : int
+    last_offset : int
         Offset of the last record that it covers.
-    at : float
+    written_at : float
         When it was written, in seconds since the epoch.
     data : bytes
         What was split.
     """
 
-    through: int
-    at: float
+    last_offset: int
+    written_at: float
     data: bytes
 
 
-class PartCollector:
+class SnapshotAssembler:
     """Puts snapshots together out of a stream's entries.
 
     A snapshot is a function of the records up to ``through``, so it counts
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self._open: dict[str, dict[int, _Part]] = {}
 
-    def add(self, entry: Entry) -> WholeSnapshot | None:
+    def add(self, entry: Entry) -> StreamSnapshot | None:
         """Take one entry; return the snapshot that it makes whole."""
         part = _read_part(entry)
         if part is None:
@@ -75,13 +75,13 @@
             del self._open[part.snapshot]
             data = b"".join(parts[number].data for number in range(part.count))
             is_intact = part.snapshot == _digest_of(part.through, data)
-            return WholeSnapshot(part.through, part.at, data) if is_intact else None
+            return StreamSnapshot(part.through, part.at, data) if is_intact else None
         if len(self._open) > MAX_OPEN:
             del self._open[next(iter(self._open))]
         return None
 
 
-def split_snapshot(whole: WholeSnapshot) -> list[bytes]:
+def split_snapshot(whole: StreamSnapshot) -> list[bytes]:
     """Return the records that carry a snapshot.
 
     Its digest names it, so parts of different snapshots are never mixed, and
@@ -92,13 +92,13 @@
     ValueError
         When it would need more than ``MAX_PARTS``.
     """
-    count = max(1, -(-len(whole.data) // PART_BYTES))
+    count = max(1, -(-len(whole.data) // MAX_PART_BYTES))
     if count > MAX_PARTS:
         raise ValueError(f"a snapshot of {len(whole.data)} bytes is too large")
-    name = _digest_of(whole.through, whole.data)
-    cuts = [whole.data[i * PART_BYTES : (i + 1) * PART_BYTES] for i in range(count)]
+    name = _digest_of(whole.last_offset, whole.data)
+    cuts = [whole.data[i * MAX_PART_BYTES : (i + 1) * MAX_PART_BYTES] for i in range(count)]
     return [
-        _encode(_Part(name, whole.through, whole.at, number, count, cut))
+        _encode(_Part(name, whole.last_offset, whole.written_at, number, count, cut))
         for number, cut in enumerate(cuts)
     ]
 
--- /dev/null
+++ b/poplarrun/logging/__init__.py
@@ -0,0 +1,17 @@
+"""Structured logs: JSON lines, a fixed prefix for each part, never too many."""
+
+from poplarrun.logging import _events as events
+from poplarrun.logging._events import EVENTS, Event, write_event
+from poplarrun.logging._setup import component_logger, configure_logging
+from poplarrun.logging._writer import LineRateLimiter, NonBlockingHandler
+
+__all__ = [
+    "EVENTS",
+    "Event",
+    "LineRateLimiter",
+    "NonBlockingHandler",
+    "component_logger",
+    "configure_logging",
+    "events",
+    "write_event",
+]
--- a/poplarrun/logs/_events.py
+++ b/poplarrun/logging/_events.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar
 
-from poplarrun.logs._logs import part_logger
+from poplarrun.logging._setup import component_logger
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,9 +19,9 @@
 
     Attributes
     ----------
-    part : str
+    component : str
         Prefix of the line.
-    text : str
+    message : str
         The sentence.
     level : int
         Level of the line.
@@ -29,8 +29,8 @@
         Whether it is left out first when there are too many lines.
     """
 
-    part: ClassVar[str] = "host"
-    text: ClassVar[str] = ""
+    component: ClassVar[str] = "host"
+    message: ClassVar[str] = ""
     level: ClassVar[int] = logging.INFO
     is_usual: ClassVar[bool] = False
 
@@ -39,8 +39,8 @@
 class RequestAdmitted(Event):
     """A request may run; by which configuration, and how old that belief is."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "Admitted."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "Admitted."
     is_usual: ClassVar[bool] = True
     request: str
     route: str
@@ -63,8 +63,8 @@
         Hash of the session's id, the same on all hosts; empty without a session.
     """
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "Sent."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "Sent."
     is_usual: ClassVar[bool] = True
     request: str
     send: int
@@ -85,8 +85,8 @@
 class SendFailed(Event):
     """A send failed; whether the endpoint may have run the request."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "A send failed."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "A send failed."
     request: str
     endpoint: str
     failure: str
@@ -98,8 +98,8 @@
 class LargerModelAsked(Event):
     """An answer was dropped unseen because its model doubted it."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "A larger model is asked."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "A larger model is asked."
     is_usual: ClassVar[bool] = True
     request: str
     confidence: float
@@ -120,8 +120,8 @@
         The model's own, 0 to 1.
     """
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "Answered."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "Answered."
     is_usual: ClassVar[bool] = True
     request: str
     route: str
@@ -140,8 +140,8 @@
 class RequestRefused(Event):
     """The caller gets no answer, and is told whether the request has run."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "Refused."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "Refused."
     request: str
     route: str
     kind: str
@@ -158,8 +158,8 @@
 class AnswerBroken(Event):
     """An answer that had begun was broken off, visibly."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "Broken off."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "Broken off."
     request: str
     route: str
     kind: str
@@ -173,8 +173,8 @@
 class CallerLeft(Event):
     """The caller closed its connection before the answer was whole."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "The caller left."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "The caller left."
     request: str
     route: str
     sends: int
@@ -185,7 +185,7 @@
 class HostStarted(Event):
     """The host serves."""
 
-    text: ClassVar[str] = "Serving."
+    message: ClassVar[str] = "Serving."
     zone: str
     callers: str
     peers: str
@@ -195,7 +195,7 @@
 class MetricsUnavailable(Event):
     """Nobody can read the counters: their address can't be used."""
 
-    text: ClassVar[str] = "Metrics are not served."
+    message: ClassVar[str] = "Metrics are not served."
     level: ClassVar[int] = logging.WARNING
     address: str
     reason: str
@@ -205,7 +205,7 @@
 class HostReady(Event):
     """Whether callers may come has changed."""
 
-    text: ClassVar[str] = "Readiness changed."
+    message: ClassVar[str] = "Readiness changed."
     is_ready: bool
     missing: str
 
@@ -214,7 +214,7 @@
 class HostStopping(Event):
     """The platform asked the host to stop."""
 
-    text: ClassVar[str] = "Stopping."
+    message: ClassVar[str] = "Stopping."
     open_requests: int
 
 
@@ -222,7 +222,7 @@
 class HostStopped(Event):
     """The host ends."""
 
-    text: ClassVar[str] = "Stopped."
+    message: ClassVar[str] = "Stopped."
     open_requests: int
 
 
@@ -230,7 +230,7 @@
 class SettingsRead(Event):
     """The settings file was read again."""
 
-    text: ClassVar[str] = "Settings read."
+    message: ClassVar[str] = "Settings read."
     is_changed: bool
 
 
@@ -238,7 +238,7 @@
 class SettingsBad(Event):
     """The settings file can't be used; the settings before stay in force."""
 
-    text: ClassVar[str] = "The settings are bad."
+    message: ClassVar[str] = "The settings are bad."
     level: ClassVar[int] = logging.WARNING
     lines: list[str]
 
@@ -247,8 +247,8 @@
 class RequestCrashed(Event):
     """A fault of ours ended a request."""
 
-    part: ClassVar[str] = "request"
-    text: ClassVar[str] = "A request crashed."
+    component: ClassVar[str] = "request"
+    message: ClassVar[str] = "A request crashed."
     level: ClassVar[int] = logging.ERROR
     error: str
 
@@ -257,8 +257,8 @@
 class StoreLost(Event):
     """The store does not answer this host."""
 
-    part: ClassVar[str] = "store"
-    text: ClassVar[str] = "The store does not answer."
+    component: ClassVar[str] = "store"
+    message: ClassVar[str] = "The store does not answer."
     level: ClassVar[int] = logging.WARNING
     reader: str
     reason: str
@@ -268,8 +268,8 @@
 class StoreBack(Event):
     """The store answers this host again."""
 
-    part: ClassVar[str] = "store"
-    text: ClassVar[str] = "The store answers."
+    component: ClassVar[str] = "store"
+    message: ClassVar[str] = "The store answers."
     reader: str
     offset: int
 
@@ -278,8 +278,8 @@
 class HistoryDropped(Event):
     """The store no longer keeps records that were not read yet."""
 
-    part: ClassVar[str] = "store"
-    text: ClassVar[str] = "History was dropped; all is read anew."
+    component: ClassVar[str] = "store"
+    message: ClassVar[str] = "History was dropped; all is read anew."
     reader: str
 
 
@@ -287,8 +287,8 @@
 class ConfigInForce(Event):
     """A newer configuration is in force."""
 
-    part: ClassVar[str] = "config"
-    text: ClassVar[str] = "A configuration is in force."
+    component: ClassVar[str] = "config"
+    message: ClassVar[str] = "A configuration is in force."
     version: int
     source: str
 
@@ -297,8 +297,8 @@
 class DocumentIgnored(Event):
     """A document is malformed and has no effect."""
 
-    part: ClassVar[str] = "config"
-    text: ClassVar[str] = "A document has no effect."
+    component: ClassVar[str] = "config"
+    message: ClassVar[str] = "A document has no effect."
     level: ClassVar[int] = logging.WARNING
     key: str
     reason: str
@@ -308,8 +308,8 @@
 class EndpointChanged(Event):
     """An endpoint came, started anew or leaves."""
 
-    part: ClassVar[str] = "endpoints"
-    text: ClassVar[str] = "An endpoint changed."
+    component: ClassVar[str] = "endpoints"
+    message: ClassVar[str] = "An endpoint changed."
     endpoint: str
     change: str
     service: str
@@ -321,8 +321,8 @@
 class EndpointsGone(Event):
     """Endpoints are not listed any more and get nothing new."""
 
-    part: ClassVar[str] = "endpoints"
-    text: ClassVar[str] = "An endpoint is gone."
+    component: ClassVar[str] = "endpoints"
+    message: ClassVar[str] = "An endpoint is gone."
     endpoints: list[str]
     reason: str
 
@@ -331,8 +331,8 @@
 class RecordIgnored(Event):
     """A record of the listing names no endpoint."""
 
-    part: ClassVar[str] = "endpoints"
-    text: ClassVar[str] = "A record names no endpoint."
+    component: ClassVar[str] = "endpoints"
+    message: ClassVar[str] = "A record names no endpoint."
     level: ClassVar[int] = logging.WARNING
     endpoint: str
 
@@ -349,8 +349,8 @@
         Time since any host saw the order first, as far as known.
     """
 
-    part: ClassVar[str] = "rollouts"
-    text: ClassVar[str] = "A roll-out is ordered."
+    component: ClassVar[str] = "rollouts"
+    message: ClassVar[str] = "A roll-out is ordered."
     service: str
     target: str
     duration_s: float
@@ -362,8 +362,8 @@
 class RolloutShifted(Event):
     """Sessions may change to the new version from now on; by this host or told by a peer."""
 
-    part: ClassVar[str] = "rollouts"
-    text: ClassVar[str] = "Sessions may change versions."
+    component: ClassVar[str] = "rollouts"
+    message: ClassVar[str] = "Sessions may change versions."
     service: str
     target: str
     source: str
@@ -374,8 +374,8 @@
 class RolloutJudged(Event):
     """A phase of a roll-out was recorded, or another host was before."""
 
-    part: ClassVar[str] = "rollouts"
-    text: ClassVar[str] = "A roll-out was judged."
+    component: ClassVar[str] = "rollouts"
+    message: ClassVar[str] = "A roll-out was judged."
     service: str
     target: str
     phase: str
@@ -389,8 +389,8 @@
 class PeersChanged(Event):
     """Hosts were lost or found."""
 
-    part: ClassVar[str] = "peers"
-    text: ClassVar[str] = "Peers changed."
+    component: ClassVar[str] = "peers"
+    message: ClassVar[str] = "Peers changed."
     lost: list[str]
     found: list[str]
 
@@ -399,8 +399,8 @@
 class MessageUnreadable(Event):
     """A peer's message can't be read."""
 
-    part: ClassVar[str] = "peers"
-    text: ClassVar[str] = "A message can't be read."
+    component: ClassVar[str] = "peers"
+    message: ClassVar[str] = "A message can't be read."
     level: ClassVar[int] = logging.WARNING
     size: int
 
@@ -409,8 +409,8 @@
 class LinesLeftOut(Event):
     """Lines were left out, by event, since the last such line."""
 
-    part: ClassVar[str] = "log"
-    text: ClassVar[str] = "Lines were left out."
+    component: ClassVar[str] = "log"
+    message: ClassVar[str] = "Lines were left out."
     level: ClassVar[int] = logging.WARNING
     counts: Mapping[str, int]
 
@@ -420,7 +420,7 @@
 EVENTS: tuple[type[Event], ...] = tuple(
     {kind.__name__: kind for kind in Event.__subclasses__()}.values()
 )
-_LOGGERS = {event.part: part_logger(event.part) for event in EVENTS}
+_LOGGERS = {event.component: component_logger(event.component) for event in EVENTS}
 _FIELDS = {event: tuple(field.name for field in dataclasses.fields(event)) for event in EVENTS}
 PLACES = 4
 
@@ -432,4 +432,4 @@
     for name in _FIELDS[kind]:
         value = getattr(event, name)
         fields[name] = round(value, PLACES) if isinstance(value, float) else value
-    _LOGGERS[kind.part].log(kind.level, kind.text, extra=fields)
+    _LOGGERS[kind.component].log(kind.level, kind.message, extra=fields)
--- a/poplarrun/logs/_logs.py
+++ b/poplarrun/logging/_setup.py
@@ -6,7 +6,7 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from poplarrun.logs._writer import BoundedHandler
+from poplarrun.logging._writer import NonBlockingHandler
 
 ROOT_NAME = "poplarrun"
 LINE_FIELDS = "%(asctime)s %(levelname)s %(message)s"
@@ -22,14 +22,14 @@
         return f"{self.extra['prefix']}: {msg}", kwargs
 
 
-def part_logger(part: str) -> logging.LoggerAdapter[logging.Logger]:
+def component_logger(part: str) -> logging.LoggerAdapter[logging.Logger]:
     """Return the logger of a part; its name is the prefix of each line."""
     return _PartLogger(logging.getLogger(ROOT_NAME), {"prefix": part})
 
 
-def set_up_logs(host: str, level: int = logging.INFO) -> BoundedHandler:
+def configure_logging(host: str, level: int = logging.INFO) -> NonBlockingHandler:
     """Write JSON lines to standard output, each with the host's name."""
-    handler = BoundedHandler()
+    handler = NonBlockingHandler()
     handler.setFormatter(JsonFormatter(LINE_FIELDS, static_fields={"host": host}))
     logger = logging.getLogger(ROOT_NAME)
     logger.handlers = [handler]
--- a/poplarrun/logs/_writer.py
+++ b/poplarrun/logging/_writer.py
@@ -23,7 +23,7 @@
 MOST_WRITTEN = 4096
 
 
-class LineBudget:
+class LineRateLimiter:
     """Lets through so many lines a second.
 
     Parameters
@@ -48,7 +48,7 @@
         return True
 
 
-class BoundedHandler(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Hands lines to a thread that writes them to standard output.
 
     A reader that stops reading blocks that thread alone. Without it, the first write
@@ -56,9 +56,9 @@
 
     Attributes
     ----------
-    left_out : Counter
+    dropped_counts : Counter
         Lines that were left out, by event, since they were last told.
-    counts : Counter
+    line_counts : Counter
         All lines by event since the start, those that were left out included.
     """
 
@@ -68,12 +68,12 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         super().__init__()
-        self.left_out: Counter[str] = Counter()
-        self.counts: Counter[str] = Counter()
+        self.dropped_counts: Counter[str] = Counter()
+        self.line_counts: Counter[str] = Counter()
         self._write = write or _write_out
         self._clock = clock
-        self._usual = LineBudget(USUAL_LINES_PER_S)
-        self._notable = LineBudget(NOTABLE_LINES_PER_S)
+        self._usual = LineRateLimiter(USUAL_LINES_PER_S)
+        self._notable = LineRateLimiter(NOTABLE_LINES_PER_S)
         self._waiting: deque[str] = deque()
         self._told_at = clock()
         self._wake = threading.Event()
@@ -83,11 +83,11 @@
         """Put a line into the queue, or count it as left out."""
         now = self._clock()
         event = str(record.__dict__.get("event", record.levelname))
-        self.counts[event] += 1
+        self.line_counts[event] += 1
         is_usual = bool(record.__dict__.pop("is_usual", False))
         budget = self._usual if is_usual else self._notable
         if len(self._waiting) >= MOST_WAITING or not budget.take(now):
-            self.left_out[event] += 1
+            self.dropped_counts[event] += 1
             return
         self._waiting.append(self.format(record))
         if self._thread is None:
@@ -95,14 +95,14 @@
             self._thread.start()
         self._wake.set()
 
-    def take_left_out(self) -> dict[str, int]:
+    def collect_dropped_counts(self) -> dict[str, int]:
         """Return how many lines were left out, once a period; empty otherwise."""
         now = self._clock()
-        if not self.left_out or now - self._told_at < TELL_PERIOD_S:
+        if not self.dropped_counts or now - self._told_at < TELL_PERIOD_S:
             return {}
         self._told_at = now
-        counts = dict(self.left_out)
-        self.left_out.clear()
+        counts = dict(self.dropped_counts)
+        self.dropped_counts.clear()
         return counts
 
     def flush(self) -> None:
--- a/poplarrun/metrics/_registry.py
+++ b/poplarrun/metrics/_registry.py
@@ -63,7 +63,7 @@
             self.histograms[(name, label)] = histogram
         histogram.record_value(max(LOWEST_MICROSECONDS, int(seconds * MICROSECONDS_PER_SECOND)))
 
-    def expose_lines(self, counts: Mapping[str, int]) -> None:
+    def attach_line_counts(self, counts: Mapping[str, int]) -> None:
         """Give out how many lines of each event were logged, by a mapping that grows."""
         self.line_counts = counts
 
--- a/poplarrun/platform/_store.py
+++ b/poplarrun/platform/_store.py
@@ -10,12 +10,12 @@
 from urllib.parse import urlencode
 
 from poplarrun.transport import (
-    AnswerHead,
-    Broken,
     ClientConnection,
     ConnectFailed,
+    ConnectionBroken,
     ConnectionPool,
-    boot_time,
+    ResponseHead,
+    seconds_since_boot,
 )
 
 CONNECT_TIMEOUT_S = 0.5
@@ -56,7 +56,7 @@
     end, first : int
         Offset of the next record, and of the oldest one kept.
     true_at : float
-        When nothing else was there for sure, in seconds of ``boot_time``.
+        When nothing else was there for sure, in seconds of ``seconds_since_boot``.
     """
 
     entries: tuple[Entry, ...]
@@ -151,7 +151,7 @@
         query: dict[str, Any] = {"topic": topic, "part": 0, "from": offset}
         if wait_s > 0.0:
             query["waitMs"] = int(wait_s * MILLISECONDS)
-        sent_at = boot_time()
+        sent_at = seconds_since_boot()
         beyond_s = HELD_TIMEOUT_S if wait_s > 0.0 else ANSWER_TIMEOUT_S
         answer = await self._call("GET", "/log-read", query, b"", wait_s + beyond_s)
         match answer:
@@ -176,7 +176,7 @@
         entries: list[Entry] = []
         after: str | None = None
         end: int | None = None
-        sent_at = boot_time()
+        sent_at = seconds_since_boot()
         while True:
             query: dict[str, Any] = {"topic": topic, "part": 0}
             if after is not None:
@@ -228,11 +228,11 @@
         self, method: str, path: str, query: dict[str, Any], body: bytes, timeout_s: float
     ) -> tuple[int, bytes] | NoAnswer:
         """Make one call, and tell how long it took."""
-        began_at = boot_time()
+        began_at = seconds_since_boot()
         answer = await self._exchange(method, path, query, body, timeout_s)
         if self._record is not None:
             outcome = "no_answer" if isinstance(answer, NoAnswer) else str(answer[0])
-            self._record(path.lstrip("/"), outcome, boot_time() - began_at)
+            self._record(path.lstrip("/"), outcome, seconds_since_boot() - began_at)
         return answer
 
     async def _exchange(
@@ -242,7 +242,7 @@
         connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                connection = self._pool.take_idle(self.address)
+                connection = self._pool.acquire_idle(self.address)
                 if connection is None:
                     connection = await self._pool.open(self.address, CONNECT_TIMEOUT_S)
                 target = f"{path}?{urlencode(query)}".encode()
@@ -250,7 +250,7 @@
                 if not connection.send(method.encode(), target, headers, body):
                     return NoAnswer("closed before the call")
                 head, data = await _read_whole(connection)
-        except (TimeoutError, ConnectFailed, Broken) as error:
+        except (TimeoutError, ConnectFailed, ConnectionBroken) as error:
             if connection is not None:
                 connection.abort()
             return NoAnswer(str(error) or "timeout")
@@ -258,11 +258,11 @@
             if connection is not None:
                 connection.abort()
             raise
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return head.status, data
 
 
-async def _read_whole(connection: ClientConnection) -> tuple[AnswerHead, bytes]:
+async def _read_whole(connection: ClientConnection) -> tuple[ResponseHead, bytes]:
     head = await connection.read_head()
     parts: list[bytes] = []
     size = 0
@@ -270,7 +270,7 @@
         parts.append(data)
         size += len(data)
         if size > MOST_ANSWER_BYTES:
-            raise Broken("the answer is too large")
+            raise ConnectionBroken("the answer is too large")
     return head, b"".join(parts)
 
 
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -7,7 +7,7 @@
 from poplarrun.clients import Usage
 from poplarrun.contracts import ClientAccount, Unmet, Version, WorkClass
 from poplarrun.endpoints import Demand, Endpoint
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
 from poplarrun.orders import OpenWork
 from poplarrun.retries import GiveUp
 from poplarrun.router._chat_versions import ChatVersions, VersionPick
@@ -346,7 +346,7 @@
             self._end_limits(chat.request, chat.account, shown, bill.amount)
             self._context.add_bill(bill, chat.explanation)
         else:
-            if chat.job.started and answer_for(kind).not_run is NotRun.YES:
+            if chat.job.started and response_for(kind).not_run is NotRun.YES:
                 kind = ErrorKind.ENDPOINT_FAILED
             self._end_limits(chat.request, chat.account)
             self._context.closed.append(chat.request.request_id)
--- a/poplarrun/router/_messages.py
+++ b/poplarrun/router/_messages.py
@@ -4,7 +4,7 @@
 
 from poplarrun.billing import Bill
 from poplarrun.claims import Ran
-from poplarrun.clients import PreparedCall, ServiceAnswer, Usage
+from poplarrun.clients import PreparedCall, ServiceResponse, Usage
 from poplarrun.contracts import Operation, VersionId
 
 
@@ -232,7 +232,7 @@
     """A call of a plain service was answered."""
 
     request_id: str
-    answer: ServiceAnswer
+    answer: ServiceResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -131,7 +131,7 @@
             self._note_attempt_end(call)
             kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else ErrorKind.DEADLINE_UNREACHABLE
             return self._refuse(call, kind, "the deadline passed before it was sent")
-        call.is_sent = message.call.hand_over() or call.is_sent
+        call.is_sent = message.call.start_sending() or call.is_sent
         return HandedOver(call.is_sent, left_s)
 
     def retry(self, failure: CallFailed) -> OperationGrant | Refusal:
--- a/poplarrun/server/_bodies.py
+++ b/poplarrun/server/_bodies.py
@@ -8,7 +8,7 @@
 
 from poplarrun.claims import KnownOutcome
 from poplarrun.clients import Usage
-from poplarrun.errors import ErrorKind, Refusal, answer_for
+from poplarrun.errors import ErrorKind, Refusal, response_for
 
 DEFAULT_MAX_TOKENS = 1024
 DATA_PREFIX = b"data: "
@@ -72,7 +72,7 @@
 
 def render_error(refusal: Refusal) -> bytes:
     """Return the body of a refusal."""
-    answer = answer_for(refusal.kind)
+    answer = response_for(refusal.kind)
     error = {
         "message": refusal.message,
         "type": answer.type,
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -7,8 +7,8 @@
 import cherrypy
 
 from poplarrun.claims import KnownOutcome, OutcomeKind, Ran, fingerprint_of
-from poplarrun.clients import Engine, ServiceAnswer, ServiceCaller, Usage, hash_blocks
-from poplarrun.errors import ErrorKind, Refusal, answer_for
+from poplarrun.clients import Engine, ServiceCaller, ServiceResponse, Usage, hash_blocks
+from poplarrun.errors import ErrorKind, Refusal, response_for
 from poplarrun.router import BeginChat, BeginOperation, FindOperation
 from poplarrun.server._bodies import (
     ChatBody,
@@ -45,7 +45,7 @@
 
 def send_refusal(refusal: Refusal) -> bytes:
     """Set a refusal's head and return its body."""
-    answer = answer_for(refusal.kind)
+    answer = response_for(refusal.kind)
     retry_after_s = refusal.retry_after_s
     if retry_after_s is None:
         retry_after_s = answer.retry_after_s
@@ -166,7 +166,7 @@
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
         content_type = cherrypy.request.headers.get("Content-Type", JSON)
         match OperationRun(self._crossing, self._services).run(request, data, content_type):
-            case ServiceAnswer() as answer:
+            case ServiceResponse() as answer:
                 return _send_answer(answer.status, answer.content_type, answer.body)
             case Ran() as ran:
                 return _send_replay(key or "", ran)
--- a/poplarrun/server/_chats.py
+++ b/poplarrun/server/_chats.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 from poplarrun.answers import Reassembly
-from poplarrun.clients import Answer, Chunk, Engine, EngineCall, EngineFailed, Usage
+from poplarrun.clients import Chunk, Engine, EngineCall, EngineFailed, GenerationEvent, Usage
 from poplarrun.contracts import VersionId
 from poplarrun.errors import Refusal
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.router import AttemptFailed, BeginChat, ChatGrant, EndChat, FirstToken, JudgeChat
 from poplarrun.server._crossing import Crossing
 
-_log = part_logger("chats")
+_log = component_logger("chats")
 
 
 def new_request_id() -> str:
@@ -65,8 +65,8 @@
         self._prompt = prompt
         self._is_streamed = is_streamed
         self._reassembly = Reassembly()
-        self._answers: Iterator[list[Answer]] = iter(())
-        self._arrived: list[Answer] = []
+        self._answers: Iterator[list[GenerationEvent]] = iter(())
+        self._arrived: list[GenerationEvent] = []
         self._address = ""
         self._ended = False
         self._sampled = False
--- a/poplarrun/server/_crossing.py
+++ b/poplarrun/server/_crossing.py
@@ -8,7 +8,7 @@
 from concurrent.futures import Future
 from typing import Any
 
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 
 ANSWER_TIMEOUT_S = 30.0
 
@@ -29,7 +29,7 @@
 
     def __init__(self, handle: Callable[[Any], Any]) -> None:
         self._handle = handle
-        self._log = part_logger("crossing")
+        self._log = component_logger("crossing")
         self._waiting: set[asyncio.Task[Any]] = set()
         self.loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, name="loop", daemon=True)
--- a/poplarrun/server/_daemon.py
+++ b/poplarrun/server/_daemon.py
@@ -17,7 +17,7 @@
     PlatformTls,
     use_tls,
 )
-from poplarrun.logs import part_logger, set_up_logs
+from poplarrun.logging import component_logger, configure_logging
 from poplarrun.server._callers import CallersApi
 from poplarrun.server._crossing import Crossing
 from poplarrun.server._host import EntryHost
@@ -77,7 +77,7 @@
             lambda: self.host.readiness.leaving,
         )
         self._stopped = threading.Event()
-        self._log = part_logger("daemon")
+        self._log = component_logger("daemon")
 
     def start(self) -> None:
         """Start the loop and serve HTTP on threads of their own."""
@@ -154,7 +154,7 @@
 
 def run_daemon(settings: HostSettings) -> int:
     """Serve until a signal comes; return the exit code."""
-    set_up_logs(settings.name)
+    configure_logging(settings.name)
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopped.set())
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -99,7 +99,7 @@
 
     async def _poll_load(self, endpoint: Endpoint) -> None:
         began = self._clock()
-        match await self._in_thread(self._engine.report_load, endpoint.address):
+        match await self._in_thread(self._engine.fetch_load, endpoint.address):
             case LoadReport() as report:
                 now = self._clock()
                 self._endpoints.note_link(endpoint.zone, now - began)
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -33,7 +33,7 @@
 from poplarrun.leases import LeaseKeeper
 from poplarrun.limits import ROUND_S, AccountLimits
 from poplarrun.log import Log, ThreadedLog
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.router import (
     AttemptFailed,
@@ -189,7 +189,7 @@
             keys=keys_of(settings),
         )
         self._version_tasks.on_withdrawal = self.config.poll.wake
-        self._log = part_logger("host")
+        self._log = component_logger("host")
         self._tasks = Tasks(self.metrics)
         self.readiness = Readiness(
             settings.limits.threads,
--- a/poplarrun/server/_http_server.py
+++ b/poplarrun/server/_http_server.py
@@ -9,7 +9,7 @@
 from cheroot.ssl.builtin import BuiltinSSLAdapter
 
 from poplarrun.errors import ErrorKind, Refusal
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.server._bodies import render_error
 from poplarrun.server._callers import REQUEST_ID_HEADER
 from poplarrun.server._connections import Connection
@@ -60,7 +60,7 @@
             fresh = _LateHandshakeAdapter(str(self._files.certificate), str(self._files.key))
         except OSError as error:
             # A half-written file: the old certificate stays, the next change is tried again.
-            part_logger("http").warning(
+            component_logger("http").warning(
                 "A certificate can't be read.", extra={"reason": str(error)}
             )
             return False
@@ -78,7 +78,9 @@
     """Logs what cheroot has to say, such as a failed handshake, in the host's own form."""
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        part_logger("http").log(level, "The server.", extra={"reason": msg}, exc_info=traceback)
+        component_logger("http").log(
+            level, "The server.", extra={"reason": msg}, exc_info=traceback
+        )
 
 
 def make_server(
@@ -136,7 +138,9 @@
 def _answer_internal_error() -> None:
     """Answer a fault of ours in the callers' error form, without a trace of it."""
     request_id = cherrypy.response.headers.get(REQUEST_ID_HEADER)
-    part_logger("http").error("A handler failed.", exc_info=True, extra={"request_id": request_id})
+    component_logger("http").error(
+        "A handler failed.", exc_info=True, extra={"request_id": request_id}
+    )
     refusal = Refusal(ErrorKind.INTERNAL, "an internal error; the outcome is unknown")
     cherrypy.response.status = 500
     cherrypy.response.headers["Content-Type"] = "application/json"
--- a/poplarrun/server/_operations.py
+++ b/poplarrun/server/_operations.py
@@ -5,14 +5,14 @@
 from poplarrun.claims import Ran
 from poplarrun.clients import (
     PreparedCall,
-    ServiceAnswer,
     ServiceCall,
     ServiceCaller,
     ServiceNotSent,
-    ServiceUnknown,
+    ServiceOutcomeUnknown,
+    ServiceResponse,
 )
 from poplarrun.errors import Refusal
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.router import (
     BeginOperation,
     CallFailed,
@@ -27,7 +27,7 @@
 # The loop bounds each step by the operation's own deadline.
 ANSWER_BOUND_S = 3600.0
 
-_log = part_logger("operations")
+_log = component_logger("operations")
 
 
 class OperationRun:
@@ -39,7 +39,7 @@
 
     def run(
         self, request: BeginOperation, body: bytes, content_type: str
-    ) -> ServiceAnswer | Ran | Refusal:
+    ) -> ServiceResponse | Ran | Refusal:
         """Send the call where the loop says, until it answers or is given up."""
         call = ServiceCall(request.request_id, request.operation, body, content_type)
         step = self._crossing.ask(request, ANSWER_BOUND_S)
@@ -54,7 +54,7 @@
 
     def _exchange(
         self, request_id: str, prepared: PreparedCall
-    ) -> ServiceAnswer | OperationGrant | Refusal:
+    ) -> ServiceResponse | OperationGrant | Refusal:
         try:
             handed = self._crossing.ask(SendOperation(request_id, prepared))
             if isinstance(handed, Refusal):
@@ -65,14 +65,14 @@
 
     def _finish(
         self, request_id: str, prepared: PreparedCall, handed: HandedOver
-    ) -> ServiceAnswer | OperationGrant | Refusal:
+    ) -> ServiceResponse | OperationGrant | Refusal:
         if not handed.is_sent:
             return self._ask_on(CallFailed(request_id, "connect"))
         match prepared.finish(handed.timeout_s):
-            case ServiceAnswer() as answer:
+            case ServiceResponse() as answer:
                 self._crossing.ask(EndOperation(request_id, answer))
                 return answer
-            case ServiceUnknown(reason=reason):
+            case ServiceOutcomeUnknown(reason=reason):
                 return self._ask_on(CallFailed(request_id, reason))
 
     def _ask_on(self, failed: CallFailed) -> OperationGrant | Refusal:
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -12,17 +12,17 @@
 from poplarrun.clients import (
     EngineModels,
     HostKind,
+    OrderAccepted,
     OrderFenced,
     Orders,
-    OrderTaken,
-    TakesNoOrders,
+    OrdersUnsupported,
     WeightStore,
 )
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import Endpoint
 from poplarrun.hosts import Peers
 from poplarrun.leases import Lease, LeaseKeeper
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.orders import (
     DEMAND_TOPIC,
@@ -109,7 +109,7 @@
         self._beside: set[asyncio.Task[None]] = set()
         self._heard: dict[str, OrdersSummary] = {}
         self.holder = OrderHolder(random.Random(peers.me.name))
-        self._log = part_logger("orders")
+        self._log = component_logger("orders")
 
     def read_status(self) -> tuple[OrdersStatus, ...]:
         """Tell which versions come and go in each zone, for operators."""
@@ -200,7 +200,7 @@
         match await self._in_thread(self._orders.read_models, engine.address):
             case EngineModels() as models:
                 self.holder.take_models(engine.name, models, self._clock())
-            case TakesNoOrders():
+            case OrdersUnsupported():
                 self._no_orders_until[engine.name] = self._clock() + NO_ORDERS_S
                 self.holder.forget(engine.name)
             case _:
@@ -237,7 +237,7 @@
             self._metrics.count_event("order_kept_back")
             return
         match await self._in_thread(self._orders.send, engine.address, action.order):
-            case OrderTaken():
+            case OrderAccepted():
                 self._metrics.count_event("order_sent")
                 self.holder.note_taken(engine.name, action.order)
                 self._log.info(
--- a/poplarrun/server/_tasks.py
+++ b/poplarrun/server/_tasks.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 
 Step = Callable[[], Coroutine[Any, Any, None]]
@@ -23,7 +23,7 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._log = part_logger("host")
+        self._log = component_logger("host")
         # The loop holds tasks weakly: one that nothing else names may be collected.
         self._kept: set[asyncio.Task[None]] = set()
 
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -13,7 +13,7 @@
 from poplarrun.config import CONFIG_STREAM, NO_KEYS, OperatorKeys, Withdrawal, sign_system_record
 from poplarrun.hosts import Peers, StreamPoll
 from poplarrun.log import Appended, Gap, Log, ReadFailed, StreamReader
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.rendezvous import rank_hosts
 from poplarrun.server._messages import RolloutStatus
@@ -104,7 +104,7 @@
         peers.serve(ESTIMATES_MESSAGE, self._tell_estimates)
         self._adopt_until = clock() + ADOPTION_S
         self._awaited: OrderedDict[str, SampledAnswer] = OrderedDict()
-        self._log = part_logger("versions")
+        self._log = component_logger("versions")
 
     def read_rollouts(self) -> tuple[RolloutStatus, ...]:
         """Tell where each roll-out stands, for operators."""
--- a/poplarrun/transport/__init__.py
+++ b/poplarrun/transport/__init__.py
@@ -1,13 +1,13 @@
 """HTTP/1.1 on the loop: connections to endpoints and stores, and from callers."""
 
 from poplarrun.transport._client import (
-    AnswerHead,
-    Broken,
     ClientConnection,
     ConnectFailed,
+    ConnectionBroken,
+    ResponseHead,
     open_connection,
 )
-from poplarrun.transport._clock import boot_time
+from poplarrun.transport._clock import seconds_since_boot
 from poplarrun.transport._pool import ConnectionPool
 from poplarrun.transport._server import (
     CallerConnection,
@@ -17,15 +17,15 @@
 )
 
 __all__ = [
-    "AnswerHead",
-    "Broken",
     "CallerConnection",
     "CallerServer",
     "ClientConnection",
     "ConnectFailed",
+    "ConnectionBroken",
     "ConnectionPool",
     "RequestHead",
+    "ResponseHead",
     "ServerBounds",
-    "boot_time",
     "open_connection",
+    "seconds_since_boot",
 ]
--- a/poplarrun/transport/_client.py
+++ b/poplarrun/transport/_client.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from poplarrun.transport._clock import boot_time
+from poplarrun.transport._clock import seconds_since_boot
 from poplarrun.transport._sockets import ENDPOINT_UNACKED_MS, detect_dead_peers
 
 Headers = list[tuple[bytes, bytes]]
@@ -25,12 +25,12 @@
     """No connection came about: no byte of a request left this host."""
 
 
-class Broken(Exception):
+class ConnectionBroken(Exception):
     """The connection ended or spoke nonsense before the answer was whole."""
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer."""
 
     status: int
@@ -47,7 +47,7 @@
     uses : int
         Requests that it has carried.
     idle_since : float
-        When its last answer was whole, in seconds of ``boot_time``.
+        When its last answer was whole, in seconds of ``seconds_since_boot``.
     """
 
     def __init__(self, address: str) -> None:
@@ -94,7 +94,7 @@
     def is_reusable(self) -> bool:
         """Whether the next request may go out here."""
         is_open = self._ended is None and self._transport is not None
-        is_fresh = boot_time() - self.idle_since < self._reuse_s
+        is_fresh = seconds_since_boot() - self.idle_since < self._reuse_s
         return is_open and self._is_whole and not self._must_close and is_fresh
 
     def send(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> bool:
@@ -117,28 +117,28 @@
         self._transport.write(data)
         return True
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for status and headers.
 
         Raises
         ------
-        Broken
+        ConnectionBroken
             When the connection ends first, or what came is no HTTP.
         """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 self._note_headers(event)
-                return AnswerHead(event.status_code, list(event.headers.raw_items()))
+                return ResponseHead(event.status_code, list(event.headers.raw_items()))
             if not isinstance(event, h11.InformationalResponse):
-                raise Broken(f"unexpected {type(event).__name__}")
+                raise ConnectionBroken(f"unexpected {type(event).__name__}")
 
     async def read_data(self) -> bytes | None:
         """Wait for the next bytes of the body; None once it is whole.
 
         Raises
         ------
-        Broken
+        ConnectionBroken
             When the connection ends first, or what came is no HTTP.
         """
         event = await self._next_event()
@@ -147,7 +147,7 @@
         if isinstance(event, h11.EndOfMessage):
             self._finish()
             return None
-        raise Broken(f"unexpected {type(event).__name__}")
+        raise ConnectionBroken(f"unexpected {type(event).__name__}")
 
     def abort(self) -> None:
         """Close at once; the peer stops its work."""
@@ -167,11 +167,11 @@
             try:
                 event = self._machine.next_event()
             except h11.RemoteProtocolError as error:
-                raise Broken(f"no HTTP: {error}") from error
+                raise ConnectionBroken(f"no HTTP: {error}") from error
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             if self._ended is not None:
-                raise Broken(self._ended)
+                raise ConnectionBroken(self._ended)
             await self._wait()
 
     async def _wait(self) -> None:
@@ -208,7 +208,7 @@
         if self._machine.their_state is not h11.DONE:
             self._must_close = True
         self._is_whole = True
-        self.idle_since = boot_time()
+        self.idle_since = seconds_since_boot()
 
 
 async def open_connection(address: str, timeout_s: float) -> ClientConnection:
--- a/poplarrun/transport/_clock.py
+++ b/poplarrun/transport/_clock.py
@@ -3,7 +3,7 @@
 import time
 
 
-def boot_time() -> float:
+def seconds_since_boot() -> float:
     """Return the seconds since the host booted, suspended time included.
 
     A host that is suspended for seconds would find, by the monotonic clock, that
--- a/poplarrun/transport/_pool.py
+++ b/poplarrun/transport/_pool.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._idle: dict[tuple[str, str], deque[ClientConnection]] = {}
 
-    def take_idle(self, address: str, lifetime: str = "") -> ClientConnection | None:
+    def acquire_idle(self, address: str, lifetime: str = "") -> ClientConnection | None:
         """Return the idle connection that was used last, if one is still good."""
         idle = self._idle.get((address, lifetime))
         while idle:
@@ -35,7 +35,7 @@
         """
         return await open_connection(address, timeout_s)
 
-    def give_back(self, connection: ClientConnection, lifetime: str = "") -> None:
+    def release(self, connection: ClientConnection, lifetime: str = "") -> None:
         """Keep a connection for the next request, or close it."""
         if not connection.is_reusable:
             connection.abort()
@@ -45,7 +45,7 @@
         if len(idle) > MOST_IDLE:
             idle.popleft().abort()
 
-    def drop_stale(self) -> None:
+    def close_stale(self) -> None:
         """Close the idle connections that no request may use any more."""
         for peer in list(self._idle):
             kept = deque[ClientConnection]()
--- a/poplarrun/transport/_server.py
+++ b/poplarrun/transport/_server.py
@@ -142,17 +142,17 @@
         if head is not None:
             self._write_bytes(head)
 
-    async def push(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         """Send a part of a stream, once the caller has read enough of what came before."""
         await self._can_write.wait()
         self._write(h11.Data(data=data))
 
-    def finish(self) -> None:
+    def end_response(self) -> None:
         """End an answer in full."""
         self._write(h11.EndOfMessage())
         self._close_if_last()
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End an answer so that the caller sees that it is not whole."""
         self._transport_abort()
 
@@ -324,7 +324,7 @@
         self.report_crash = report_crash
         self.bounds = ServerBounds()
         self.is_stopping = False
-        self.most_connections: int | None = None
+        self.max_connections: int | None = None
         self.connections: dict[CallerConnection, None] = {}
         self._servers: list[asyncio.Server] = []
 
@@ -343,8 +343,8 @@
         Callers that connect and stay idle would take all sockets of the host, which
         then could neither accept a caller nor connect to an endpoint.
         """
-        is_full = self.most_connections is not None
-        if is_full and len(self.connections) >= (self.most_connections or 0):
+        is_full = self.max_connections is not None
+        if is_full and len(self.connections) >= (self.max_connections or 0):
             idle = (kept for kept in self.connections if kept.is_idle)
             next(idle, connection).close()
         self.connections[connection] = None
--- a/scripts/counters.py
+++ b/scripts/counters.py
@@ -17,7 +17,7 @@
     "EngineFailed": "",
     "CallFailed": "",
     "ServiceNotSent": "",
-    "ServiceUnknown": "",
+    "ServiceOutcomeUnknown": "",
     "Unreadable": "",
     "_silent": "peer_silent_",
     "_chosen": "choice_",
--- a/scripts/error_table.py
+++ b/scripts/error_table.py
@@ -3,7 +3,7 @@
 import sys
 from pathlib import Path
 
-from poplarrun.errors import ErrorKind, answer_for
+from poplarrun.errors import ErrorKind, response_for
 
 CALLERS_PAGE = Path(__file__).resolve().parent.parent / "docs" / "CALLERS.md"
 BEGIN = "<!-- error table: python -m scripts.error_table -->"
@@ -15,7 +15,7 @@
     """Return the table as Markdown."""
     rows = []
     for kind in ErrorKind:
-        answer = answer_for(kind)
+        answer = response_for(kind)
         retry = "-" if answer.retry_after_s is None else f"{answer.retry_after_s:.0f} s"
         cells = (f"`{kind.value}`", str(answer.status), answer.type, answer.not_run.value, retry)
         rows.append("| " + " | ".join(cells) + " |")
--- a/scripts/unexplained.py
+++ b/scripts/unexplained.py
@@ -7,14 +7,14 @@
 import sys
 from collections import defaultdict
 
-from poplarrun.cli._story import ENDS, read_lines, tell_story
+from poplarrun.cli._timeline import FINAL_EVENTS, build_timeline, read_log_lines
 
 SHOWN = 10
 
 
 def find_unexplained(paths: list[str]) -> tuple[int, int, list[str]]:
     """Return how many requests there are, how many failed, and those without an end."""
-    lines = list(read_lines(paths))
+    lines = list(read_log_lines(paths))
     events: dict[str, set[str]] = defaultdict(set)
     failed: set[str] = set()
     for line in lines:
@@ -22,10 +22,12 @@
         if not request:
             continue
         events[request].add(line.event)
-        if line.event in ENDS and line.fields.get("status", 500) >= 400:
+        if line.event in FINAL_EVENTS and line.fields.get("status", 500) >= 400:
             failed.add(request)
-    open_ended = [request for request, seen in events.items() if not seen & ENDS]
-    unexplained = [request for request in open_ended if tell_story(request, lines).restart is None]
+    open_ended = [request for request, seen in events.items() if not seen & FINAL_EVENTS]
+    unexplained = [
+        request for request in open_ended if build_timeline(request, lines).restart is None
+    ]
     return len(events), len(failed), unexplained
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -17,7 +17,7 @@
 
 GOOD_WORDS = ("stone", "loan", "ring", "council", "gold", "branch", "shelf", "setting", "report")
 POOR_WORD = "um"
-BLOCK_WORDS = 16
+WORDS_PER_BLOCK = 16
 HASH_BYTES = 7
 KEPT_EVENTS = 1000
 # Threads beside those of the batch: waiting requests, reports and orders.
@@ -304,11 +304,11 @@
         cached = 0
         digest = hashlib.sha256()
         hit = True
-        for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
-            digest.update(" ".join(words[start : start + BLOCK_WORDS]).encode())
+        for start in range(0, len(words) - WORDS_PER_BLOCK + 1, WORDS_PER_BLOCK):
+            digest.update(" ".join(words[start : start + WORDS_PER_BLOCK]).encode())
             block = (version, int.from_bytes(digest.digest()[:HASH_BYTES]))
             hit = hit and block in self._cache
-            cached += BLOCK_WORDS * hit
+            cached += WORDS_PER_BLOCK * hit
             if block not in self._cache:
                 self._add_cache_event("stored", block)
             self._cache[block] = None
--- a/standins/histories/_chat_engines.py
+++ b/standins/histories/_chat_engines.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from poplarrun.clients import (
-    Answer,
     CacheEvent,
     Chunk,
     EngineCall,
     EngineFailed,
+    GenerationEvent,
     HostKind,
     HostState,
     ListedHost,
@@ -97,7 +97,7 @@
         self.history.generations[number] = generation
         return generation
 
-    async def read(self, name: str, stream: Generation, position: int) -> list[Answer]:
+    async def read(self, name: str, stream: Generation, position: int) -> list[GenerationEvent]:
         """Wait for the next chunks from a position on, or for the end."""
         world, faults = self.world, self.faults
         await asyncio.sleep(world.random.uniform(0.005, 0.1) + faults.slow_s)
@@ -131,7 +131,9 @@
         self._engines = engines
         self._worker = worker
 
-    def generate(self, address: str, call: EngineCall, timeout_s: float) -> Iterator[list[Answer]]:
+    def generate(
+        self, address: str, call: EngineCall, timeout_s: float
+    ) -> Iterator[list[GenerationEvent]]:
         """Generate an answer, all that has arrived at a time."""
         assert self._worker is not None
         name, wait_for = address.removeprefix("engine-"), self._worker.wait_for
@@ -161,7 +163,7 @@
         moved: bool = self._worker.wait_for(lambda: self._engines.move(*names, request_id))
         return moved
 
-    def report_load(self, address: str) -> LoadReport | EngineFailed:
+    def fetch_load(self, address: str) -> LoadReport | EngineFailed:
         """Read the engine's load."""
         name = address.removeprefix("engine-")
         if name in self._engines.dead:
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -13,7 +13,7 @@
 from poplarrun.clients import Usage
 from poplarrun.config import Configuration, Verdict
 from poplarrun.contracts import VersionId
-from poplarrun.errors import NotRun, Refusal, answer_for
+from poplarrun.errors import NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.router import BeginChat, ChatGrant
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
@@ -296,6 +296,6 @@
 
 
 def _refused(call: ChatCall, refusal: Refusal, shown: str) -> ChatAnswer:
-    is_not_run = answer_for(refusal.kind).not_run is NotRun.YES
+    is_not_run = response_for(refusal.kind).not_run is NotRun.YES
     end = ChatEnd.NOT_RUN if is_not_run else ChatEnd.BROKEN if shown else ChatEnd.REFUSED
     return ChatAnswer(0.0, call.request_id, end, shown, reason=refusal.kind.value)
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -6,11 +6,11 @@
 
 from poplarrun.billing import BillKeeper, KeptBy
 from poplarrun.claims import ClaimKeeper, fingerprint_of
-from poplarrun.clients import HostKind, HostState, ListedHost, ServiceAnswer
+from poplarrun.clients import HostKind, HostState, ListedHost, ServiceResponse
 from poplarrun.config import Configuration
 from poplarrun.contracts import Document, hash_key, parse_document
 from poplarrun.endpoints import EndpointTable
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.metrics import Metrics
 from poplarrun.router import (
@@ -134,7 +134,7 @@
 
     async def _exchange(
         self, request_id: str, call: SimCall, reached: Reached
-    ) -> OperationGrant | ServiceAnswer | Refusal:
+    ) -> OperationGrant | ServiceResponse | Refusal:
         await reached(self, "before sending")
         handed = self._operations.send(SendOperation(request_id, call))
         if not isinstance(handed, HandedOver):
@@ -144,7 +144,7 @@
         if body is None:
             return await self._retry(request_id, "broken")
         await reached(self, "after answer")
-        answer = ServiceAnswer(200, body.encode(), "text/plain")
+        answer = ServiceResponse(200, body.encode(), "text/plain")
         self._operations.end(EndOperation(request_id, answer))
         await self._keep_bills()
         await reached(self, "billed")
@@ -159,16 +159,16 @@
             raise ValueError(problems)
 
 
-def _answer_of(request_id: str, step: ServiceAnswer | Replay | Refusal) -> Answer:
+def _answer_of(request_id: str, step: ServiceResponse | Replay | Refusal) -> Answer:
     match step:
-        case ServiceAnswer(body=body):
+        case ServiceResponse(body=body):
             return Answer(now(), request_id, AnswerKind.RAN, body.decode())
         case Replay(ran=ran):
             return Answer(now(), request_id, AnswerKind.REPLAYED, ran.body.decode())
         case Refusal(kind=ErrorKind.OPERATION_IN_PROGRESS):
             return Answer(now(), request_id, AnswerKind.IN_PROGRESS)
         case Refusal(kind=kind):
-            not_run = answer_for(kind).not_run is NotRun.YES
+            not_run = response_for(kind).not_run is NotRun.YES
             told = AnswerKind.NOT_RUN if not_run else AnswerKind.UNKNOWN
             return Answer(now(), request_id, told, reason=kind.value)
 
--- a/standins/histories/_world.py
+++ b/standins/histories/_world.py
@@ -233,7 +233,7 @@
 
 
 class SimCall:
-    """A connected call of the service; bytes go out only by ``hand_over``."""
+    """A connected call of the service; bytes go out only by ``start_sending``."""
 
     def __init__(self, world: World, request_id: str, key: str) -> None:
         self._world = world
@@ -242,7 +242,7 @@
         self._sent_at = 0.0
         self._answered: asyncio.Future[str | None] = asyncio.get_running_loop().create_future()
 
-    def hand_over(self) -> bool:
+    def start_sending(self) -> bool:
         """Send the call; what it causes no longer depends on its host."""
         self._sent_at = now()
         spawn(None, self._run)
--- a/standins/installation/_runner.py
+++ b/standins/installation/_runner.py
@@ -118,7 +118,7 @@
         answer_headers = self._headers(headers, fault)
         match fault:
             case Fault.LOST:
-                caller.break_off()
+                caller.abort_response()
             case Fault.MUTE:
                 await asyncio.sleep(30.0)
             case Fault.ERROR:
@@ -127,8 +127,8 @@
                 await self._stream(caller, headers, answer_headers, fault)
             case Fault.CUT:
                 caller.start_stream(200, answer_headers)
-                await caller.push(b"half")
-                caller.break_off()
+                await caller.send_chunk(b"half")
+                caller.abort_response()
             case _:
                 caller.respond(200, answer_headers, b"answer of " + self.lifetime.encode())
                 if fault is Fault.EXTRA and caller._transport is not None:
@@ -157,15 +157,15 @@
         for number in range(first, self.events + 1):
             event = f"id: {number}\ndata: {model} {number}\n\n".encode()
             if fault is Fault.FLOOD:
-                await caller.push(b": " + b"x" * FLOOD_BYTES + b"\n" + event)
+                await caller.send_chunk(b": " + b"x" * FLOOD_BYTES + b"\n" + event)
                 continue
             if fault is Fault.CUT and number == first + 2:
-                await caller.push(event[:7])
+                await caller.send_chunk(event[:7])
                 # The half event must be on its way before the connection is reset.
                 await asyncio.sleep(EVENT_S)
-                caller.break_off()
+                caller.abort_response()
                 return
-            await caller.push(event)
+            await caller.send_chunk(event)
             await asyncio.sleep(EVENT_S * (40 if fault is Fault.SLOW else 1))
         with contextlib.suppress(ConnectionError):
-            caller.finish()
+            caller.end_response()
--- a/standins/installation/_store.py
+++ b/standins/installation/_store.py
@@ -112,7 +112,7 @@
             place += LENGTH.size + size
         if self.lost_appends:
             self.lost_appends -= 1
-            caller.break_off()
+            caller.abort_response()
             return
         answer = {"offset": end, "end": len(topic.records)}
         caller.respond(200, [], json.dumps(answer).encode())
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -96,7 +96,7 @@
         """Take in what the engines report."""
         now = self._world.loop.time()
         for name, engine in self._world.engines.items():
-            if not engine.silent:
+            if not engine.is_silent:
                 loaded = frozenset(map(VersionId.parse, engine.report(now).loaded))
                 self.table.apply_load(name, loaded, 0, PLACES, now)
 
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -257,7 +257,7 @@
     """Have the gateway's parts go by the running loop's clock."""
     with ExitStack() as stack:
         for module in CLOCK_USERS:
-            stack.enter_context(patch(f"poplarrun.gateway.{module}.boot_time", _loop_time))
+            stack.enter_context(patch(f"poplarrun.gateway.{module}.seconds_since_boot", _loop_time))
         yield
 
 
