--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from poplarrun.gateway import _activity, _peering
-from poplarrun.logs import events
+from poplarrun.logging import events
 from poplarrun.peers import (
     ActivityTotals,
     Digest,
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -51,7 +51,7 @@
     context.steward = RolloutController(
         context.store, context.rollouts, lambda _: turn, lambda _: None
     )
-    clock = mock.patch.object(steward_module, "boot_time", lambda: context.now)
+    clock = mock.patch.object(steward_module, "seconds_since_boot", lambda: context.now)
     clock.start()
     context.add_cleanup(clock.stop)
 
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from poplarrun.peers import DEFAULT_READ_TIMEOUTS, PeerTable, ReadSchedule, ReadTimeouts
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 
 class SharedReader:
@@ -57,7 +57,7 @@
         true_at : callable
             When what it knows was the newest for sure; peers prove that anew meanwhile.
         """
-        while wait_s := self._duty.wait_s(self._place(), true_at(), boot_time()):
+        while wait_s := self._duty.wait_s(self._place(), true_at(), seconds_since_boot()):
             self._wake.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
@@ -65,4 +65,4 @@
         self._duty.is_behind = False
 
     def _place(self) -> int:
-        return self._peer_table.reader_rank(self._topic, boot_time())
+        return self._peer_table.reader_rank(self._topic, seconds_since_boot())
