--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -9,7 +9,7 @@
 from bench.load_policies import VERSION
 from poplarrun.clients import HostKind, HostState, ListedHost
 from poplarrun.contracts import ClientAccount, Limits
-from poplarrun.endpoints import LOAD_TOPIC, Demand, EndpointTable, LoadSharing, PrefixIndex
+from poplarrun.endpoints import LOAD_TOPIC, EndpointTable, LoadSharing, PrefixIndex, PromptProfile
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.limits import LIMITS_TOPIC, AccountLimits
 
@@ -17,14 +17,14 @@
 def make_table(endpoints: int) -> EndpointTable:
     """Return a table in which every endpoint holds one version, over seven zones."""
     table = EndpointTable("a", random.Random(1))
-    table.apply_list(
+    table.apply_host_list(
         tuple(
             ListedHost(f"e{n}", HostKind.MODEL_ENGINE, "abcdefg"[n % 7], str(n), HostState.LIVE)
             for n in range(endpoints)
         )
     )
     # At the two-year size a host is assigned two or three of 830.
-    table.take_assigned(frozenset({"e0", "e7", "e14"}))
+    table.set_owned_endpoints(frozenset({"e0", "e7", "e14"}))
     source = random.Random(2)
     for at in (0.0, 1.0):
         for n in range(endpoints):
@@ -39,13 +39,13 @@
     taken = []
     for n in range(3000):
         now = 2.0 + n * 0.001
-        demand = Demand(512, prompts[n % len(prompts)])
+        demand = PromptProfile(512, prompts[n % len(prompts)])
         began = time.perf_counter()
         choice = table.choose_engine(VERSION, now, (), demand)
         assert choice is not None
-        table.note_sent(choice.endpoint.name, now, VERSION, demand.blocks)
+        table.record_sent(choice.endpoint.name, now, VERSION, demand.blocks)
         taken.append((time.perf_counter() - began) * 1e6)
-        table.note_ended(choice.endpoint.name, now)
+        table.record_finished(choice.endpoint.name, now)
     return sorted(taken)[len(taken) // 2]
 
 
@@ -67,7 +67,7 @@
     while len(index) < blocks:
         prompt = tuple(source.getrandbits(56) for _ in range(8))
         for name in ("e1", "e2", "e3"):
-            index.note_sent(name, VERSION, prompt, 1.0)
+            index.record_sent(name, VERSION, prompt, 1.0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return float(size)
--- a/bench/load_limits.py
+++ b/bench/load_limits.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from poplarrun.limits import ASKED_AT_START, Claimant, Share, ShareView
+from poplarrun.limits import MAX_STARTUP_LENDERS, Share, ShareReport, ShareView
 
 NEAR_ROUNDS = 2
 FAR_ROUNDS = 3
 LATE_ROUNDS = 2
 SILENT_ROUNDS = 6
-NOTHING = Claimant(0.0, 0.0, 0.0, 0)
+NOTHING = ShareReport(0.0, 0.0, 0.0, 0)
 
 Demand = Callable[[int, int], float]
 
@@ -47,16 +47,16 @@
         """Run all rounds."""
         shares = [Share() for _ in range(self.hosts)]
         for share in shares:
-            share.begin(1.0 / self.hosts)
-        told: list[list[Claimant]] = []
-        frozen: dict[tuple[int, int], Claimant] = {}
+            share.raise_to(1.0 / self.hosts)
+        told: list[list[ShareReport]] = []
+        frozen: dict[tuple[int, int], ShareReport] = {}
         for now in range(rounds):
             for host, (leaves, comes) in self.away.items():
                 if now == leaves:
                     self._hand_over(shares, host, now)
                 elif now == comes:
                     self._take_portion(shares, host, now)
-            told.append([share.claimant() for share in shares])
+            told.append([share.report() for share in shares])
             near = told[max(0, now - NEAR_ROUNDS)]
             sums = self._sum_zones(told[max(0, now - FAR_ROUNDS)], now)
             views = [self._other_zones(zone, sums, frozen, now) for zone in range(self.zones)]
@@ -70,10 +70,10 @@
                     ]
                     heard, silent, is_current = views[zone]
                     view = ShareView(own, heard, silent, is_current)
-                    share.step(self.demand(now, host), view)
+                    share.update(self.demand(now, host), view)
             live = [host for host in range(self.hosts) if self._lives(host, now)]
-            self.totals.append(sum(shares[host].part for host in live))
-            self.used.append(sum(min(shares[h].part, self.demand(now, h)) for h in live))
+            self.totals.append(sum(shares[host].usable for host in live))
+            self.used.append(sum(min(shares[h].usable, self.demand(now, h)) for h in live))
 
     def _lives(self, host: int, now: int) -> bool:
         leaves, comes = self.away.get(host, (10**9, 10**9))
@@ -86,36 +86,40 @@
     def _hand_over(self, shares: list[Share], host: int, now: int) -> None:
         near = self._near(host, now)
         if near:
-            shares[near[host % len(near)]].shift(shares[host].part)
+            shares[near[host % len(near)]].transfer(shares[host].usable)
         shares[host] = Share()
 
     def _take_portion(self, shares: list[Share], host: int, now: int) -> None:
-        near = self._near(host, now)[:ASKED_AT_START]
-        given = [shares[peer].part / (len(near) + 1) for peer in near]
+        near = self._near(host, now)[:MAX_STARTUP_LENDERS]
+        given = [shares[peer].usable / (len(near) + 1) for peer in near]
         for peer, part in zip(near, given, strict=True):
-            shares[peer].shift(-part)
-        shares[host].begin(sum(given))
+            shares[peer].transfer(-part)
+        shares[host].raise_to(sum(given))
 
     def _is_cut(self, one: int, other: int, at: int) -> bool:
         return self.cut_from <= at < self.cut_until and bool({one, other} & set(self.cut_zones))
 
-    def _sum_zones(self, told: list[Claimant], now: int) -> list[Claimant]:
+    def _sum_zones(self, told: list[ShareReport], now: int) -> list[ShareReport]:
         sums = [NOTHING] * self.zones
         for host, claim in enumerate(told):
             if self._lives(host, now - FAR_ROUNDS):
                 before = sums[host % self.zones]
-                sums[host % self.zones] = Claimant(
-                    before.part + claim.part,
-                    before.want + claim.want,
+                sums[host % self.zones] = ShareReport(
+                    before.held + claim.held,
+                    before.wanted + claim.wanted,
                     before.deficit + claim.deficit,
-                    before.hosts + 1,
+                    before.host_count + 1,
                 )
         return sums
 
     def _other_zones(
-        self, zone: int, sums: list[Claimant], frozen: dict[tuple[int, int], Claimant], now: int
-    ) -> tuple[dict[str, Claimant], frozenset[str], bool]:
-        heard: dict[str, Claimant] = {}
+        self,
+        zone: int,
+        sums: list[ShareReport],
+        frozen: dict[tuple[int, int], ShareReport],
+        now: int,
+    ) -> tuple[dict[str, ShareReport], frozenset[str], bool]:
+        heard: dict[str, ShareReport] = {}
         silent = set()
         is_current = True
         for other in range(self.zones):
--- a/bench/load_overload.py
+++ b/bench/load_overload.py
@@ -7,7 +7,7 @@
 from bench.load_engines import SMALL, FakeEngine, Simulation, Sizes, Work, draw_lengths
 from bench.load_policies import VERSION, ZONES, Poplarrun, Reports
 from poplarrun.admission import Held, Refused
-from poplarrun.endpoints import Demand
+from poplarrun.endpoints import PromptProfile
 from poplarrun.retries import GiveUp
 from poplarrun.router import Dispatch, Job, NoEndpoint, Sent, Start
 from poplarrun.speeds import PoolSpeed
@@ -81,7 +81,7 @@
             work_class=ask.plan.name,
             importance=ask.plan.importance,
             version=VERSION,
-            demand=Demand(work.prompt_tokens),
+            demand=PromptProfile(work.prompt_tokens),
             start_by=now + ask.plan.first_s,
             deadline=now + WHOLE_S,
         )
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -8,7 +8,7 @@
 from bench.load_engines import FakeEngine, Simulation, Work
 from poplarrun.clients import CacheEvent, HostKind, HostState, ListedHost
 from poplarrun.contracts import VersionId
-from poplarrun.endpoints import Demand, EndpointTable, assign_endpoints
+from poplarrun.endpoints import EndpointTable, PromptProfile, assign_endpoints
 from poplarrun.speeds import PoolSpeed
 
 QUIET_LOAD = 0.7
@@ -142,13 +142,13 @@
         owners = _assign(tuple(near), tuple(peers))
         mine = frozenset(name for name, owner in owners.items() if owner == f"host-{host}")
         self.table = EndpointTable(ZONES[host % len(ZONES)], random.Random(host))
-        self.table.apply_list(
+        self.table.apply_host_list(
             tuple(
                 ListedHost(str(i), HostKind.MODEL_ENGINE, engine.zone, str(i), HostState.LIVE)
                 for i, engine in enumerate(engines)
             )
         )
-        self.table.take_assigned(mine)
+        self.table.set_owned_endpoints(mine)
         for i in range(len(engines)):
             self.table.apply_load(str(i), frozenset({VERSION}), 0, engines[i].capacity, -1.0)
         # Hosts share what they learn of speeds, in their zone's summaries.
@@ -160,10 +160,10 @@
     def choose(self, work: Work, now: float) -> int:
         """Return the engine's index."""
         self.sync(now)
-        demand = Demand(work.prompt_tokens, work.blocks)
+        demand = PromptProfile(work.prompt_tokens, work.blocks)
         choice = self.table.choose_engine(VERSION, now, (), demand)
         assert choice is not None
-        self.table.note_sent(choice.endpoint.name, now, VERSION, work.blocks)
+        self.table.record_sent(choice.endpoint.name, now, VERSION, work.blocks)
         self._load[work.number] = choice.load
         return int(choice.endpoint.name)
 
@@ -175,7 +175,7 @@
 
     def note_end(self, work: Work, now: float) -> None:
         """Hear that a request of this host ended."""
-        self.table.note_ended(str(work.engine), now)
+        self.table.record_finished(str(work.engine), now)
         self.table.pool(VERSION).speed.note_whole(work.end_at - work.first_at)
 
     def sync(self, now: float) -> None:
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -21,15 +21,15 @@
 from poplarrun.clients import EngineModels, HttpOrders, MemoryEngine, MemoryWeightStore
 from poplarrun.contracts import VersionId
 from poplarrun.orders import (
-    LOOK_S,
+    ENGINE_POLL_INTERVAL_S,
     DemandCounter,
     DemandSummary,
-    Need,
-    OpenWork,
-    OrderHolder,
+    DrainRevision,
+    OpenRequest,
+    OrderController,
     Planner,
     SendOrder,
-    Stamp,
+    VersionNeed,
     encode_demand,
 )
 from standins.fleet import StandInProcess
@@ -155,7 +155,7 @@
     hosts = list(world.hosts.values())
     for index, host in enumerate(hosts):
         host.open_work = [
-            OpenWork(version, 1, False)
+            OpenRequest(version, 1, False)
             for version, places in demand.items()
             for _ in range((round(places) + index) // len(hosts))
         ]
@@ -203,16 +203,18 @@
     return course
 
 
-def make_holder(engines: int, seed: int) -> tuple[OrderHolder, list[Need], dict[str, int]]:
+def make_holder(
+    engines: int, seed: int
+) -> tuple[OrderController, list[VersionNeed], dict[str, int]]:
     """Return a holder whose engines are full of versions by demand."""
     source = random.Random(seed)
-    holder = OrderHolder(source)
+    holder = OrderController(source)
     holder.planner = Planner()
     for number in range(engines):
         loaded = sorted(str(v) for v in source.sample(VERSIONS, ROOM))
-        holder.take_models(f"e{number}", EngineModels(ROOM, loaded), 0.0)
+        holder.apply_models(f"e{number}", EngineModels(ROOM, loaded), 0.0)
     places = zipf(len(VERSIONS), engines * PLACES * ASKED_SHARE)
-    needs = [Need(version, p) for version, p in zip(VERSIONS, places, strict=True)]
+    needs = [VersionNeed(version, p) for version, p in zip(VERSIONS, places, strict=True)]
     return holder, needs, {f"e{number}": PLACES for number in range(engines)}
 
 
@@ -220,24 +222,24 @@
     """Return the milliseconds of the rounds, orders taken, the demand turning a little."""
     holder, needs, places = make_holder(engines, seed)
     source = random.Random(seed)
-    demand = [DemandSummary(applied={"a": Stamp(2**40, 0)})]
+    demand = [DemandSummary(applied_revisions={"a": DrainRevision(2**40, 0)})]
     times = []
     for number in range(ROUNDS):
-        moved = [with_places(n, n.places * source.uniform(0.8, 1.25)) for n in needs]
+        moved = [with_places(n, n.concurrent_requests * source.uniform(0.8, 1.25)) for n in needs]
         began = time.process_time()
         actions = holder.decide(1, moved, places, demand, "a", 100.0 * number)
         times.append((time.process_time() - began) * 1000)
         for action in actions:
             if isinstance(action, SendOrder):
-                holder.note_taken(action.engine, action.order)
+                holder.record_accepted_order(action.engine, action.order)
             else:
-                holder.note_weights(action.engine, action.version, "", 100.0 * number)
+                holder.record_weights_answer(action.engine, action.version, "", 100.0 * number)
     return times
 
 
-def with_places(need: Need, places: float) -> Need:
+def with_places(need: VersionNeed, places: float) -> VersionNeed:
     """Return a need with another demand."""
-    return Need(need.version, places, need.importance, need.has_sessions, need.is_on_trial)
+    return VersionNeed(need.version, places, need.importance, need.has_sessions, need.is_on_trial)
 
 
 def measure_plans() -> list[Figure]:
@@ -297,10 +299,10 @@
 def measure_bytes() -> list[Figure]:
     """Measure the summaries at the two-year size."""
     counter = DemandCounter()
-    counter.close_round([OpenWork(v, 5, n % 2 == 0) for n, v in enumerate(VERSIONS)] * 3, 1.0)
+    counter.close_round([OpenRequest(v, 5, n % 2 == 0) for n, v in enumerate(VERSIONS)] * 3, 1.0)
     summary = counter.summarize(1.0)
     idle = len(encode_demand(summary))
-    summary.applied = {f"zone-{n}": Stamp(100_000 + n, 50) for n in range(ZONES)}
+    summary.applied_revisions = {f"zone-{n}": DrainRevision(100_000 + n, 50) for n in range(ZONES)}
     size = len(encode_demand(summary))
     holder, needs, places = make_holder(ENDPOINTS // ZONES + 1, 1)
     for now in (100.0, 300.0):
@@ -337,8 +339,9 @@
     engines = ENDPOINTS // ZONES + 1
     return [
         Figure("look at an engine, processor time", value, "ms", spread(times)),
-        Figure(f"looks at {engines} engines every {LOOK_S:g} s", value * engines / LOOK_S / 10,
-               "% of a core", spread(times) * engines / LOOK_S / 10),
+        Figure(f"looks at {engines} engines every {ENGINE_POLL_INTERVAL_S:g} s",
+               value * engines / ENGINE_POLL_INTERVAL_S / 10,
+               "% of a core", spread(times) * engines / ENGINE_POLL_INTERVAL_S / 10),
     ]  # fmt: skip
 
 
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -16,15 +16,15 @@
 from dataclasses import dataclass
 
 from bench.figures import Figure, Slope, report
-from poplarrun.billing import Bill, BillKeeper, encode_bills
+from poplarrun.billing import Bill, BillReplicator, encode_bills
 from poplarrun.billing._totals import BillTotals
 from poplarrun.claims import (
     Claim,
-    ClaimKeeper,
+    ClaimManager,
     Outcome,
     Won,
     encode_batch,
-    make_ran,
+    make_ran_result,
     stream_of,
 )
 from poplarrun.claims._shard import Shard
@@ -121,7 +121,7 @@
     ]
 
 
-async def run_operation(keeper: ClaimKeeper, peers: Peers, key: str) -> float:
+async def run_operation(keeper: ClaimManager, peers: Peers, key: str) -> float:
     """Claim a key, and settle its outcome; return the seconds that the claim took."""
     loop = asyncio.get_running_loop()
     claim = Claim(key, "shop", key, FINGERPRINT, peers.me.name, peers.me.incarnation, time.time())
@@ -130,12 +130,12 @@
     took_s = loop.time() - began
     if not isinstance(verdict, Won):
         raise RuntimeError(f"a claim without a rival was not won: {verdict}")
-    answer = make_ran(200, "application/json", ANSWER)
+    answer = make_ran_result(200, "application/json", ANSWER)
     keeper.settle(Outcome(claim.id, claim.account, claim.key, answer))
     return took_s
 
 
-async def offer(keepers: list[ClaimKeeper], peers: list, rate: float, window_s: float, tag: str):
+async def offer(keepers: list[ClaimManager], peers: list, rate: float, window_s: float, tag: str):
     """Offer operations at a rate to each host; return the claims' latencies."""
     loop = asyncio.get_running_loop()
     source = random.Random(tag)
@@ -157,7 +157,7 @@
         return await loop.run_in_executor(pool, call, *arguments)
 
     peers = make_peers(HOSTS)
-    keepers = [ClaimKeeper(p, ThreadedLog(log, run), loop.time, time.time) for p in peers]
+    keepers = [ClaimManager(p, ThreadedLog(log, run), loop.time, time.time) for p in peers]
     await offer(keepers, peers, rate, WARM_UP_S, f"warm-{rate}")
     appends, cpu_s, began = total_appends(keepers), time.process_time(), loop.time()
     latencies = await offer(keepers, peers, rate, WINDOW_S, f"run-{rate}")
@@ -168,8 +168,8 @@
     return Load(latencies, per_s, cpu_s / len(latencies) * 1e6)
 
 
-def total_appends(keepers: list[ClaimKeeper]) -> int:
-    return sum(keeper.appends for keeper in keepers)
+def total_appends(keepers: list[ClaimManager]) -> int:
+    return sum(keeper.append_count for keeper in keepers)
 
 
 async def measure_claims_at(size: int) -> tuple[float, float, float]:
@@ -177,7 +177,7 @@
     loop = asyncio.get_running_loop()
     log = CountingLog()
     peers = make_peers(size)
-    keepers = [ClaimKeeper(p, log, loop.time, time.time) for p in peers]
+    keepers = [ClaimManager(p, log, loop.time, time.time) for p in peers]
     began, cpu_s = loop.time(), time.process_time()
     latencies = await offer(keepers, peers, 1.0, CLAIMS_WINDOW_S, f"size-{size}")
     cpu_s = time.process_time() - cpu_s
@@ -191,16 +191,16 @@
     loop = asyncio.get_running_loop()
     log = CountingLog()
     peers = make_peers(size)
-    keepers = [BillKeeper(p, log, loop.time, time.time) for p in peers]
+    keepers = [BillReplicator(p, log, loop.time, time.time) for p in peers]
     began, cpu_s, count = loop.time(), time.process_time(), 0
     for second in range(BILLS_WINDOW_S):
         bills = [
-            keeper.keep(Bill(f"req-{second:016x}{n:016x}", "borough-north", "larch:1", 0.0123))
+            keeper.replicate(Bill(f"req-{second:016x}{n:016x}", "borough-north", "larch:1", 0.0123))
             for n, keeper in enumerate(keepers)
         ]
         count += len(bills)
         await asyncio.gather(*bills)
-        await asyncio.gather(*(keeper.tend() for keeper in keepers))
+        await asyncio.gather(*(keeper.run_round() for keeper in keepers))
         await asyncio.sleep(max(0.0, began + second + 1 - loop.time()))
     cpu_us = (time.process_time() - cpu_s) / count * 1e6
     elapsed_s = loop.time() - began
@@ -215,11 +215,11 @@
 async def measure_bill_memory() -> float:
     """Return the bytes of memory of an open bill at its host."""
     loop = asyncio.get_running_loop()
-    keeper = BillKeeper(make_peers(1)[0], CountingLog(), loop.time, time.time)
+    keeper = BillReplicator(make_peers(1)[0], CountingLog(), loop.time, time.time)
     gc.collect()
     tracemalloc.start()
     for number in range(BILLS):
-        keeper.open(make_bill(number))
+        keeper.open_bill(make_bill(number))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used / BILLS
@@ -301,7 +301,7 @@
     log = CountingLog()
     wall_s = [0.0]
     owner = Shard(0, log, loop.time, lambda: wall_s[0])
-    answer = make_ran(200, "application/json", ANSWER)
+    answer = make_ran_result(200, "application/json", ANSWER)
     for first in range(0, SNAPSHOT_KEYS, SNAPSHOT_BATCH):
         keys = [f"{n:032x}" for n in range(first, first + SNAPSHOT_BATCH)]
         at = 1e6 + first * SNAPSHOT_KEYS_S / SNAPSHOT_KEYS
@@ -311,18 +311,18 @@
     await owner.refresh()
     wall_s[0], before = 1e6, log.appends
     cpu_s = time.process_time()
-    owner.snapshot_when_due()
+    owner.write_snapshot_if_due()
     take_s = time.process_time() - cpu_s
-    while log.appends - before < owner.appends:
+    while log.appends - before < owner.append_count:
         await asyncio.sleep(1.0)
     log.memory.truncate(CLAIMS_STREAM, owner.fold.next_offset)
     newcomer = Shard(0, log, loop.time, lambda: wall_s[0])
     cpu_s, began = time.process_time(), loop.time()
     await newcomer.refresh()
-    if newcomer.fold.size != owner.fold.size:
+    if newcomer.fold.key_count != owner.fold.key_count:
         raise RuntimeError("a start from the snapshot lacks keys")
     return [
-        Figure("claim_snapshot_keys", owner.fold.size, "keys"),
+        Figure("claim_snapshot_keys", owner.fold.key_count, "keys"),
         Figure("claim_snapshot_bytes", log.stream_bytes[CLAIMS_STREAM], "bytes"),
         Figure("claim_snapshot_appends", log.appends - before, "appends"),
         Figure("claim_snapshot_take", take_s * 1000, "ms of the owner's loop"),
--- a/examples/library/claims.py
+++ b/examples/library/claims.py
@@ -1,6 +1,6 @@
 """Two hosts claim one idempotency key; the first in offset order may send the call."""
 
-from poplarrun.claims import Claim, ClaimFold, Won, encode_batch, fingerprint_of, shard_of
+from poplarrun.claims import Claim, ClaimFold, Won, compute_fingerprint, encode_batch, shard_of
 from poplarrun.claims import stream_of as name_stream
 from poplarrun.log import MemoryLog, StreamReader
 
@@ -9,7 +9,7 @@
     """Claim at two hosts, fold, and judge both claims."""
     log = MemoryLog()
     stream = name_stream(shard_of("shop", "reserve-1881"))
-    body = fingerprint_of("stock", "reserve", b"{}")
+    body = compute_fingerprint("stock", "reserve", b"{}")
     claims = [
         Claim(f"req-{host}", "shop", "reserve-1881", body, host, 1, 1_000_000.0)
         for host in ("a1", "b1")
--- a/examples/library/keepers.py
+++ b/examples/library/keepers.py
@@ -4,7 +4,7 @@
 import random
 
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.leases import LeaseKeeper
+from poplarrun.leases import LeaseManager
 from poplarrun.log import MemoryLog, ThreadedLog, call_here
 from poplarrun.metrics import Metrics
 
@@ -25,10 +25,10 @@
         return self.now
 
 
-async def wait_for_fence(keeper: LeaseKeeper, clock: Clock) -> int:
+async def wait_for_fence(keeper: LeaseManager, clock: Clock) -> int:
     """Do rounds until a keeper holds the job; return its fencing number."""
     while clock.now < BOUND_S:
-        await keeper.tend()
+        await keeper.run_round()
         lease = keeper.find(JOB)
         if lease is not None:
             return lease.fence
@@ -43,8 +43,8 @@
     for name in ("a1", "b1"):
         peers = MemoryPeers(network, Peer(name, name[0], "local", 1))
         threaded = ThreadedLog(log, call_here)
-        keepers[name] = LeaseKeeper(threaded, peers, Metrics(), random.Random(name), clock)
-        keepers[name].want(JOB, DURATION_S)
+        keepers[name] = LeaseManager(threaded, peers, Metrics(), random.Random(name), clock)
+        keepers[name].campaign_for(JOB, DURATION_S)
     fence = await wait_for_fence(keepers["a1"], clock)
     print(f"a1 holds the job with fencing number {fence}")
     network.down.add("a1")
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -5,7 +5,7 @@
 
 from features.steps.endpoints import VERSION, engine, names_of, report
 from poplarrun.admission import AimdLimit, FairQueue, Held, Refused, ServiceLimit, Ticket
-from poplarrun.endpoints import Demand, EndpointTable
+from poplarrun.endpoints import EndpointTable, PromptProfile
 from poplarrun.retries import (
     FailedAttempt,
     GiveUp,
@@ -21,7 +21,7 @@
 @given('a dispatch over engines "{names}" of {capacity:d} places')
 def step_dispatch(context, names, capacity):
     context.endpoint_table = EndpointTable("a", random.Random(1))
-    context.endpoint_table.apply_list(tuple(engine(name, "a") for name in names_of(names)))
+    context.endpoint_table.apply_host_list(tuple(engine(name, "a") for name in names_of(names)))
     for name in names_of(names):
         report(context.endpoint_table, name, 0, -1.0, capacity)
     context.dispatch = Dispatch(context.endpoint_table, QUEUE_BOUND, random.Random(1))
@@ -32,7 +32,7 @@
 
 @given('engine "{name}" belongs to this host and finishes a request in {whole:f} s')
 def step_own_engine(context, name, whole):
-    context.endpoint_table.take_assigned(frozenset({name}))
+    context.endpoint_table.set_owned_endpoints(frozenset({name}))
     context.endpoint_table.pool(VERSION).speed.whole_s = whole
 
 
@@ -50,7 +50,7 @@
         "work",
         importance,
         VERSION,
-        Demand(16),
+        PromptProfile(16),
         start_by=at + within,
         deadline=at + 60,
     )
@@ -130,7 +130,7 @@
 
 @then("the engines hold {count:d} requests")
 def step_engines_hold(context, count):
-    assert sum(endpoint.in_flight for endpoint in context.endpoint_table.all()) == count
+    assert sum(endpoint.in_flight for endpoint in context.endpoint_table.list_endpoints()) == count
 
 
 @then("{count:d} chats wait at {at:f}")
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -9,7 +9,7 @@
     SHARDS,
     Bill,
     BillFold,
-    BillKeeper,
+    BillReplicator,
     BillSnapshots,
     encode_bills,
     read_statement,
@@ -87,7 +87,7 @@
             append(context, source.choice(context.bills[-LATELY:]))
         if number % (count // 5) == count // 10:
             context.wall += HOURS_S
-            run_virtual(writer.tend())
+            run_virtual(writer.write_due_snapshots())
     fold = BillFold()
     for entry in entries_of(context):
         fold.fold(entry)
@@ -107,7 +107,7 @@
 
     async def run():
         writers = [make_writer(context, name) for name in ("a1", "b1")]
-        await asyncio.gather(add_bills(), *(writer.tend() for writer in writers))
+        await asyncio.gather(add_bills(), *(writer.write_due_snapshots() for writer in writers))
 
     run_virtual(run())
     parts = [part for part in map(parts_module._read_part, entries_of(context)) if part]
@@ -121,7 +121,7 @@
     for number in range(100):
         append(context, bill_of(number, START + number))
     if before != "none":
-        run_virtual(make_writer(context).tend())
+        run_virtual(make_writer(context).write_due_snapshots())
     totals = BillTotals()
     for entry in entries_of(context):
         totals.fold(entry)
@@ -185,14 +185,14 @@
     network = MemoryNetwork()
     log = ThreadedLog(context.bill_log, call_here)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
-    keepers = [BillKeeper(p, log, loop.time, loop.time) for p in peers]
+    keepers = [BillReplicator(p, log, loop.time, loop.time) for p in peers]
     # The log takes what each host appends, and its answers are lost; then it is gone.
     context.bill_log.lost_answers = 10**6
-    await keepers[0].keep(bill_of(1, START))
+    await keepers[0].replicate(bill_of(1, START))
     for gone in range(1, len(names)):
         network.cut(names[:gone], names[gone:])
         for _ in range(4):
-            await asyncio.gather(*(keeper.tend() for keeper in keepers[gone:]))
+            await asyncio.gather(*(keeper.run_round() for keeper in keepers[gone:]))
             await asyncio.sleep(1.0)
 
 
--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -3,12 +3,12 @@
 
 from behave import given, then, when
 
-import poplarrun.billing._keeper as keeper_module
+import poplarrun.billing._replicator as keeper_module
 from poplarrun.billing import (
     SHARDS,
     Bill,
     BillFold,
-    BillKeeper,
+    BillReplicator,
     decode_bills,
     encode_bills,
     read_statement,
@@ -74,21 +74,23 @@
     log = ThreadedLog(context.bill_log, call_here)
     network = MemoryNetwork()
     keepers = [
-        BillKeeper(MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time)
+        BillReplicator(
+            MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time
+        )
         for zone in "abc"
     ]
 
     async def tend_all(times):
         for _ in range(times):
             for keeper in keepers:
-                await keeper.tend()
+                await keeper.run_round()
             await asyncio.sleep(1.0)
 
     context.bill_log.down = True
     for second in range(seconds):
         for number in range(per_s):
             bill = Bill(f"r{second}-{number}", "shop", "larch:1", 0.1)
-            await keepers[second % 3].keep(bill)
+            await keepers[second % 3].replicate(bill)
         await tend_all(1)
     context.held_in_outage = max(keeper.size for keeper in keepers)
     context.bill_log.down = False
@@ -134,13 +136,13 @@
         network = MemoryNetwork()
         log = ThreadedLog(MemoryLog(), call_here)
         keepers = [
-            BillKeeper(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
+            BillReplicator(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
             for name in ("a1", "a2")
         ]
         for number in range(context.bound):
-            keepers[0].open(Bill(f"r{number}", "shop", "larch:1", 0.1))
+            keepers[0].open_bill(Bill(f"r{number}", "shop", "larch:1", 0.1))
         context.full_keeper = keepers[0]
-        context.copies = await keepers[1]._tell("a1", [Bill("x", "shop", "larch:1", 0.1)], [])
+        context.copies = await keepers[1]._send("a1", [Bill("x", "shop", "larch:1", 0.1)], [])
 
     context.bound = 50
     old_bound, keeper_module.MAX_BILLS = keeper_module.MAX_BILLS, context.bound
--- a/features/steps/claim_fold.py
+++ b/features/steps/claim_fold.py
@@ -60,7 +60,7 @@
 
 @then("at most {count:d} keys are held")
 def step_held_count(context, count):
-    assert 0 < context.fold.size <= count, context.fold.size
+    assert 0 < context.fold.key_count <= count, context.fold.key_count
 
 
 @given("a shard with {count:d} random claims with seed {seed:d}, snapshots, and dropped records")
@@ -80,7 +80,7 @@
             await shard.submit(claim, 10.0)
             if source.random() < 0.3:
                 await shard.submit(Release(claim.id, "shop", claim.key), 10.0)
-            shard.snapshot_when_due()
+            shard.write_snapshot_if_due()
             await asyncio.sleep(0)
         return shard.fold
 
@@ -103,4 +103,4 @@
 def step_same_keys(context):
     old, new = (fold.take_snapshot(0.0) for fold in (context.old_fold, context.new_fold))
     assert old == new
-    assert old.holdings
+    assert old.key_states
--- a/features/steps/claim_parts.py
+++ b/features/steps/claim_parts.py
@@ -44,10 +44,10 @@
     for owner in owners:
         await asyncio.sleep(0.01)
         context.wall += 1.0
-        owner.snapshot_when_due()
+        owner.write_snapshot_if_due()
         await owners[0].submit(claim(40 if owner is owners[0] else 41), 10.0)
         assert await owners[1].refresh()
-    await asyncio.gather(*(owner._writing for owner in owners))
+    await asyncio.gather(*(owner._parts_task for owner in owners))
     assert await owners[0].refresh()
     context.old_fold = owners[0].fold
 
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -5,7 +5,7 @@
 
 from poplarrun.clients import BLOCK_WORDS, CacheEvent, HostKind, HostState, ListedHost, LoadReport
 from poplarrun.contracts import VersionId
-from poplarrun.endpoints import Demand, EndpointTable, LoadSharing, assign_endpoints
+from poplarrun.endpoints import EndpointTable, LoadSharing, PromptProfile, assign_endpoints
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 
 VERSION = VersionId("larch", "1")
@@ -32,7 +32,7 @@
 def add_engines(context, names, capacity, zone, now):
     context.capacity = capacity
     context.listed += [engine(name, zone) for name in names]
-    context.endpoint_table.apply_list(tuple(context.listed), now)
+    context.endpoint_table.apply_host_list(tuple(context.listed), now)
     for name in names:
         report(context.endpoint_table, name, 0, now - 0.001, capacity)
 
@@ -48,7 +48,7 @@
 def step_further(context, names, capacity, zone):
     context.listed += [engine(name, zone) for name in names_of(names)]
     context.endpoint_table = EndpointTable("a", random.Random(1))
-    context.endpoint_table.apply_list(tuple(context.listed))
+    context.endpoint_table.apply_host_list(tuple(context.listed))
     for listed in context.listed:
         report(context.endpoint_table, listed.name, 0, -1.0, capacity)
 
@@ -67,34 +67,34 @@
 @when('{count:d} requests are sent to "{name}" at {at:f}')
 def step_sent(context, count, name, at):
     for _ in range(count):
-        context.endpoint_table.note_sent(name, at)
+        context.endpoint_table.record_sent(name, at)
 
 
 @when('the link to zone "{zone}" takes {seconds:f} s')
 def step_link(context, zone, seconds):
-    context.endpoint_table.note_link(zone, seconds)
+    context.endpoint_table.observe_link_latency(zone, seconds)
 
 
 @when('a call to "{name}" fails at {at:f} with "{reason}"')
 def step_fails(context, name, at, reason):
-    context.endpoint_table.note_failure(name, at, reason)
+    context.endpoint_table.record_failure(name, at, reason)
 
 
 @when('{count:d} calls to "{name}" fail at {at:f} with "{reason}"')
 def step_fail_together(context, count, name, at, reason):
     for _ in range(count):
-        context.endpoint_table.note_failure(name, at, reason)
+        context.endpoint_table.record_failure(name, at, reason)
 
 
 @when('a call to each engine fails at {at:f} with "{reason}"')
 def step_all_fail(context, at, reason):
-    for endpoint in context.endpoint_table.all():
-        context.endpoint_table.note_failure(endpoint.name, at, reason)
+    for endpoint in context.endpoint_table.list_endpoints():
+        context.endpoint_table.record_failure(endpoint.name, at, reason)
 
 
 @when('the host list shows "{name}" as leaving')
 def step_leaving(context, name):
-    context.endpoint_table.apply_list(
+    context.endpoint_table.apply_host_list(
         tuple(
             engine(listed.name, listed.zone, HostState.LEAVING) if listed.name == name else listed
             for listed in context.listed
@@ -110,8 +110,8 @@
 @when('a prompt of {blocks:d} blocks was sent to "{name}" at {at:f}')
 def step_prompt(context, blocks, name, at):
     context.blocks = tuple(range(100, 100 + blocks))
-    context.endpoint_table.note_sent(name, at, VERSION, context.blocks)
-    context.endpoint_table.note_ended(name, at)
+    context.endpoint_table.record_sent(name, at, VERSION, context.blocks)
+    context.endpoint_table.record_finished(name, at)
 
 
 @when('the cache events of "{name}" reach number {number:d} at {at:f}')
@@ -124,7 +124,7 @@
 def step_prompts(context, count, blocks, name):
     for number in range(count):
         start = number * blocks
-        context.endpoint_table.note_sent(name, 1.0, VERSION, tuple(range(start, start + blocks)))
+        context.endpoint_table.record_sent(name, 1.0, VERSION, tuple(range(start, start + blocks)))
 
 
 @then('the chosen engine at {at:f} is "{name}"')
@@ -134,8 +134,8 @@
 
 @then('"{name}" is expected to have {requests:d} requests at {at:f}')
 def step_expected(context, name, requests, at):
-    others = context.endpoint_table.pool(VERSION).others
-    found = context.endpoint_table.find(name).expected_requests(at, others)
+    others = context.endpoint_table.pool(VERSION).background_load
+    found = context.endpoint_table.find(name).estimate_requests(at, others)
     assert abs(found - requests) < 0.01, found
 
 
@@ -165,7 +165,7 @@
 
 
 def choose_for_prompt(context, at):
-    demand = Demand(len(context.blocks) * BLOCK_WORDS, context.blocks)
+    demand = PromptProfile(len(context.blocks) * BLOCK_WORDS, context.blocks)
     return context.endpoint_table.choose_engine(VERSION, at, (), demand).endpoint.name
 
 
@@ -181,13 +181,13 @@
 
 @then('"{name}" is expected to hold at least {blocks:d} blocks of the prompt at {at:f}')
 def step_holds_more(context, name, blocks, at):
-    found = context.endpoint_table.prefixes.find(VERSION, context.blocks, at).cached[name]
+    found = context.endpoint_table.prefixes.match(VERSION, context.blocks, at).cached_blocks[name]
     assert found >= blocks, found
 
 
 @then('"{name}" is expected to hold at most {blocks:d} blocks of the prompt at {at:f}')
 def step_holds_less(context, name, blocks, at):
-    found = context.endpoint_table.prefixes.find(VERSION, context.blocks, at).cached[name]
+    found = context.endpoint_table.prefixes.match(VERSION, context.blocks, at).cached_blocks[name]
     assert found <= blocks, found
 
 
@@ -203,7 +203,7 @@
     context.sharing, context.tables = {}, {}
     for host in names_of(hosts):
         table = EndpointTable(host[0], random.Random(1))
-        table.apply_list(tuple(engine(name, zone) for name in context.engines))
+        table.apply_host_list(tuple(engine(name, zone) for name in context.engines))
         peers = MemoryPeers(network, Peer(host, host[0], "r", 0))
         context.tables[host] = table
         context.sharing[host] = LoadSharing(peers, table)
@@ -212,7 +212,9 @@
 @then('each engine is owned by one host of zone "{zone}"')
 def step_owned(context, zone):
     context.owners = {
-        name: [host for host, sharing in context.sharing.items() if sharing.owns(table.find(name))]
+        name: [
+            host for host, sharing in context.sharing.items() if sharing.is_owner(table.find(name))
+        ]
         for name in context.engines
         for table in [context.tables["a1"]]
     }
@@ -226,20 +228,20 @@
     for sharing in context.sharing.values():
         sharing.publish(1.2)
     for sharing in context.sharing.values():
-        sharing.take_in(1.3)
+        sharing.apply_published(1.3)
 
 
 @then('host "{one}" and host "{other}" know the load of each engine')
 def step_know(context, one, other):
     for host in (one, other):
         for name in context.engines:
-            assert context.tables[host].find(name).reported == 5
+            assert context.tables[host].find(name).reported_requests == 5
 
 
 @then('host "{host}" knows the sum of zone "{zone}"')
 def step_knows_sum(context, host, zone):
     load = context.sharing[host].zone_loads[zone][str(VERSION)]
-    assert (load.requests, load.places) == (15, 24)
+    assert (load.requests, load.capacity) == (15, 24)
 
 
 @given("{engines:d} engines and {hosts:d} hosts of one zone")
@@ -266,4 +268,4 @@
 
 @given('engines "{names}" are assigned to this host')
 def step_assigned(context, names):
-    context.endpoint_table.take_assigned(frozenset(names_of(names)))
+    context.endpoint_table.set_owned_endpoints(frozenset(names_of(names)))
--- a/features/steps/leases.py
+++ b/features/steps/leases.py
@@ -7,7 +7,7 @@
 from features.steps.hosts import run, start_fleet, wait
 from poplarrun.leases import (
     LEASE_STREAM,
-    LeaseKeeper,
+    LeaseManager,
     Renew,
     decode_lease_record,
 )
@@ -48,14 +48,14 @@
         peers = context.virtual.peers[name]
         metrics = context.virtual.metrics[name]
         source = random.Random(name)
-        self.keeper = LeaseKeeper(self.log, peers, metrics, source, clock=context.loop.time)
-        self.keeper.want(JOB)
+        self.keeper = LeaseManager(self.log, peers, metrics, source, clock=context.loop.time)
+        self.keeper.campaign_for(JOB)
         context.loop.create_task(self.tend())
 
     async def tend(self):
         while not self.stopped:
             if not self.paused:
-                await self.keeper.tend()
+                await self.keeper.run_round()
             await asyncio.sleep(TEND_S)
 
     def find(self):
@@ -155,7 +155,7 @@
 
     run(context, join())
     # It reads the stream whether or not its rank makes it a candidate.
-    run(context, context.fresh.keeper._read())
+    run(context, context.fresh.keeper._read_to_end())
 
 
 def strike(context, source):
--- a/features/steps/limit_starts.py
+++ b/features/steps/limit_starts.py
@@ -4,7 +4,7 @@
 
 from features.steps.limits import Clock
 from poplarrun.contracts import Limits
-from poplarrun.limits import SETTLED_ROUNDS
+from poplarrun.limits import STABLE_ROUNDS
 
 
 @given("account limits of 2 hosts in 2 zones for {rate:d} requests a second")
@@ -24,8 +24,8 @@
     assert clock.parts()[other - 1] > 0.9, clock.parts()
     clock.network.down.discard(f"a{dies}")
     clock.start(again)
-    clock.begin(SETTLED_ROUNDS + 1)
-    assert clock.hosts[again].has_begun
+    clock.begin(STABLE_ROUNDS + 1)
+    assert clock.hosts[again].has_initial_shares
 
 
 @given("account limits of 2 hosts in one zone for {rate:d} requests a second")
@@ -35,8 +35,8 @@
 
 @given("both have begun")
 def step_both_begun(context):
-    context.clock.begin(SETTLED_ROUNDS + 1)
-    assert all(host.has_begun for host in context.clock.hosts.values())
+    context.clock.begin(STABLE_ROUNDS + 1)
+    assert all(host.has_initial_shares for host in context.clock.hosts.values())
 
 
 @when(
@@ -52,12 +52,12 @@
 
 @then("host {number:d} has not begun")
 def step_not_begun(context, number):
-    assert not context.clock.hosts[number].has_begun, context.clock.parts()
+    assert not context.clock.hosts[number].has_initial_shares, context.clock.parts()
 
 
 @then("host {number:d} has begun and holds at least {part:f} of the limit")
 def step_at_least(context, number, part):
-    assert context.clock.hosts[number].has_begun
+    assert context.clock.hosts[number].has_initial_shares
     assert context.clock.parts()[number - 1] >= part, context.clock.parts()
 
 
@@ -82,14 +82,14 @@
 
 @when("the hosts start together and wait until they have begun")
 def step_start_together(context):
-    context.clock.begin(SETTLED_ROUNDS + 1)
-    assert all(host.has_begun for host in context.clock.hosts.values())
+    context.clock.begin(STABLE_ROUNDS + 1)
+    assert all(host.has_initial_shares for host in context.clock.hosts.values())
 
 
 @when("host {number:d} starts alone for {rounds:d} rounds")
 def step_start_alone(context, number, rounds):
     context.clock.begin(rounds - 1)
-    assert not context.clock.hosts[number].has_begun
+    assert not context.clock.hosts[number].has_initial_shares
     context.clock.begin(1)
     context.clock.admit(number)
 
@@ -98,7 +98,7 @@
 def step_replaced(context, number):
     asyncio.run(context.clock.hosts[number].hand_over())
     context.clock.start(number)
-    asyncio.run(context.clock.hosts[number].begin([context.clock.account]))
+    asyncio.run(context.clock.hosts[number].request_initial_shares([context.clock.account]))
 
 
 @when(
@@ -123,7 +123,7 @@
 
 @then("host {number:d} has begun and holds {part:f} of the limit")
 def step_one_part(context, number, part):
-    assert context.clock.hosts[number].has_begun
+    assert context.clock.hosts[number].has_initial_shares
     assert abs(context.clock.parts()[number - 1] - part) < 1e-6, context.clock.parts()
 
 
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -9,7 +9,7 @@
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.limits import (
     LOAN_MESSAGE,
-    ROUND_S,
+    ROUND_INTERVAL_S,
     AccountLimits,
     LimitKind,
     Loan,
@@ -89,7 +89,7 @@
         self.hosts[number] = AccountLimits(peers)
 
     def close_round(self):
-        self.now += ROUND_S
+        self.now += ROUND_INTERVAL_S
         for number, limits in self.hosts.items():
             if f"a{number}" not in self.network.down:
                 accounts = [] if number in self.unheard else [self.account]
@@ -100,11 +100,11 @@
         for _ in range(rounds):
             for number, limits in self.hosts.items():
                 if f"a{number}" not in self.network.down:
-                    asyncio.run(limits.begin([self.account]))
+                    asyncio.run(limits.request_initial_shares([self.account]))
             self.close_round()
 
     def parts(self):
-        return [h.part("acme", LimitKind.REQUESTS) for h in self.hosts.values()]
+        return [h.usable_fraction("acme", LimitKind.REQUESTS) for h in self.hosts.values()]
 
     def admit(self, number, tokens=1):
         return self.hosts[number].admit(self.account, tokens, self.now)
@@ -159,8 +159,8 @@
         passed = 0
         for _ in range(rate):
             passed += sum(context.clock.admit(host) is None for host in (1, 2))
-            context.clock.now += ROUND_S / rate
-        context.clock.now -= ROUND_S
+            context.clock.now += ROUND_INTERVAL_S / rate
+        context.clock.now -= ROUND_INTERVAL_S
         context.clock.close_round()
         context.passed_by_second.append(passed)
 
@@ -194,7 +194,7 @@
 @when("all streams of host {host:d} end")
 def step_streams_end(context, host):
     for _ in range(context.open[host]):
-        context.clock.hosts[host].end(context.clock.account, 1, 1, 0.0)
+        context.clock.hosts[host].finish(context.clock.account, 1, 1, 0.0)
 
 
 @then("another stream begins at host {host:d}")
@@ -209,7 +209,7 @@
         if spent >= amount:
             break
         if context.clock.admit(host) is None:
-            context.clock.hosts[host].end(context.clock.account, 1, 1, 1.0)
+            context.clock.hosts[host].finish(context.clock.account, 1, 1, 1.0)
             spent += 1.0
         if number % 10 == 0:
             context.clock.close_round()
@@ -231,7 +231,7 @@
 
 
 def borrow(clock, number):
-    wanted = clock.hosts[number].missing("acme")
+    wanted = clock.hosts[number].compute_shortfall("acme")
     if wanted is not None:
         asyncio.run(clock.hosts[number].borrow(wanted))
 
@@ -254,7 +254,7 @@
 @then("both hosts together allow at most {count:d} streams")
 def step_allowed_streams(context, count):
     for _ in range(20):
-        parts = [h.part("acme", LimitKind.STREAMS) for h in context.clock.hosts.values()]
+        parts = [h.usable_fraction("acme", LimitKind.STREAMS) for h in context.clock.hosts.values()]
         assert sum(parts) * count <= count + 1e-6, parts
         context.clock.close_round()
 
@@ -286,11 +286,11 @@
     for _ in range(18):
         context.clock.admit(number)
     lender = context.clock.hosts[2]
-    before = lender.part("acme", LimitKind.STREAMS)
-    payload = encode_loan(context.clock.hosts[number].missing("acme"))
+    before = lender.usable_fraction("acme", LimitKind.STREAMS)
+    payload = encode_loan(context.clock.hosts[number].compute_shortfall("acme"))
     asking = context.clock.network.members[f"a{number}"]
     asyncio.run(asking.ask("a2", LOAN_MESSAGE, payload, 1.0))
-    assert lender.part("acme", LimitKind.STREAMS) < before
+    assert lender.usable_fraction("acme", LimitKind.STREAMS) < before
 
 
 @then("at least {times:f} times {rate:d} requests a second passed in all")
@@ -307,7 +307,7 @@
 
 @then("host {number:d} allows at least {share:f} of the {count:d} streams")
 def step_allows_at_least(context, number, share, count):
-    part = context.clock.hosts[number].part("acme", LimitKind.STREAMS)
+    part = context.clock.hosts[number].usable_fraction("acme", LimitKind.STREAMS)
     assert part >= share, part * count
 
 
@@ -315,8 +315,8 @@
 def step_negative_loan(context, part):
     for _ in range(20):
         context.clock.close_round()
-    before = context.clock.hosts[2].part("acme", LimitKind.STREAMS)
+    before = context.clock.hosts[2].usable_fraction("acme", LimitKind.STREAMS)
     payload = encode_loan(Loan("acme", 0.0, 0.0, {LimitKind.STREAMS: part}))
     asking = context.clock.network.members["a1"]
     asyncio.run(asking.ask("a2", LOAN_MESSAGE, payload, 1.0))
-    assert context.clock.hosts[2].part("acme", LimitKind.STREAMS) == before
+    assert context.clock.hosts[2].usable_fraction("acme", LimitKind.STREAMS) == before
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -6,7 +6,7 @@
 from poplarrun.clients import MemoryEngine, ModelsOrder
 from poplarrun.contracts import VersionId
 from poplarrun.leases import Lease
-from poplarrun.orders import OpenWork, SendOrder
+from poplarrun.orders import OpenRequest, SendOrder
 from standins.order_world import OrderWorld
 from standins.virtual_time import VirtualTimeLoop
 
@@ -34,7 +34,7 @@
 
 
 def drains(context):
-    return [holder.tasks.holder.summarize().stamp for holder in context.world.holders("a")]
+    return [holder.tasks.holder.summarize().revision for holder in context.world.holders("a")]
 
 
 def loads(context):
@@ -281,7 +281,7 @@
 
 
 def work_on(version, in_session=False, engine=""):
-    return OpenWork(VersionId.parse(version), 1, in_session, engine)
+    return OpenRequest(VersionId.parse(version), 1, in_session, engine)
 
 
 @given('a session at host "{host}" keeps "{versions}"')
--- a/features/steps/planned_stop.py
+++ b/features/steps/planned_stop.py
@@ -7,7 +7,7 @@
 import urllib3
 from behave import given, then, when
 
-from poplarrun.limits import ROUND_S, START_ROUNDS
+from poplarrun.limits import RAMP_UP_ROUNDS, ROUND_INTERVAL_S
 from standins.fleet import wait_until
 
 KEY = "borough-north-key"
@@ -77,7 +77,7 @@
 
 @given("the hosts have shared out the account's limits")
 def step_shared_out(context):
-    time.sleep((START_ROUNDS + 2) * ROUND_S)
+    time.sleep((RAMP_UP_ROUNDS + 2) * ROUND_INTERVAL_S)
 
 
 @given("callers send requests and streams all the time")
--- a/features/steps/refused_bills.py
+++ b/features/steps/refused_bills.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from poplarrun.billing import Bill, BillKeeper, read_statement
+from poplarrun.billing import Bill, BillReplicator, read_statement
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.log import MemoryLog, ThreadedLog, call_here
 from standins.histories import run_virtual
@@ -20,7 +20,7 @@
     loop = asyncio.get_running_loop()
     network = MemoryNetwork()
     keepers = {
-        name: BillKeeper(
+        name: BillReplicator(
             MemoryPeers(network, Peer(name, zone, "r", 1)),
             ThreadedLog(log, call_here),
             loop.time,
@@ -28,15 +28,15 @@
         )
         for name, zone in HOSTS.items()
     }
-    keepers["a1"].open(Bill("r1", "shop", "larch:1", 0.1))
-    await keepers["a1"].tend()
-    assert all(keepers[name].holds("r1") for name in ("b1", "c1"))
-    keepers["a1"].drop("r1")
+    keepers["a1"].open_bill(Bill("r1", "shop", "larch:1", 0.1))
+    await keepers["a1"].run_round()
+    assert all(keepers[name].has_bill("r1") for name in ("b1", "c1"))
+    keepers["a1"].cancel_bill("r1")
     network.cut(["a1"], ["b1", "c1"])
     for _ in range(SETTLED_S):
-        await asyncio.gather(*(keeper.tend() for keeper in keepers.values()))
+        await asyncio.gather(*(keeper.run_round() for keeper in keepers.values()))
         await asyncio.sleep(1.0)
-    assert keepers["b1"].finished
+    assert keepers["b1"].finished_for_peers
 
 
 @when("the host is cut off from them, and they finish its bills")
--- a/features/steps/refusing_engines.py
+++ b/features/steps/refusing_engines.py
@@ -11,7 +11,7 @@
 
 @given("all but {well:d} of them refuse")
 def step_refuse(context, well):
-    names = sorted(endpoint.name for endpoint in context.endpoint_table.all())
+    names = sorted(endpoint.name for endpoint in context.endpoint_table.list_endpoints())
     context.refusing = set(names[well:])
     context.at = 0.0
     context.outcomes = []
--- a/poplarrun/billing/_batches.py
+++ b/poplarrun/billing/_batcher.py
@@ -9,12 +9,12 @@
 
 MIN_BATCH_INTERVAL_S = 1.0
 # All hosts together append so many batches a second.
-BATCHES_PER_S = 60.0
+MAX_BATCHES_PER_S = 60.0
 MAX_BATCH_BILLS = 2000
-LOG_WAIT_S = 1.0
+LOG_TIMEOUT_S = 1.0
 
 
-class BillBatches:
+class BillBatcher:
     """Appends bills in batches until the log has them.
 
     Parameters
@@ -44,20 +44,20 @@
         note_appended: Callable[[list[Bill]], None],
         count: Callable[[str], None],
     ) -> None:
-        self.appends = 0
+        self.append_count = 0
         self._log = log
         self._now = now
         self._count_hosts = count_hosts
-        self._note_appended = note_appended
+        self._on_appended = note_appended
         self._count = count
         self._queues: dict[int, dict[str, Bill]] = {}
-        self._callers: dict[str, asyncio.Future[bool]] = {}
-        self._flushing: asyncio.Task[None] | None = None
-        self._is_urgent = asyncio.Event()
+        self._waiters: dict[str, asyncio.Future[bool]] = {}
+        self._flush_task: asyncio.Task[None] | None = None
+        self._flush_now = asyncio.Event()
         self._failed_until = 0.0
 
     @property
-    def size(self) -> int:
+    def unlogged_count(self) -> int:
         """Bills that the log doesn't hold yet."""
         return sum(len(queue) for queue in self._queues.values())
 
@@ -70,69 +70,69 @@
         """Let a bill go with the next batch of a shard."""
         self._queues.setdefault(shard, {})[bill.id] = bill
 
-    def start(self, is_urgent: bool = False) -> None:
+    def start_flush(self, is_urgent: bool = False) -> None:
         """Append what waits, after a while in which a batch fills, or at once."""
         if is_urgent:
-            self._is_urgent.set()
-        if self._flushing is None and self.size:
-            self._flushing = asyncio.create_task(self._flush())
+            self._flush_now.set()
+        if self._flush_task is None and self.unlogged_count:
+            self._flush_task = asyncio.create_task(self._flush())
 
     async def drain(self) -> None:
         """Append what waits at once; return when it is done or the log fails."""
-        self.start(is_urgent=True)
-        if self._flushing is not None:
-            await asyncio.wait([self._flushing])
+        self.start_flush(is_urgent=True)
+        if self._flush_task is not None:
+            await asyncio.wait([self._flush_task])
 
-    async def wait_for(self, bill: Bill) -> bool:
+    async def wait_until_logged(self, bill: Bill) -> bool:
         """Append at once, and tell whether the log has the bill."""
         if self.find(bill.id) is None:
             return True
         if self._now() < self._failed_until:
             return False
-        appended = self._callers.setdefault(bill.id, asyncio.get_running_loop().create_future())
-        self.start(is_urgent=True)
-        await asyncio.wait([appended], timeout=LOG_WAIT_S)
-        self._callers.pop(bill.id, None)
+        appended = self._waiters.setdefault(bill.id, asyncio.get_running_loop().create_future())
+        self.start_flush(is_urgent=True)
+        await asyncio.wait([appended], timeout=LOG_TIMEOUT_S)
+        self._waiters.pop(bill.id, None)
         return appended.done() and appended.result()
 
     async def _flush(self) -> None:
         """Append one batch after the other, until nothing waits or the log fails."""
         try:
-            while self.size:
+            while self.unlogged_count:
                 await self._pause()
                 for shard in list(self._queues):
                     if self._queues[shard] and not await self._append(shard):
                         return
         finally:
-            self._flushing = None
+            self._flush_task = None
 
     async def _pause(self) -> None:
         """Let a batch fill, unless a caller waits for the log."""
-        interval_s = max(MIN_BATCH_INTERVAL_S, self._count_hosts() / BATCHES_PER_S)
+        interval_s = max(MIN_BATCH_INTERVAL_S, self._count_hosts() / MAX_BATCHES_PER_S)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._is_urgent.wait(), interval_s)
-        self._is_urgent.clear()
+            await asyncio.wait_for(self._flush_now.wait(), interval_s)
+        self._flush_now.clear()
 
     async def _append(self, shard: int) -> bool:
         """Append one batch; an unknown outcome is repeated, for the fold drops repeats."""
         queue = self._queues[shard]
         bills = list(queue.values())[:MAX_BATCH_BILLS]
-        self.appends += 1
+        self.append_count += 1
         outcome = await self._log.append(stream_of(shard), encode_bills(bills))
         is_appended = isinstance(outcome, Appended)
         if is_appended:
             for bill in bills:
                 if queue.get(bill.id) is bill:
                     del queue[bill.id]
-            self._note_appended(bills)
+            self._on_appended(bills)
         else:
             self._count("bill_append_failed")
-            self._failed_until = self._now() + LOG_WAIT_S
+            self._failed_until = self._now() + LOG_TIMEOUT_S
         for bill in bills:
-            self._tell_caller(bill.id, is_appended)
+            self._notify_waiter(bill.id, is_appended)
         return is_appended
 
-    def _tell_caller(self, bill_id: str, is_appended: bool) -> None:
-        caller = self._callers.pop(bill_id, None)
+    def _notify_waiter(self, bill_id: str, is_appended: bool) -> None:
+        caller = self._waiters.pop(bill_id, None)
         if caller is not None and not caller.done():
             caller.set_result(is_appended)
--- a/poplarrun/billing/_reading.py
+++ b/poplarrun/billing/_reader.py
@@ -4,7 +4,7 @@
 from poplarrun.log import Entry, Page, PartCollector, WholeSnapshot
 
 
-class ShardReading:
+class ShardReader:
     """Follows a stream page by page; whoever holds the log reads from ``position`` on.
 
     Where the first records are gone it looks for the oldest snapshot that the
@@ -31,51 +31,51 @@
         self.totals = BillTotals()
         self.position = 0
         self.snapshot: WholeSnapshot | None = None
-        self.bytes_since = 0
+        self.bytes_since_snapshot = 0
         self.snapshot_bytes = 0
         self.horizon = 0
         self._parts = PartCollector()
         # Where the search for a snapshot began; None while records are folded.
         self._searched_from: int | None = None
 
-    def take(self, page: Page) -> bool:
+    def apply_page(self, page: Page) -> bool:
         """Take the page that ``position`` asked for; tell whether all is folded."""
         self.horizon = page.horizon
         if page.horizon > self.position:
-            self._search(page.horizon)
+            self._start_search(page.horizon)
         for entry in page.entries:
-            if self._take_entry(entry):
+            if self._apply_entry(entry):
                 return False
         if page.entries and self.position < page.end:
             return False
         if self._searched_from is None:
             return True
-        self._go_on_from(BillTotals(self._searched_from))
+        self._resume_from(BillTotals(self._searched_from))
         return self.position >= page.end
 
-    def _search(self, horizon: int) -> None:
+    def _start_search(self, horizon: int) -> None:
         self.position = self._searched_from = horizon
         self._parts = PartCollector()
 
-    def _take_entry(self, entry: Entry) -> bool:
+    def _apply_entry(self, entry: Entry) -> bool:
         """Take one entry; tell whether reading goes on from elsewhere."""
         self.position = entry.offset + 1
         if self._searched_from is None:
             self.totals.fold(entry)
-        self.bytes_since += len(entry.data)
+        self.bytes_since_snapshot += len(entry.data)
         whole = self._parts.add(entry)
         if whole is None:
             return False
         self.snapshot = WholeSnapshot(whole.through, whole.at, b"")
-        self.snapshot_bytes, self.bytes_since = len(whole.data), 0
+        self.snapshot_bytes, self.bytes_since_snapshot = len(whole.data), 0
         if self._searched_from is None or whole.through + 1 < self._searched_from:
             return False
         restored = BillTotals.restore(whole)
         if restored is not None:
-            self._go_on_from(restored)
+            self._resume_from(restored)
         return restored is not None
 
-    def _go_on_from(self, totals: BillTotals) -> None:
+    def _resume_from(self, totals: BillTotals) -> None:
         self.totals = totals
         self.position = totals.next_offset
         self._searched_from = None
--- a/poplarrun/billing/_records.py
+++ b/poplarrun/billing/_records.py
@@ -52,12 +52,12 @@
     return f"billing-{shard:02d}"
 
 
-def write_lines(bills: list[Bill]) -> list[BillLine]:
+def encode_lines(bills: list[Bill]) -> list[BillLine]:
     """Return the lines of bills."""
     return [(b.id, b.account, b.item, b.amount, b.at, b.is_final) for b in bills]
 
 
-def read_lines(lines: list[BillLine]) -> list[Bill]:
+def decode_lines(lines: list[BillLine]) -> list[Bill]:
     """Return the bills of lines; one copy of each account and item is kept."""
     return [
         Bill(id_, sys.intern(account), sys.intern(item), amount, at, is_final)
@@ -67,12 +67,12 @@
 
 def encode_bills(bills: list[Bill]) -> bytes:
     """Return the bytes of one append."""
-    return _encoder.encode(write_lines(bills))
+    return _encoder.encode(encode_lines(bills))
 
 
 def decode_bills(data: bytes) -> list[Bill]:
     """Read the bills of one append; none when the bytes are no batch."""
     try:
-        return read_lines(_decoder.decode(data))
+        return decode_lines(_decoder.decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError):
         return []
--- a/poplarrun/billing/_keeper.py
+++ b/poplarrun/billing/_replicator.py
@@ -6,25 +6,25 @@
 
 import msgspec
 
-from poplarrun.billing._batches import MAX_BATCH_BILLS, BillBatches
-from poplarrun.billing._held import ForeignShards, HeldBills, Holder, Orphans
-from poplarrun.billing._records import Bill, BillLine, read_lines, shard_of, write_lines
+from poplarrun.billing._batcher import MAX_BATCH_BILLS, BillBatcher
+from poplarrun.billing._peer_bills import HostIncarnation, OrphanedBills, PeerBills, ShardsByBill
+from poplarrun.billing._records import Bill, BillLine, decode_lines, encode_lines, shard_of
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog
 from poplarrun.metrics import ignore_event
 from poplarrun.rendezvous import Ranking
 
-KEEP_MESSAGE = "billing.keep"
-COPIES = 2
+REPLICATE_MESSAGE = "billing.keep"
+REPLICA_COUNT = 2
 # Peers are asked in turn until two have the bill; more would hold up the answer.
-MAX_ASKED = 4
-KEEP_TIMEOUT_S = 0.3
+MAX_PEERS_ASKED = 4
+REPLICATE_TIMEOUT_S = 0.3
 # About 0.4 KB each. An hour without the log, at 18 requests a second a host and
 # three copies of each bill. At the bound requests are refused before they run.
 MAX_BILLS = 200_000
 
 
-class KeptBy(enum.Enum):
+class BillDurability(enum.Enum):
     """What holds a bill when its answer goes out."""
 
     PEERS = "peers"
@@ -32,24 +32,24 @@
     HOST_ALONE = "host_alone"
 
 
-class _Keep(msgspec.Struct, frozen=True, array_like=True):
+class _ReplicateRequest(msgspec.Struct, frozen=True, array_like=True):
     host: str
     incarnation: int
     lines: list[BillLine]
-    settled: list[str]
-    foreign: ForeignShards = {}
+    logged_ids: list[str]
+    foreign_shards: ShardsByBill = {}
 
 
-class _Kept(msgspec.Struct, frozen=True, array_like=True):
+class _ReplicateAnswer(msgspec.Struct, frozen=True, array_like=True):
     has_room: bool
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_keep_decoder = msgspec.msgpack.Decoder(_Keep)
-_kept_decoder = msgspec.msgpack.Decoder(_Kept)
+_request_decoder = msgspec.msgpack.Decoder(_ReplicateRequest)
+_answer_decoder = msgspec.msgpack.Decoder(_ReplicateAnswer)
 
 
-class BillKeeper:
+class BillReplicator:
     """Keeps bills until the log has them.
 
     Parameters
@@ -77,36 +77,38 @@
         wall: Callable[[], float],
         count: Callable[[str], None] = ignore_event,
     ) -> None:
-        self.finished = 0
+        self.finished_for_peers = 0
         self._peers = peers
         self._now = now
         self._wall = wall
         self._count = count
         self._shard = shard_of(peers.me.name)
-        self._batches = BillBatches(log, now, lambda: len(peers.live()), self._note_appended, count)
-        self._held = HeldBills()
+        self._batches = BillBatcher(
+            log, now, lambda: len(peers.live()), self._handle_appended, count
+        )
+        self._peer_bills = PeerBills()
         # Requests of this host that run, and what peers must be told with the
         # next ``tend``: new ones, and bills that too few peers hold.
-        self._open: dict[str, Bill] = {}
-        self._untold: dict[str, Bill] = {}
+        self._open_bills: dict[str, Bill] = {}
+        self._unreplicated: dict[str, Bill] = {}
         # Shards of the bills that this host finishes for others, until the log has them.
-        self._foreign: ForeignShards = {}
+        self._foreign_shards: ShardsByBill = {}
         # The peers that may hold a bill, and the bills that a peer can drop.
-        self._keepers_of: dict[str, list[str]] = {}
-        self._settled_for: dict[str, list[str]] = {}
-        self._live_before: set[Holder] = set()
+        self._replicas_of: dict[str, list[str]] = {}
+        self._logged_ids_for: dict[str, list[str]] = {}
+        self._live_before: set[HostIncarnation] = set()
         self._ranking = Ranking()
-        peers.serve(KEEP_MESSAGE, self._serve_keep)
+        peers.serve(REPLICATE_MESSAGE, self._serve_replicate)
 
     @property
-    def appends(self) -> int:
+    def append_count(self) -> int:
         """Appends made so far."""
-        return self._batches.appends
+        return self._batches.append_count
 
     @property
     def size(self) -> int:
         """Bills in memory: own ones and those held for peers."""
-        return len(self._open) + self._batches.size + self._held.size
+        return len(self._open_bills) + self._batches.unlogged_count + self._peer_bills.size
 
     @property
     def is_full(self) -> bool:
@@ -114,40 +116,40 @@
         return self.size >= MAX_BILLS
 
     @property
-    def waiting(self) -> int:
+    def unlogged_count(self) -> int:
         """Bills that the log doesn't hold yet."""
-        return self._batches.size
+        return self._batches.unlogged_count
 
-    def holds(self, bill_id: str) -> bool:
+    def has_bill(self, bill_id: str) -> bool:
         """Tell whether a bill is in memory here, the own one or a peer's."""
-        return self._find(bill_id) is not None or self._held.holds(bill_id)
+        return self._find(bill_id) is not None or self._peer_bills.contains(bill_id)
 
-    def open(self, bill: Bill) -> None:
+    def open_bill(self, bill: Bill) -> None:
         """Note a request that begins; peers bill it so if this host dies meanwhile.
 
         They are told with the next ``tend``: most requests are over by then,
         and cost no message beside that of their final bill.
         """
         stamped = msgspec.structs.replace(bill, at=self._wall(), is_final=False)
-        self._open[bill.id] = self._untold[bill.id] = stamped
+        self._open_bills[bill.id] = self._unreplicated[bill.id] = stamped
 
-    def drop(self, bill_id: str) -> None:
+    def cancel_bill(self, bill_id: str) -> None:
         """Forget a request that ended without any cost.
 
         Peers that were told of it would bill it in this host's place, should it be
         cut off before it tells them to forget it too: its caller was told "not run"
         and would pay. A final bill of nothing in the log outweighs theirs.
         """
-        self._untold.pop(bill_id, None)
-        bill = self._open.pop(bill_id, None)
+        self._unreplicated.pop(bill_id, None)
+        bill = self._open_bills.pop(bill_id, None)
         if bill is None:
             return
-        if bill_id in self._keepers_of:
+        if bill_id in self._replicas_of:
             free = msgspec.structs.replace(bill, amount=0.0, is_final=True)
             self._batches.add(self._shard, free)
-            self._batches.start()
+            self._batches.start_flush()
 
-    async def keep(self, bill: Bill) -> KeptBy:
+    async def replicate(self, bill: Bill) -> BillDurability:
         """Keep a final bill, and return once it outlives this host.
 
         Two peers, in other zones where there are any, hold it then; where they
@@ -156,17 +158,17 @@
         serving, and tells the peers once they are back.
         """
         bill = msgspec.structs.replace(bill, at=self._wall(), is_final=True)
-        self._open.pop(bill.id, None)
-        self._untold.pop(bill.id, None)
+        self._open_bills.pop(bill.id, None)
+        self._unreplicated.pop(bill.id, None)
         self._batches.add(self._shard, bill)
-        self._batches.start()
-        if await self._copy([bill]) >= COPIES:
-            kept = KeptBy.PEERS
-        elif await self._batches.wait_for(bill):
-            kept = KeptBy.LOG
+        self._batches.start_flush()
+        if await self._replicate([bill]) >= REPLICA_COUNT:
+            kept = BillDurability.PEERS
+        elif await self._batches.wait_until_logged(bill):
+            kept = BillDurability.LOG
         else:
-            kept = KeptBy.HOST_ALONE
-            self._untold[bill.id] = bill
+            kept = BillDurability.HOST_ALONE
+            self._unreplicated[bill.id] = bill
         self._count(f"bill_kept_by_{kept.value}")
         return kept
 
@@ -174,18 +176,18 @@
         """Append what waits at once; what the log doesn't take, peers finish."""
         await self._batches.drain()
 
-    async def tend(self) -> None:
+    async def run_round(self) -> None:
         """Tell peers what is new, and finish the bills of dead hosts."""
         live = {(peer.name, peer.incarnation) for peer in self._peers.live()}
-        for orphans in self._held.take_orphans(live, self._now()):
-            self._finish(orphans)
-        self._note_gone({name for name, _ in self._live_before - live})
+        for orphans in self._peer_bills.remove_orphans(live, self._now()):
+            self._adopt_orphans(orphans)
+        self._rereplicate({name for name, _ in self._live_before - live})
         self._live_before = live
-        self._batches.start()
-        await self._tell_new()
-        await self._tell_settled({name for name, _ in live})
+        self._batches.start_flush()
+        await self._replicate_new()
+        await self._send_logged_ids({name for name, _ in live})
 
-    def _finish(self, orphans: Orphans) -> None:
+    def _adopt_orphans(self, orphans: OrphanedBills) -> None:
         """Append a dead host's bills in its place, as far as they were told here.
 
         Two new peers are told of them too: while the log is out, the hosts that
@@ -195,71 +197,74 @@
         """
         for bill in orphans.bills:
             if self._batches.find(bill.id) is None:
-                shard = orphans.foreign.get(bill.id, shard_of(orphans.host))
+                shard = orphans.foreign_shards.get(bill.id, shard_of(orphans.host))
                 self._batches.add(shard, bill)
-                self._foreign[bill.id] = shard
-                self._untold[bill.id] = bill
-        self.finished += len(orphans.bills)
+                self._foreign_shards[bill.id] = shard
+                self._unreplicated[bill.id] = bill
+        self.finished_for_peers += len(orphans.bills)
         self._count("dead_host_finished")
-        self._batches.start(is_urgent=True)
+        self._batches.start_flush(is_urgent=True)
 
-    def _note_gone(self, names: set[str]) -> None:
+    def _rereplicate(self, names: set[str]) -> None:
         """Have bills copied anew that a peer held which is gone.
 
         While the log is out, the holders of a bill could else die one by one.
         """
         if not names:
             return
-        for bill_id, keepers in self._keepers_of.items():
+        for bill_id, keepers in self._replicas_of.items():
             bill = None if names.isdisjoint(keepers) else self._find(bill_id)
             if bill is not None:
-                self._untold[bill_id] = bill
+                self._unreplicated[bill_id] = bill
 
-    async def _tell_new(self) -> None:
+    async def _replicate_new(self) -> None:
         """Tell peers of running requests, and of bills that too few of them hold."""
-        told = list(self._untold.values())[:MAX_BATCH_BILLS]
-        if told and await self._copy(told) >= COPIES:
+        told = list(self._unreplicated.values())[:MAX_BATCH_BILLS]
+        if told and await self._replicate(told) >= REPLICA_COUNT:
             for bill in told:
-                if self._untold.get(bill.id) is bill:
-                    del self._untold[bill.id]
+                if self._unreplicated.get(bill.id) is bill:
+                    del self._unreplicated[bill.id]
 
-    async def _tell_settled(self, live: set[str]) -> None:
+    async def _send_logged_ids(self, live: set[str]) -> None:
         """Tell live peers what they can drop.
 
         One that is gone is not told: should it be back, it holds a few bills
         until this host's incarnation ends, and the fold drops what it appends.
         """
-        settled, self._settled_for = self._settled_for, {}
-        told = [self._tell(peer, [], ids) for peer, ids in settled.items() if peer in live]
+        settled, self._logged_ids_for = self._logged_ids_for, {}
+        told = [self._send(peer, [], ids) for peer, ids in settled.items() if peer in live]
         await asyncio.gather(*told)
 
-    def _note_appended(self, bills: list[Bill]) -> None:
+    def _handle_appended(self, bills: list[Bill]) -> None:
         for bill in bills:
-            self._untold.pop(bill.id, None)
-            self._foreign.pop(bill.id, None)
-        self._settle([bill.id for bill in bills])
+            self._unreplicated.pop(bill.id, None)
+            self._foreign_shards.pop(bill.id, None)
+        self._record_logged([bill.id for bill in bills])
 
-    def _settle(self, ids: list[str]) -> None:
+    def _record_logged(self, ids: list[str]) -> None:
         """Note for each peer which bills it need not hold any longer."""
         for bill_id in ids:
-            for peer in dict.fromkeys(self._keepers_of.pop(bill_id, ())):
-                self._settled_for.setdefault(peer, []).append(bill_id)
+            for peer in dict.fromkeys(self._replicas_of.pop(bill_id, ())):
+                self._logged_ids_for.setdefault(peer, []).append(bill_id)
 
     def _find(self, bill_id: str) -> Bill | None:
         """Return a bill that this host must get into the log."""
-        return self._batches.find(bill_id) or self._open.get(bill_id)
+        return self._batches.find(bill_id) or self._open_bills.get(bill_id)
 
-    async def _copy(self, bills: list[Bill]) -> int:
+    async def _replicate(self, bills: list[Bill]) -> int:
         """Give bills to peers until two have them; return how many do."""
         copies = 0
-        candidates = self._rank_peers()[:MAX_ASKED]
-        while candidates and copies < COPIES:
-            asked, candidates = candidates[: COPIES - copies], candidates[COPIES - copies :]
+        candidates = self._rank_peers()[:MAX_PEERS_ASKED]
+        while candidates and copies < REPLICA_COUNT:
+            asked, candidates = (
+                candidates[: REPLICA_COUNT - copies],
+                candidates[REPLICA_COUNT - copies :],
+            )
             # A silent peer may hold them too: it must hear when it can drop them.
             for bill in bills:
-                self._keepers_of.setdefault(bill.id, []).extend(asked)
-            copies += sum(await asyncio.gather(*(self._tell(peer, bills, []) for peer in asked)))
-        self._settle([bill.id for bill in bills if self._find(bill.id) is None])
+                self._replicas_of.setdefault(bill.id, []).extend(asked)
+            copies += sum(await asyncio.gather(*(self._send(peer, bills, []) for peer in asked)))
+        self._record_logged([bill.id for bill in bills if self._find(bill.id) is None])
         return copies
 
     def _rank_peers(self) -> list[str]:
@@ -278,23 +283,23 @@
         rest.sort(key=lambda name: zones[name] == me.zone)
         return first + rest
 
-    async def _tell(self, peer: str, bills: list[Bill], settled: list[str]) -> bool:
+    async def _send(self, peer: str, bills: list[Bill], settled: list[str]) -> bool:
         me = self._peers.me
-        foreign = {b.id: self._foreign[b.id] for b in bills if b.id in self._foreign}
-        keep = _Keep(me.name, me.incarnation, write_lines(bills), settled, foreign)
+        foreign = {b.id: self._foreign_shards[b.id] for b in bills if b.id in self._foreign_shards}
+        keep = _ReplicateRequest(me.name, me.incarnation, encode_lines(bills), settled, foreign)
         message = _encode(keep)
-        answer = await self._peers.ask(peer, KEEP_MESSAGE, message, KEEP_TIMEOUT_S)
+        answer = await self._peers.ask(peer, REPLICATE_MESSAGE, message, REPLICATE_TIMEOUT_S)
         if isinstance(answer, bytes):
-            return _kept_decoder.decode(answer).has_room
+            return _answer_decoder.decode(answer).has_room
         if settled:
-            self._settled_for.setdefault(peer, []).extend(settled)
+            self._logged_ids_for.setdefault(peer, []).extend(settled)
         return False
 
-    async def _serve_keep(self, _: str, payload: bytes) -> bytes:
-        message = _keep_decoder.decode(payload)
-        holder = (message.host, message.incarnation)
+    async def _serve_replicate(self, _: str, payload: bytes) -> bytes:
+        message = _request_decoder.decode(payload)
+        origin = (message.host, message.incarnation)
         has_room = not message.lines or not self.is_full
         if has_room:
-            self._held.add(holder, read_lines(message.lines), message.foreign)
-        self._held.drop(holder, message.settled)
-        return _encode(_Kept(has_room))
+            self._peer_bills.add(origin, decode_lines(message.lines), message.foreign_shards)
+        self._peer_bills.discard(origin, message.logged_ids)
+        return _encode(_ReplicateAnswer(has_room))
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from poplarrun.billing._reading import ShardReading
+from poplarrun.billing._reader import ShardReader
 from poplarrun.billing._records import SHARDS, stream_of
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog, Page, append_parts, split_snapshot
@@ -11,13 +11,13 @@
 from poplarrun.rendezvous import Ranking
 
 # A page is folded in one step of the loop: 60 bills a record at the two-year size.
-READ_LIMIT = 50
+READ_PAGE_SIZE = 50
 SNAPSHOT_INTERVAL_S = 6 * 3600.0
 # A busy stream gets one sooner, but never for less than four times its size.
-SNAPSHOT_RECORDS = 1000
-SNAPSHOT_BYTES_SHARE = 4
+MIN_SNAPSHOT_RECORDS = 1000
+MIN_SNAPSHOT_BYTES_RATIO = 4
 # A failed one is tried again after so long; the horizon may be near.
-RETRY_S = 60.0
+SNAPSHOT_RETRY_INTERVAL_S = 60.0
 
 
 class BillSnapshots:
@@ -51,57 +51,57 @@
         self._now = now
         self._wall = wall
         self._count = count
-        self._readings: dict[int, ShardReading] = {}
+        self._readers: dict[int, ShardReader] = {}
         self._tried_at: dict[int, float] = {}
         self._ranking = Ranking()
 
-    async def tend(self) -> None:
+    async def write_due_snapshots(self) -> None:
         """Follow the own shards, and write the snapshots that are due."""
         names = tuple(peer.name for peer in self._peers.live())
         for shard in range(SHARDS):
             if self._ranking.rank(f"billing/{shard}", names)[0] == self._peers.me.name:
-                await self._tend_shard(shard)
+                await self._update_shard(shard)
             else:
-                self._readings.pop(shard, None)
+                self._readers.pop(shard, None)
 
-    async def _tend_shard(self, shard: int) -> None:
-        reading = self._readings.setdefault(shard, ShardReading())
-        if await self._read(shard, reading) and self._is_due(shard, reading):
+    async def _update_shard(self, shard: int) -> None:
+        reader = self._readers.setdefault(shard, ShardReader())
+        if await self._read(shard, reader) and self._is_due(shard, reader):
             self._tried_at[shard] = self._now()
-            await self._write(shard, reading)
+            await self._write(shard, reader)
 
-    async def _read(self, shard: int, reading: ShardReading) -> bool:
+    async def _read(self, shard: int, reader: ShardReader) -> bool:
         """Fold up to the end of the stream; tell whether the log answered."""
         while True:
-            page = await self._log.read(stream_of(shard), reading.position, READ_LIMIT)
+            page = await self._log.read(stream_of(shard), reader.position, READ_PAGE_SIZE)
             if not isinstance(page, Page):
                 return False
-            if reading.take(page):
+            if reader.apply_page(page):
                 return True
             await asyncio.sleep(0)
 
-    def _is_due(self, shard: int, reading: ShardReading) -> bool:
+    def _is_due(self, shard: int, reader: ShardReader) -> bool:
         tried_at = self._tried_at.get(shard)
-        if tried_at is not None and self._now() - tried_at < RETRY_S:
+        if tried_at is not None and self._now() - tried_at < SNAPSHOT_RETRY_INTERVAL_S:
             return False
-        through = -1 if reading.snapshot is None else reading.snapshot.through
-        since = reading.totals.next_offset - 1 - through
+        through = -1 if reader.snapshot is None else reader.snapshot.through
+        since = reader.totals.next_offset - 1 - through
         if not since:
             return False
-        if reading.snapshot is not None:
-            if self._wall() - reading.snapshot.at >= SNAPSHOT_INTERVAL_S:
+        if reader.snapshot is not None:
+            if self._wall() - reader.snapshot.at >= SNAPSHOT_INTERVAL_S:
                 return True
             # The log drops records sooner than the interval foresees: half of what
             # it keeps is already behind the last snapshot.
-            kept = reading.totals.next_offset - reading.horizon
-            if reading.horizon > 0 and through - reading.horizon < kept / 2:
+            kept = reader.totals.next_offset - reader.horizon
+            if reader.horizon > 0 and through - reader.horizon < kept / 2:
                 return True
-        is_first = reading.snapshot is None and bool(reading.totals.next_offset)
-        is_worth = reading.bytes_since >= SNAPSHOT_BYTES_SHARE * reading.snapshot_bytes
-        return is_first or (since >= SNAPSHOT_RECORDS and is_worth)
+        is_first = reader.snapshot is None and bool(reader.totals.next_offset)
+        is_worth = reader.bytes_since_snapshot >= MIN_SNAPSHOT_BYTES_RATIO * reader.snapshot_bytes
+        return is_first or (since >= MIN_SNAPSHOT_RECORDS and is_worth)
 
-    async def _write(self, shard: int, reading: ShardReading) -> None:
+    async def _write(self, shard: int, reader: ShardReader) -> None:
         """Append a snapshot; an interrupted one is never whole, and counts nowhere."""
-        whole = reading.totals.take_snapshot(self._wall())
+        whole = reader.totals.take_snapshot(self._wall())
         is_written = await append_parts(self._log, stream_of(shard), split_snapshot(whole))
         self._count("bill_snapshot_written" if is_written else "bill_snapshot_failed")
--- a/poplarrun/billing/_statement.py
+++ b/poplarrun/billing/_statement.py
@@ -5,12 +5,12 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from poplarrun.billing._reading import ShardReading
+from poplarrun.billing._reader import ShardReader
 from poplarrun.billing._records import SHARDS, stream_of
-from poplarrun.billing._totals import DAY_S, UNITS
+from poplarrun.billing._totals import DAY_S, UNITS_PER_CURRENCY
 from poplarrun.log import Log, Page
 
-READ_LIMIT = 500
+READ_PAGE_SIZE = 500
 EPOCH = datetime.date(1970, 1, 1)
 
 
@@ -61,16 +61,16 @@
 
     Sums are kept by the day in UTC, so the whole day of ``since`` counts.
     """
-    readings = [_read_shard(log, stream_of(shard)) for shard in range(SHARDS)]
-    done = [reading for reading in readings if reading is not None]
+    readers = [_read_shard(log, stream_of(shard)) for shard in range(SHARDS)]
+    done = [reader for reader in readers if reader is not None]
     if len(done) < SHARDS:
         return None
     first_day = math.floor(since / DAY_S)
     sums: dict[tuple[bool, str], list[int]] = defaultdict(lambda: [0, 0])
-    for reading in done:
-        for cell, count, units in reading.totals.sums():
-            if cell.account == account and cell.day >= first_day:
-                held = sums[cell.is_late, cell.item]
+    for reader in done:
+        for key, count, units in reader.totals.sums():
+            if key.account == account and key.day >= first_day:
+                held = sums[key.is_late, key.item]
                 held[0] += count
                 held[1] += units
     return Statement(
@@ -78,8 +78,8 @@
         EPOCH + datetime.timedelta(days=first_day),
         _list_lines(sums, is_late=False),
         _list_lines(sums, is_late=True),
-        tuple(reading.position for reading in done),
-        tuple(reading.totals.missing_below for reading in done),
+        tuple(reader.position for reader in done),
+        tuple(reader.totals.missing_below for reader in done),
     )
 
 
@@ -87,18 +87,18 @@
     sums: dict[tuple[bool, str], list[int]], is_late: bool
 ) -> tuple[StatementLine, ...]:
     return tuple(
-        StatementLine(item, count, units / UNITS)
+        StatementLine(item, count, units / UNITS_PER_CURRENCY)
         for (late, item), (count, units) in sorted(sums.items())
         if late == is_late
     )
 
 
-def _read_shard(log: Log, stream: str) -> ShardReading | None:
+def _read_shard(log: Log, stream: str) -> ShardReader | None:
     """Fold a whole stream; None when the log doesn't answer."""
-    reading = ShardReading()
+    reader = ShardReader()
     while True:
-        page = log.read(stream, reading.position, READ_LIMIT)
+        page = log.read(stream, reader.position, READ_PAGE_SIZE)
         if not isinstance(page, Page):
             return None
-        if reading.take(page):
-            return reading
+        if reader.apply_page(page):
+            return reader
--- a/poplarrun/billing/_totals.py
+++ b/poplarrun/billing/_totals.py
@@ -6,21 +6,21 @@
 
 import msgspec
 
+from poplarrun.billing._recent_ids import DEDUPLICATION_WINDOW_S, Generation, RecentIds, hash_id
 from poplarrun.billing._records import Bill, decode_bills
-from poplarrun.billing._window import REPEATS_S, Generation, IdWindow, number_of
 from poplarrun.log import Entry, WholeSnapshot
 
 DAY_S = 86400
-KEPT_DAYS = 400
+RETENTION_DAYS = 400
 # One record may move the fold's clock by so much: a host whose clock is a day
 # ahead would else have every id forgotten at once, and repeats billed twice.
 MAX_CLOCK_STEP_S = 5.0
 # Amounts are added as whole numbers of billionths, so that neither the order of
 # the records nor a snapshot between them shows in a sum.
-UNITS = 10**9
+UNITS_PER_CURRENCY = 10**9
 
 
-class Cell(NamedTuple):
+class TotalKey(NamedTuple):
     """What is summed: one item of an account on one day, late bills by themselves."""
 
     account: str
@@ -29,13 +29,13 @@
     is_late: bool
 
 
-class _Open(NamedTuple):
-    cell: Cell
+class _ProvisionalBill(NamedTuple):
+    key: TotalKey
     units: int
     clock: float
 
 
-class _State(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedTotals(msgspec.Struct, frozen=True, array_like=True):
     clock: float
     missing_below: int
     sums: list[tuple[str, str, int, bool, int, str]]
@@ -44,7 +44,7 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder = msgspec.msgpack.Decoder(_State)
+_decoder = msgspec.msgpack.Decoder(_EncodedTotals)
 
 
 class BillTotals:
@@ -62,13 +62,13 @@
         self.next_offset = missing_below
         self.missing_below = missing_below
         self._clock = 0.0
-        self._sums: dict[Cell, tuple[int, int]] = {}
-        self._open: dict[str, _Open] = {}
-        self._ids = IdWindow()
+        self._sums: dict[TotalKey, tuple[int, int]] = {}
+        self._provisional: dict[str, _ProvisionalBill] = {}
+        self._ids = RecentIds()
 
-    def sums(self) -> Iterator[tuple[Cell, int, int]]:
+    def sums(self) -> Iterator[tuple[TotalKey, int, int]]:
         """Give each cell with its count of bills and its amount in ``UNITS``."""
-        return ((cell, count, units) for cell, (count, units) in self._sums.items())
+        return ((key, count, units) for key, (count, units) in self._sums.items())
 
     def fold(self, entry: Entry) -> None:
         """Apply one entry of the stream; one that was applied before changes nothing."""
@@ -83,9 +83,9 @@
 
     def take_snapshot(self, at: float) -> WholeSnapshot:
         """Return the state after the last folded record; equal states, equal bytes."""
-        sums = [(*cell, count, str(units)) for cell, (count, units) in sorted(self._sums.items())]
-        opened = [(i, *o.cell, str(o.units), o.clock) for i, o in sorted(self._open.items())]
-        state = _State(self._clock, self.missing_below, sums, opened, self._ids.save())
+        sums = [(*key, count, str(units)) for key, (count, units) in sorted(self._sums.items())]
+        opened = [(i, *o.key, str(o.units), o.clock) for i, o in sorted(self._provisional.items())]
+        state = _EncodedTotals(self._clock, self.missing_below, sums, opened, self._ids.save())
         return WholeSnapshot(self.next_offset - 1, at, _encode(state))
 
     @classmethod
@@ -97,51 +97,51 @@
             totals.next_offset = snapshot.through + 1
             totals._clock = state.clock
             for account, item, day, is_late, count, units in state.sums:
-                totals._sums[Cell(account, item, day, is_late)] = (count, int(units))
+                totals._sums[TotalKey(account, item, day, is_late)] = (count, int(units))
             for id_, account, item, day, is_late, units, clock in state.open:
-                cell = Cell(account, item, day, is_late)
-                totals._open[id_] = _Open(cell, int(units), clock)
+                key = TotalKey(account, item, day, is_late)
+                totals._provisional[id_] = _ProvisionalBill(key, int(units), clock)
             totals._ids.load(state.generations, state.clock)
         except (msgspec.MsgspecError, ValueError, OverflowError):
             return None
         return totals
 
     def _fold_bill(self, bill: Bill) -> None:
-        number = number_of(bill.id)
+        number = hash_id(bill.id)
         is_known = number in self._ids
         # A copy may have copies of its own, by a host that finishes it later.
         self._ids.add(number)
         if is_known:
-            opened = self._open.pop(bill.id, None) if bill.is_final else None
+            opened = self._provisional.pop(bill.id, None) if bill.is_final else None
             if opened is None:
                 return
-            self._add(opened.cell, -1, -opened.units)
+            self._add(opened.key, -1, -opened.units)
         # Older than any id that is remembered: it may have been counted, or not.
         # It is summed apart, for a person to look at.
-        is_late = not is_known and bill.at < self._clock - REPEATS_S
-        cell = Cell(bill.account, bill.item, math.floor(bill.at / DAY_S), is_late)
-        units = round(bill.amount * UNITS)
-        self._add(cell, 1, units)
+        is_late = not is_known and bill.at < self._clock - DEDUPLICATION_WINDOW_S
+        key = TotalKey(bill.account, bill.item, math.floor(bill.at / DAY_S), is_late)
+        units = round(bill.amount * UNITS_PER_CURRENCY)
+        self._add(key, 1, units)
         if not bill.is_final:
-            self._open[bill.id] = _Open(cell, units, self._clock)
+            self._provisional[bill.id] = _ProvisionalBill(key, units, self._clock)
 
-    def _add(self, cell: Cell, count: int, units: int) -> None:
-        known_count, known_units = self._sums.get(cell, (0, 0))
+    def _add(self, key: TotalKey, count: int, units: int) -> None:
+        known_count, known_units = self._sums.get(key, (0, 0))
         if known_count + count:
-            self._sums[cell] = (known_count + count, known_units + units)
+            self._sums[key] = (known_count + count, known_units + units)
         else:
-            self._sums.pop(cell, None)
+            self._sums.pop(key, None)
 
     def _advance(self, at: float) -> None:
         before = self._clock or at
         self._clock = min(max(before, at), before + MAX_CLOCK_STEP_S)
         self._ids.advance(self._clock)
-        horizon = self._clock - REPEATS_S
-        for bill_id in [i for i, opened in self._open.items() if opened.clock < horizon]:
-            del self._open[bill_id]
+        horizon = self._clock - DEDUPLICATION_WINDOW_S
+        for bill_id in [i for i, opened in self._provisional.items() if opened.clock < horizon]:
+            del self._provisional[bill_id]
         if self._clock // DAY_S > before // DAY_S:
-            oldest = self._clock // DAY_S - KEPT_DAYS
-            self._sums = {cell: held for cell, held in self._sums.items() if cell.day >= oldest}
+            oldest = self._clock // DAY_S - RETENTION_DAYS
+            self._sums = {key: held for key, held in self._sums.items() if key.day >= oldest}
 
 
 def _is_finite(bill: Bill) -> bool:
--- a/poplarrun/claims/__init__.py
+++ b/poplarrun/claims/__init__.py
@@ -1,13 +1,13 @@
 """Claims: at most one host sends the call of an idempotency key, by the log's order."""
 
-from poplarrun.claims._answers import KnownOutcome, OutcomeKind, make_ran, read_outcome
 from poplarrun.claims._fold import RETENTION_S, ClaimFold
-from poplarrun.claims._keeper import ClaimKeeper, Found
-from poplarrun.claims._keys import SHARDS, fingerprint_of, issued_at, shard_of, stream_of
+from poplarrun.claims._keys import SHARDS, compute_fingerprint, issued_at, shard_of, stream_of
+from poplarrun.claims._manager import ClaimManager, KeyLookup
+from poplarrun.claims._outcomes import KnownOutcome, OutcomeKind, derive_outcome, make_ran_result
 from poplarrun.claims._records import (
     Claim,
     ClaimVerdict,
-    Holding,
+    KeyState,
     Lost,
     Outcome,
     Ran,
@@ -28,10 +28,10 @@
     "SHARDS",
     "Claim",
     "ClaimFold",
-    "ClaimKeeper",
+    "ClaimManager",
     "ClaimVerdict",
-    "Found",
-    "Holding",
+    "KeyLookup",
+    "KeyState",
     "KnownOutcome",
     "Lost",
     "Outcome",
@@ -45,12 +45,12 @@
     "Unsettled",
     "Voided",
     "Won",
+    "compute_fingerprint",
     "decode_batch",
+    "derive_outcome",
     "encode_batch",
-    "fingerprint_of",
     "issued_at",
-    "make_ran",
-    "read_outcome",
+    "make_ran_result",
     "shard_of",
     "stream_of",
 ]
--- a/poplarrun/claims/_fold.py
+++ b/poplarrun/claims/_fold.py
@@ -3,7 +3,7 @@
 from poplarrun.claims._records import (
     Claim,
     ClaimVerdict,
-    Holding,
+    KeyState,
     LogRecord,
     Outcome,
     Release,
@@ -43,14 +43,14 @@
         self.next_offset = 0
         self._retention_s = retention_s
         self._clock = 0.0
-        self._holdings: dict[tuple[str, str], Holding] = {}
-        self._seen: dict[str, float] = {}
-        self._voided: dict[str, float] = {}
+        self._key_states: dict[tuple[str, str], KeyState] = {}
+        self._claimed_at: dict[str, float] = {}
+        self._voided_at: dict[str, float] = {}
 
     @property
-    def size(self) -> int:
+    def key_count(self) -> int:
         """Number of keys that are held."""
-        return len(self._holdings)
+        return len(self._key_states)
 
     def fold(self, entry: Entry) -> None:
         """Apply one entry of the stream; one that was applied before changes nothing."""
@@ -60,17 +60,17 @@
         for record in decode_batch(entry.data):
             self._fold_record(record)
 
-    def find(self, account: str, key: str) -> Holding | None:
+    def find(self, account: str, key: str) -> KeyState | None:
         """Return what holds a key."""
-        return self._holdings.get((account, key))
+        return self._key_states.get((account, key))
 
-    def knows(self, record: LogRecord) -> bool:
+    def has_folded(self, record: LogRecord) -> bool:
         """Tell whether a record was folded."""
         match record:
             case Claim(id=claim_id):
-                return claim_id in self._seen or claim_id in self._voided
+                return claim_id in self._claimed_at or claim_id in self._voided_at
             case Release(id=claim_id):
-                return claim_id in self._voided
+                return claim_id in self._voided_at
             case Outcome(id=claim_id, account=account, key=key):
                 holding = self.find(account, key)
                 held = holding is not None and holding.claim.id == claim_id
@@ -80,7 +80,7 @@
 
     def judge(self, claim: Claim) -> ClaimVerdict:
         """Return the verdict on a claim that was folded."""
-        if claim.id in self._voided:
+        if claim.id in self._voided_at:
             return Voided()
         holding = self.find(claim.account, claim.key)
         if holding is not None and holding.claim.id == claim.id:
@@ -93,18 +93,18 @@
             self.next_offset - 1,
             at,
             self._clock,
-            list(self._holdings.values()),
-            dict(self._seen),
-            dict(self._voided),
+            list(self._key_states.values()),
+            dict(self._claimed_at),
+            dict(self._voided_at),
         )
 
-    def adopt(self, snapshot: Snapshot) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """Replace the state by a snapshot."""
         self.next_offset = snapshot.through + 1
         self._clock = snapshot.clock
-        self._holdings = {(h.claim.account, h.claim.key): h for h in snapshot.holdings}
-        self._seen = dict(snapshot.seen)
-        self._voided = dict(snapshot.voided)
+        self._key_states = {(h.claim.account, h.claim.key): h for h in snapshot.key_states}
+        self._claimed_at = dict(snapshot.claimed_at)
+        self._voided_at = dict(snapshot.voided_at)
 
     def _fold_record(self, record: LogRecord) -> None:
         match record:
@@ -121,12 +121,12 @@
 
     def _fold_claim(self, claim: Claim) -> None:
         self._advance_clock(claim.at)
-        if claim.id in self._seen:
+        if claim.id in self._claimed_at:
             return
-        self._seen[claim.id] = self._clock
-        if claim.id in self._voided:
+        self._claimed_at[claim.id] = self._clock
+        if claim.id in self._voided_at:
             return
-        self._holdings.setdefault((claim.account, claim.key), Holding(claim))
+        self._key_states.setdefault((claim.account, claim.key), KeyState(claim))
 
     def _fold_release(self, release: Release) -> None:
         """Void a claim, also one whose record comes only later.
@@ -139,30 +139,30 @@
         is_holder = holding is not None and holding.claim.id == release.id
         if is_holder and holding is not None and holding.result is not None:
             return
-        self._voided.setdefault(release.id, self._clock)
+        self._voided_at.setdefault(release.id, self._clock)
         if is_holder:
-            del self._holdings[(release.account, release.key)]
+            del self._key_states[(release.account, release.key)]
 
     def _advance_clock(self, at: float) -> None:
         if self._clock == 0.0:
             # Releases that came before the first claim have no time yet; taken
             # for ancient they would be forgotten before their claims land.
             self._clock = at
-            self._voided = dict.fromkeys(self._voided, at)
+            self._voided_at = dict.fromkeys(self._voided_at, at)
         self._clock = min(max(self._clock, at), self._clock + MAX_CLOCK_STEP_S)
         horizon = self._clock - self._retention_s
-        _drop_older(self._seen, horizon)
-        _drop_older(self._voided, horizon)
+        _discard_older(self._claimed_at, horizon)
+        _discard_older(self._voided_at, horizon)
         # A key's age is counted by the fold's clock, not by its own record: a
         # host whose clock is behind would make keys that expire at once.
-        while self._holdings:
-            oldest = next(iter(self._holdings.values())).claim
-            if oldest.id in self._seen:
+        while self._key_states:
+            oldest = next(iter(self._key_states.values())).claim
+            if oldest.id in self._claimed_at:
                 break
-            del self._holdings[(oldest.account, oldest.key)]
+            del self._key_states[(oldest.account, oldest.key)]
 
 
-def _drop_older(times: dict[str, float], horizon: float) -> None:
+def _discard_older(times: dict[str, float], horizon: float) -> None:
     while times:
         oldest = next(iter(times))
         if times[oldest] >= horizon:
--- a/poplarrun/claims/_keys.py
+++ b/poplarrun/claims/_keys.py
@@ -5,7 +5,7 @@
 
 SHARDS = 32
 FINGERPRINT_BYTES = 16
-UUID_WITH_TIME = 7
+TIMESTAMPED_UUID_VERSION = 7
 UUID_TIME_SHIFT_BITS = 80
 MILLISECONDS_PER_SECOND = 1000
 
@@ -21,7 +21,7 @@
     return f"claims-{shard:02d}"
 
 
-def fingerprint_of(service: str, operation: str, body: bytes) -> bytes:
+def compute_fingerprint(service: str, operation: str, body: bytes) -> bytes:
     """Return a digest that tells two calls under one key apart."""
     digest = hashlib.blake2b(f"{service}/{operation}\0".encode(), digest_size=FINGERPRINT_BYTES)
     digest.update(body)
@@ -38,6 +38,6 @@
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != UUID_WITH_TIME:
+    if parsed.version != TIMESTAMPED_UUID_VERSION:
         return None
     return (parsed.int >> UUID_TIME_SHIFT_BITS) / MILLISECONDS_PER_SECOND
--- a/poplarrun/claims/_keeper.py
+++ b/poplarrun/claims/_manager.py
@@ -10,7 +10,7 @@
 from poplarrun.claims._records import (
     Claim,
     ClaimVerdict,
-    Holding,
+    KeyState,
     Outcome,
     Record,
     Release,
@@ -28,28 +28,28 @@
 FIND_MESSAGE = "claims.find"
 # An owner that is silent for so long is passed over for a while. Should it
 # append after all, the fold drops the second copy.
-ASK_TIMEOUT_S = 2.0
-ASK_SHARE = 0.4
-SILENT_S = 5.0
+MAX_FORWARD_TIMEOUT_S = 2.0
+FORWARD_TIMEOUT_FRACTION = 0.4
+SILENT_OWNER_BACKOFF_S = 5.0
 SETTLE_TIMEOUT_S = 2.0
-SETTLE_RETRY_S = 0.5
+SETTLE_RETRY_INTERVAL_S = 0.5
 # Outcomes and releases that wait for the log, about 1 KB each. At the bound new
 # keyed operations are refused, for their outcome could not be kept.
 MAX_UNSETTLED = 10_000
-SHARD_IDLE_S = 120.0
+SHARD_IDLE_TIMEOUT_S = 120.0
 
 
-class _Append(msgspec.Struct, frozen=True, array_like=True):
+class _AppendRequest(msgspec.Struct, frozen=True, array_like=True):
     record: Record
     timeout_s: float
 
 
-class _Find(msgspec.Struct, frozen=True, array_like=True):
+class _FindRequest(msgspec.Struct, frozen=True, array_like=True):
     account: str
     key: str
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True):
+class KeyLookup(msgspec.Struct, frozen=True, array_like=True):
     """What holds a key.
 
     Attributes
@@ -58,18 +58,18 @@
         Whether the log was read to its end for it.
     """
 
-    holding: Holding | None
+    state: KeyState | None
     is_current: bool
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_append_decoder = msgspec.msgpack.Decoder(_Append)
-_find_decoder = msgspec.msgpack.Decoder(_Find)
-_found_decoder = msgspec.msgpack.Decoder(Found)
+_append_decoder = msgspec.msgpack.Decoder(_AppendRequest)
+_find_decoder = msgspec.msgpack.Decoder(_FindRequest)
+_found_decoder = msgspec.msgpack.Decoder(KeyLookup)
 _verdict_decoder: msgspec.msgpack.Decoder[Verdict] = msgspec.msgpack.Decoder(Verdict)
 
 
-class ClaimKeeper:
+class ClaimManager:
     """Makes claims, settles them, and finds what holds a key.
 
     Parameters
@@ -101,7 +101,7 @@
         self._retention_s = retention_s
         self._shards: dict[int, Shard] = {}
         self._unsettled: dict[str, Outcome | Release] = {}
-        self._settling: asyncio.Task[None] | None = None
+        self._settle_task: asyncio.Task[None] | None = None
         self._silent_until: dict[str, float] = {}
         self._ranking = Ranking()
         peers.serve(APPEND_MESSAGE, self._serve_append)
@@ -113,14 +113,14 @@
         return len(self._unsettled) >= MAX_UNSETTLED
 
     @property
-    def unsettled(self) -> int:
+    def unsettled_count(self) -> int:
         """Outcomes and releases that the log doesn't hold yet."""
         return len(self._unsettled)
 
     @property
-    def appends(self) -> int:
+    def append_count(self) -> int:
         """Appends that this host made."""
-        return sum(shard.appends for shard in self._shards.values())
+        return sum(shard.append_count for shard in self._shards.values())
 
     async def claim(self, claim: Claim, timeout_s: float) -> ClaimVerdict:
         """Claim a key, and wait until the log has decided.
@@ -137,51 +137,51 @@
     def settle(self, record: Outcome | Release) -> None:
         """Put an outcome or a release into the log, however long that takes."""
         self._unsettled[record.id] = record
-        if self._settling is None:
-            self._settling = asyncio.create_task(self._settle_all())
+        if self._settle_task is None:
+            self._settle_task = asyncio.create_task(self._settle_all())
 
     async def drain(self) -> None:
         """Wait until the log holds every outcome and release of this host."""
-        if self._settling is not None:
-            await asyncio.wait([self._settling])
+        if self._settle_task is not None:
+            await asyncio.wait([self._settle_task])
 
-    def settled_here(self, claim_id: str) -> Outcome | Release | None:
+    def find_unsettled(self, claim_id: str) -> Outcome | Release | None:
         """Return what this host decided about a claim and the log doesn't hold yet."""
         return self._unsettled.get(claim_id)
 
-    async def find(self, account: str, key: str, timeout_s: float = SETTLE_TIMEOUT_S) -> Found:
+    async def find(self, account: str, key: str, timeout_s: float = SETTLE_TIMEOUT_S) -> KeyLookup:
         """Return what holds a key, as the log says now."""
-        owner = self._owner_of(shard_of(account, key))
+        owner = self._find_owner(shard_of(account, key))
         if owner != self._peers.me.name:
-            asked = _encode(_Find(account, key))
+            asked = _encode(_FindRequest(account, key))
             answer = await self._peers.ask(owner, FIND_MESSAGE, asked, timeout_s / 2)
             if isinstance(answer, bytes):
                 return _found_decoder.decode(answer)
-            self._note_silent(owner)
-        return await self._find_here(account, key)
+            self._record_silent_owner(owner)
+        return await self._find_locally(account, key)
 
-    async def tend(self) -> None:
+    async def write_due_snapshots(self) -> None:
         """Write the snapshots that are due; called now and then."""
         for number in range(SHARDS):
-            if self._owner_of(number) == self._peers.me.name:
-                shard = self._shard(number)
+            if self._find_owner(number) == self._peers.me.name:
+                shard = self._get_shard(number)
                 if await shard.refresh():
-                    shard.snapshot_when_due()
+                    shard.write_snapshot_if_due()
 
     async def _append(self, record: Record, timeout_s: float) -> Verdict:
         deadline = self._now() + timeout_s
         shard = shard_of(record.account, record.key)
-        owner = self._owner_of(shard)
-        forwarded: Verdict = Unsettled(may_stand=False)
+        owner = self._find_owner(shard)
+        forwarded: Verdict = Unsettled(may_be_logged=False)
         if owner != self._peers.me.name:
             forwarded = await self._forward(
-                owner, record, min(ASK_TIMEOUT_S, timeout_s * ASK_SHARE)
+                owner, record, min(MAX_FORWARD_TIMEOUT_S, timeout_s * FORWARD_TIMEOUT_FRACTION)
             )
         if not isinstance(forwarded, Unsettled):
             return forwarded
-        verdict = await self._shard(shard).submit(record, max(0.0, deadline - self._now()))
+        verdict = await self._get_shard(shard).submit(record, max(0.0, deadline - self._now()))
         if isinstance(verdict, Unsettled):
-            return Unsettled(verdict.may_stand or forwarded.may_stand)
+            return Unsettled(verdict.may_be_logged or forwarded.may_be_logged)
         return verdict
 
     async def _forward(self, owner: str, record: Record, timeout_s: float) -> Verdict:
@@ -191,16 +191,16 @@
         fold drops the second by its id: the first decides, nothing runs twice.
         """
         self._count("claim_forwarded")
-        message = _encode(_Append(record, timeout_s))
+        message = _encode(_AppendRequest(record, timeout_s))
         answer = await self._peers.ask(owner, APPEND_MESSAGE, message, timeout_s)
         if isinstance(answer, bytes):
             return _verdict_decoder.decode(answer)
-        self._note_silent(owner)
-        return Unsettled(may_stand=True)
+        self._record_silent_owner(owner)
+        return Unsettled(may_be_logged=True)
 
-    def _note_silent(self, owner: str) -> None:
+    def _record_silent_owner(self, owner: str) -> None:
         self._count("claim_owner_silent")
-        self._silent_until[owner] = self._now() + SILENT_S
+        self._silent_until[owner] = self._now() + SILENT_OWNER_BACKOFF_S
 
     async def _settle_all(self) -> None:
         try:
@@ -208,9 +208,9 @@
                 records = list(self._unsettled.values())
                 await asyncio.gather(*(self._settle_one(record) for record in records))
                 if all(record.id in self._unsettled for record in records):
-                    await asyncio.sleep(SETTLE_RETRY_S)
+                    await asyncio.sleep(SETTLE_RETRY_INTERVAL_S)
         finally:
-            self._settling = None
+            self._settle_task = None
 
     async def _settle_one(self, record: Outcome | Release) -> None:
         if isinstance(await self._append(record, SETTLE_TIMEOUT_S), Stored):
@@ -218,19 +218,19 @@
 
     async def _serve_append(self, _: str, payload: bytes) -> bytes:
         message = _append_decoder.decode(payload)
-        shard = self._shard(shard_of(message.record.account, message.record.key))
+        shard = self._get_shard(shard_of(message.record.account, message.record.key))
         return _encode(await shard.submit(message.record, message.timeout_s))
 
     async def _serve_find(self, _: str, payload: bytes) -> bytes:
         message = _find_decoder.decode(payload)
-        return _encode(await self._find_here(message.account, message.key))
+        return _encode(await self._find_locally(message.account, message.key))
 
-    async def _find_here(self, account: str, key: str) -> Found:
-        shard = self._shard(shard_of(account, key))
+    async def _find_locally(self, account: str, key: str) -> KeyLookup:
+        shard = self._get_shard(shard_of(account, key))
         is_current = await shard.refresh()
-        return Found(shard.fold.find(account, key), is_current)
+        return KeyLookup(shard.fold.find(account, key), is_current)
 
-    def _owner_of(self, shard: int) -> str:
+    def _find_owner(self, shard: int) -> str:
         now = self._now()
         names = tuple(
             peer.name
@@ -239,18 +239,18 @@
         )
         return self._ranking.rank(f"claims/{shard}", names)[0]
 
-    def _shard(self, number: int) -> Shard:
+    def _get_shard(self, number: int) -> Shard:
         shard = self._shards.get(number)
         if shard is None:
-            self._forget_idle()
+            self._drop_idle_shards()
             shard = Shard(number, self._log, self._now, self._wall, self._retention_s)
             self._shards[number] = shard
         return shard
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_shards(self) -> None:
         """Drop shards that another host works on now; the log keeps what they held."""
-        horizon = self._now() - SHARD_IDLE_S
+        horizon = self._now() - SHARD_IDLE_TIMEOUT_S
         for number in range(SHARDS):
             shard = self._shards.get(number)
-            if shard is not None and shard.is_idle and shard.used_at < horizon:
+            if shard is not None and shard.is_idle and shard.last_used_at < horizon:
                 del self._shards[number]
--- a/poplarrun/claims/_answers.py
+++ b/poplarrun/claims/_outcomes.py
@@ -3,10 +3,10 @@
 import enum
 from dataclasses import dataclass
 
-from poplarrun.claims._records import Holding, Lost, Ran
+from poplarrun.claims._records import KeyState, Lost, Ran
 from poplarrun.hosts import Peer
 
-MAX_KEPT_ANSWER_BYTES = 4096
+MAX_STORED_ANSWER_BYTES = 4096
 
 
 class OutcomeKind(enum.Enum):
@@ -32,7 +32,7 @@
     ran: Ran | None = None
 
 
-def read_outcome(holding: Holding | None, live: tuple[Peer, ...]) -> KnownOutcome:
+def derive_outcome(holding: KeyState | None, live: tuple[Peer, ...]) -> KnownOutcome:
     """Return what a holding says.
 
     A holder that is not live may have sent the call just before it died, or
@@ -52,8 +52,8 @@
             return KnownOutcome(OutcomeKind.IN_PROGRESS if is_live else OutcomeKind.UNKNOWN)
 
 
-def make_ran(status: int, content_type: str, body: bytes) -> Ran:
+def make_ran_result(status: int, content_type: str, body: bytes) -> Ran:
     """Return the record of a service's answer, without a body that is too large."""
-    if len(body) > MAX_KEPT_ANSWER_BYTES:
-        return Ran(status, content_type, b"", is_kept=False)
+    if len(body) > MAX_STORED_ANSWER_BYTES:
+        return Ran(status, content_type, b"", has_full_body=False)
     return Ran(status, content_type, body)
--- a/poplarrun/claims/_records.py
+++ b/poplarrun/claims/_records.py
@@ -45,7 +45,7 @@
     status: int
     content_type: str
     body: bytes
-    is_kept: bool = True
+    has_full_body: bool = True
 
 
 class Lost(msgspec.Struct, frozen=True, array_like=True, tag="lost"):
@@ -74,7 +74,7 @@
     key: str
 
 
-class Holding(msgspec.Struct, array_like=True):
+class KeyState(msgspec.Struct, array_like=True):
     """The claim that holds a key, and its result once there is one."""
 
     claim: Claim
@@ -99,9 +99,9 @@
     through: int
     at: float
     clock: float
-    holdings: list[Holding]
-    seen: dict[str, float]
-    voided: dict[str, float]
+    key_states: list[KeyState]
+    claimed_at: dict[str, float]
+    voided_at: dict[str, float]
 
 
 Record = Claim | Outcome | Release
@@ -115,7 +115,7 @@
 class Taken(msgspec.Struct, frozen=True, array_like=True, tag="taken"):
     """Another claim of the key stands before this one, which will never hold it."""
 
-    holding: Holding | None
+    state: KeyState | None
 
 
 class Voided(msgspec.Struct, frozen=True, array_like=True, tag="voided"):
@@ -135,7 +135,7 @@
         Whether the record may stand in the stream, now or later.
     """
 
-    may_stand: bool
+    may_be_logged: bool
 
 
 Verdict = Won | Taken | Voided | Stored | Unsettled
--- a/poplarrun/claims/_shard.py
+++ b/poplarrun/claims/_shard.py
@@ -34,17 +34,17 @@
 # With 32 shards this bounds the claims of all hosts to 160 appends a second.
 MIN_APPEND_INTERVAL_S = 0.2
 MAX_BATCH_RECORDS = 500
-READ_LIMIT = 500
-READ_ATTEMPTS = 3
-READ_RETRY_S = 0.05
+READ_PAGE_SIZE = 500
+MAX_READ_ATTEMPTS = 3
+READ_RETRY_DELAY_S = 0.05
 # Must be well under the time for which the log keeps records.
 SNAPSHOT_INTERVAL_S = 1800.0
 
 
 @dataclass(eq=False)
-class _Waiting:
+class _PendingRecord:
     record: Record
-    settled: asyncio.Future[Verdict]
+    verdict: asyncio.Future[Verdict]
 
 
 class Shard:
@@ -72,127 +72,127 @@
         retention_s: float = RETENTION_S,
     ) -> None:
         self.fold = ClaimFold(retention_s)
-        self.used_at = now()
-        self.appends = 0
+        self.last_used_at = now()
+        self.append_count = 0
         self._stream = stream_of(number)
         self._log = log
         self._now = now
         self._wall = wall
-        self._snapshot_at = wall()
-        self._snapshot_wanted: Snapshot | None = None
-        self._writing: asyncio.Task[bool] | None = None
+        self._last_snapshot_at = wall()
+        self._pending_snapshot: Snapshot | None = None
+        self._parts_task: asyncio.Task[bool] | None = None
         self._parts = PartCollector()
         self._next_append_at = 0.0
-        self._waiting: list[_Waiting] = []
-        self._pump: asyncio.Task[None] | None = None
-        self._reading = asyncio.Lock()
+        self._pending: list[_PendingRecord] = []
+        self._append_task: asyncio.Task[None] | None = None
+        self._read_lock = asyncio.Lock()
 
     @property
     def is_idle(self) -> bool:
         """Whether nothing waits and nothing is under way."""
-        return self._pump is None
+        return self._append_task is None
 
     async def submit(self, record: Record, timeout_s: float) -> Verdict:
         """Append a record and wait for its verdict."""
-        self.used_at = self._now()
-        waiting = _Waiting(record, asyncio.get_running_loop().create_future())
-        self._waiting.append(waiting)
-        self._start()
-        await asyncio.wait([waiting.settled], timeout=timeout_s)
-        if waiting.settled.done():
-            return waiting.settled.result()
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
-            return Unsettled(may_stand=False)
-        return Unsettled(may_stand=True)
+        self.last_used_at = self._now()
+        waiting = _PendingRecord(record, asyncio.get_running_loop().create_future())
+        self._pending.append(waiting)
+        self._ensure_append_task()
+        await asyncio.wait([waiting.verdict], timeout=timeout_s)
+        if waiting.verdict.done():
+            return waiting.verdict.result()
+        if waiting in self._pending:
+            self._pending.remove(waiting)
+            return Unsettled(may_be_logged=False)
+        return Unsettled(may_be_logged=True)
 
     async def refresh(self) -> bool:
         """Fold all that the log holds now; tell whether it answered."""
-        self.used_at = self._now()
-        async with self._reading:
-            return await self._read(None)
+        self.last_used_at = self._now()
+        async with self._read_lock:
+            return await self._read_to(None)
 
-    def snapshot_when_due(self) -> None:
+    def write_snapshot_if_due(self) -> None:
         """Write a snapshot when the last one has become old.
 
         One that is too large for a record goes in parts, beside the claims,
         which would else wait for all of them.
         """
-        is_due = self._wall() - self._snapshot_at >= SNAPSHOT_INTERVAL_S
-        is_writing = self._writing is not None and not self._writing.done()
-        if not (is_due and self.fold.size and self.is_idle) or is_writing:
+        is_due = self._wall() - self._last_snapshot_at >= SNAPSHOT_INTERVAL_S
+        is_writing = self._parts_task is not None and not self._parts_task.done()
+        if not (is_due and self.fold.key_count and self.is_idle) or is_writing:
             return
         snapshot = self.fold.take_snapshot(self._wall())
         data = encode_batch([snapshot])
         if len(data) <= PART_BYTES:
-            self._snapshot_wanted = snapshot
-            self._start()
+            self._pending_snapshot = snapshot
+            self._ensure_append_task()
             return
         parts = split_snapshot(WholeSnapshot(snapshot.through, snapshot.at, data))
-        self.appends += len(parts)
-        self._writing = asyncio.create_task(append_parts(self._log, self._stream, parts))
+        self.append_count += len(parts)
+        self._parts_task = asyncio.create_task(append_parts(self._log, self._stream, parts))
 
-    def _start(self) -> None:
-        if self._pump is None:
-            self._pump = asyncio.create_task(self._append_waiting())
+    def _ensure_append_task(self) -> None:
+        if self._append_task is None:
+            self._append_task = asyncio.create_task(self._append_pending())
 
-    async def _append_waiting(self) -> None:
+    async def _append_pending(self) -> None:
         try:
-            while self._waiting or self._snapshot_wanted:
+            while self._pending or self._pending_snapshot:
                 await asyncio.sleep(max(0.0, self._next_append_at - self._now()))
-                batch = self._waiting[:MAX_BATCH_RECORDS]
-                del self._waiting[:MAX_BATCH_RECORDS]
-                if batch or self._snapshot_wanted:
+                batch = self._pending[:MAX_BATCH_RECORDS]
+                del self._pending[:MAX_BATCH_RECORDS]
+                if batch or self._pending_snapshot:
                     self._next_append_at = self._now() + MIN_APPEND_INTERVAL_S
                     await self._append(batch)
         finally:
-            self._pump = None
+            self._append_task = None
 
-    async def _append(self, batch: list[_Waiting]) -> None:
+    async def _append(self, batch: list[_PendingRecord]) -> None:
         records: list[LogRecord] = [waiting.record for waiting in batch]
-        if self._snapshot_wanted is not None:
-            records.append(self._snapshot_wanted)
-            self._snapshot_wanted = None
+        if self._pending_snapshot is not None:
+            records.append(self._pending_snapshot)
+            self._pending_snapshot = None
         data = encode_batch(records)
-        self.appends += 1
+        self.append_count += 1
         outcome = await self._log.append(self._stream, data)
-        async with self._reading:
+        async with self._read_lock:
             match outcome:
                 case Appended(offset=offset):
-                    caught_up = await self._read_back(offset, data)
-                    self._settle(batch, caught_up, may_stand=True)
+                    caught_up = await self._read_own_append(offset, data)
+                    self._resolve(batch, caught_up, may_stand=True)
                 case AppendUnknown():
-                    caught_up = await self._read(None)
-                    self._settle(batch, caught_up, may_stand=True)
+                    caught_up = await self._read_to(None)
+                    self._resolve(batch, caught_up, may_stand=True)
                 case AppendRefused():
-                    self._settle(batch, False, may_stand=False)
+                    self._resolve(batch, False, may_stand=False)
 
-    def _settle(self, batch: list[_Waiting], caught_up: bool, may_stand: bool) -> None:
+    def _resolve(self, batch: list[_PendingRecord], caught_up: bool, may_stand: bool) -> None:
         for waiting in batch:
-            if waiting.settled.done():
+            if waiting.verdict.done():
                 continue
-            if not caught_up or not self.fold.knows(waiting.record):
-                waiting.settled.set_result(Unsettled(may_stand))
+            if not caught_up or not self.fold.has_folded(waiting.record):
+                waiting.verdict.set_result(Unsettled(may_stand))
             elif isinstance(waiting.record, Claim):
-                waiting.settled.set_result(self.fold.judge(waiting.record))
+                waiting.verdict.set_result(self.fold.judge(waiting.record))
             else:
-                waiting.settled.set_result(Stored())
+                waiting.verdict.set_result(Stored())
 
-    async def _read_back(self, offset: int, data: bytes) -> bool:
+    async def _read_own_append(self, offset: int, data: bytes) -> bool:
         """Fold up to the own record; nothing is read when it is the next one."""
         if self.fold.next_offset == offset:
             self._fold(Entry(offset, data))
             return True
-        return await self._read(offset)
+        return await self._read_to(offset)
 
-    async def _read(self, up_to: int | None) -> bool:
+    async def _read_to(self, up_to: int | None) -> bool:
         """Fold up to an offset, or up to the stream's end."""
         failures = 0
         while up_to is None or self.fold.next_offset <= up_to:
-            match await self._log.read(self._stream, self.fold.next_offset, READ_LIMIT):
+            match await self._log.read(self._stream, self.fold.next_offset, READ_PAGE_SIZE):
                 case Page(entries=entries, horizon=horizon, end=end):
                     if horizon > self.fold.next_offset:
-                        await self._restart(horizon)
+                        await self._restore_after_gap(horizon)
                         continue
                     for entry in entries:
                         self._fold(entry)
@@ -202,12 +202,12 @@
                         return False
                 case _:
                     failures += 1
-                    if failures >= READ_ATTEMPTS:
+                    if failures >= MAX_READ_ATTEMPTS:
                         return False
-                    await asyncio.sleep(READ_RETRY_S)
+                    await asyncio.sleep(READ_RETRY_DELAY_S)
         return True
 
-    async def _restart(self, horizon: int) -> None:
+    async def _restore_after_gap(self, horizon: int) -> None:
         """Begin at the oldest snapshot that the kept records continue.
 
         Without one the keys before the horizon are gone: the log's retention
@@ -216,13 +216,13 @@
         position = horizon
         self._parts = PartCollector()
         while True:
-            page = await self._log.read(self._stream, position, READ_LIMIT)
+            page = await self._log.read(self._stream, position, READ_PAGE_SIZE)
             if not isinstance(page, Page) or not page.entries:
                 break
             for entry in page.entries:
                 snapshot = self._read_snapshot(entry)
                 if snapshot is not None and snapshot.through + 1 >= horizon:
-                    self.fold.adopt(snapshot)
+                    self.fold.restore(snapshot)
                     return
             position = page.entries[-1].offset + 1
         self.fold.next_offset = horizon
@@ -231,7 +231,7 @@
         self.fold.fold(entry)
         snapshot = self._read_snapshot(entry)
         if snapshot is not None:
-            self._snapshot_at = snapshot.at
+            self._last_snapshot_at = snapshot.at
 
     def _read_snapshot(self, entry: Entry) -> Snapshot | None:
         """Return the snapshot that an entry carries, or makes whole as its last part."""
--- a/poplarrun/endpoints/__init__.py
+++ b/poplarrun/endpoints/__init__.py
@@ -1,7 +1,7 @@
 """Endpoints: which are known, how loaded they are, which one gets the next call."""
 
-from poplarrun.endpoints._choice import NO_DEMAND, Choice, Chooser, Demand
-from poplarrun.endpoints._endpoint import Endpoint, OthersModel
+from poplarrun.endpoints._choice import EMPTY_PROMPT, Choice, EndpointSelector, PromptProfile
+from poplarrun.endpoints._endpoint import BackgroundLoadModel, Endpoint
 from poplarrun.endpoints._ownership import assign_endpoints
 from poplarrun.endpoints._pool import Pool
 from poplarrun.endpoints._prefix import PrefixIndex, PrefixMatch
@@ -9,19 +9,19 @@
 from poplarrun.endpoints._table import EndpointTable
 
 __all__ = [
+    "EMPTY_PROMPT",
     "LOAD_TOPIC",
-    "NO_DEMAND",
+    "BackgroundLoadModel",
     "Choice",
-    "Chooser",
-    "Demand",
     "Endpoint",
+    "EndpointSelector",
     "EndpointTable",
     "LoadSharing",
     "LoadSummary",
-    "OthersModel",
     "Pool",
     "PrefixIndex",
     "PrefixMatch",
+    "PromptProfile",
     "assign_endpoints",
     "merge_summaries",
 ]
--- a/poplarrun/endpoints/_choice.py
+++ b/poplarrun/endpoints/_choice.py
@@ -13,33 +13,33 @@
 
 # Candidates among the endpoints assigned to this host: it sends most of what
 # they get, so that it knows their load better than any late report.
-OWN_DRAWN = 8
-SPILL_LOAD = 0.3
-SOON_S = 0.1
+OWNED_SAMPLE_SIZE = 8
+MAX_SPILL_LOAD = 0.3
+SLOT_FREE_TIME_S = 0.1
 # Candidates of the own zone when other hosts give most of the load: with late
 # reports more of them would send every host to the same few endpoints.
-FEW_DRAWN = 2
+SMALL_SAMPLE_SIZE = 2
 # Candidates when this host itself gives most of the load, which it knows exactly.
-MANY_DRAWN = 4
-FAR_DRAWN = 1
-OWN_SHARE_KNOWN = 0.5
-OWN_SHARE_ALONE = 0.9
+LARGE_SAMPLE_SIZE = 4
+OTHER_ZONES_SAMPLE_SIZE = 1
+DOMINANT_LOAD_FRACTION = 0.5
+EXCLUSIVE_LOAD_FRACTION = 0.9
 # A link also costs money: another zone must win by this much more than the delay.
-LINK_MARGIN_S = 0.005
-DEFAULT_LINK_S = 0.01
+CROSS_ZONE_PENALTY_S = 0.005
+DEFAULT_LINK_LATENCY_S = 0.01
 # A fresh endpoint's cache is cold: its batch counts as smaller for this time.
-SLOW_START_S = 10.0
-SLOW_START_SHARE = 0.25
+SLOW_START_WINDOW_S = 10.0
+SLOW_START_FRACTION = 0.25
 # Share of a request's whole time that a full batch adds to its first token.
-BATCH_COST_SHARE = 0.1
+BATCH_COST_FRACTION = 0.1
 # How far a home that is not known to hold a prefix is trusted to hold it.
-HOME_CERTAINTY = 0.5
+PREFERRED_CACHED_PROBABILITY = 0.5
 
-MAX_HOLDERS_DRAWN = 2
+MAX_CACHE_HOLDERS_SAMPLED = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class PromptProfile:
     """What a request asks of an endpoint.
 
     Attributes
@@ -54,7 +54,7 @@
     blocks: tuple[int, ...] = ()
 
 
-NO_DEMAND = Demand()
+EMPTY_PROMPT = PromptProfile()
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class Chooser:
+class EndpointSelector:
     """Weighs the candidates of a pool against each other.
 
     Attributes
@@ -98,16 +98,16 @@
         Time of a short call to an endpoint of each zone, in seconds.
     """
 
-    source: random.Random
+    rng: random.Random
     prefixes: PrefixIndex
     zone: str
-    link_s: dict[str, float] = field(default_factory=dict)
+    link_latency_s: dict[str, float] = field(default_factory=dict)
 
     def choose(
         self,
         pool: Pool,
         version: VersionId | None,
-        demand: Demand,
+        prompt: PromptProfile,
         now: float,
         avoid: Container[str] = (),
         find_endpoint: Callable[[str], Endpoint | None] | None = None,
@@ -120,29 +120,35 @@
         """
         if now >= pool.refresh_at:
             pool.refresh(now)
-        candidates = pool.draw_own(self.source, OWN_DRAWN, avoid)
+        candidates = pool.sample_owned(self.rng, OWNED_SAMPLE_SIZE, avoid)
         match, home = NO_MATCH, None
-        if version is not None and demand.blocks and find_endpoint is not None:
-            match = self.prefixes.find(version, demand.blocks, now)
-            home = pool.home(match.key) if match.known_depth else None
+        if version is not None and prompt.blocks and find_endpoint is not None:
+            match = self.prefixes.match(version, prompt.blocks, now)
+            home = pool.preferred_endpoint(match.key) if match.known_depth else None
             self._add_known(candidates, pool, match, home, avoid, find_endpoint)
-        best = self._cheapest(candidates, None, pool, demand, match, home, now)
+        best = self._cheapest(candidates, None, pool, prompt, match, home, now)
         # Among many own places one becomes free soon, and this host knows when:
         # another host's endpoint must be clearly emptier to be worth the guess.
         # Where hardly anybody else sends, there is nothing to guess.
-        places = sum(endpoint.capacity for endpoint in pool.own)
-        is_soon = places > 0 and pool.speed.whole_s / places < SOON_S
-        guesses = pool.own_share() < OWN_SHARE_ALONE
-        most_load = SPILL_LOAD if may_wait and is_soon and guesses else math.inf
+        places = sum(endpoint.capacity for endpoint in pool.owned)
+        is_soon = places > 0 and pool.speed.whole_s / places < SLOT_FREE_TIME_S
+        guesses = pool.own_load_fraction() < EXCLUSIVE_LOAD_FRACTION
+        most_load = MAX_SPILL_LOAD if may_wait and is_soon and guesses else math.inf
         if best is None or best.load_after > 1.0:
-            drawn = MANY_DRAWN if pool.own_share() > OWN_SHARE_KNOWN else FEW_DRAWN
-            near = pool.draw_near(self.source, drawn, avoid)
-            best = self._cheapest(near, best, pool, demand, match, home, now, most_load)
+            drawn = (
+                LARGE_SAMPLE_SIZE
+                if pool.own_load_fraction() > DOMINANT_LOAD_FRACTION
+                else SMALL_SAMPLE_SIZE
+            )
+            near = pool.sample_same_zone(self.rng, drawn, avoid)
+            best = self._cheapest(near, best, pool, prompt, match, home, now, most_load)
         if best is None or best.wait_s > 0.0:
-            far = pool.draw_far(self.source, FAR_DRAWN if best else FEW_DRAWN, avoid)
-            best = self._cheapest(far, best, pool, demand, match, home, now, most_load)
+            far = pool.sample_other_zones(
+                self.rng, OTHER_ZONES_SAMPLE_SIZE if best else SMALL_SAMPLE_SIZE, avoid
+            )
+            best = self._cheapest(far, best, pool, prompt, match, home, now, most_load)
         if best is None and avoid:
-            return self.choose(pool, version, demand, now, (), find_endpoint, may_wait)
+            return self.choose(pool, version, prompt, now, (), find_endpoint, may_wait)
         return best
 
     def _cheapest(
@@ -150,14 +156,14 @@
         candidates: list[Endpoint],
         best: Choice | None,
         pool: Pool,
-        demand: Demand,
+        prompt: PromptProfile,
         match: PrefixMatch,
         home: str | None,
         now: float,
         most_load: float = math.inf,
     ) -> Choice | None:
         for endpoint in candidates:
-            choice = self.expect(endpoint, pool, demand, match, home, now)
+            choice = self.evaluate(endpoint, pool, prompt, match, home, now)
             is_better = best is None or choice.first_token_s < best.first_token_s
             if is_better and choice.load_after <= most_load:
                 best = choice
@@ -173,51 +179,54 @@
         find_endpoint: Callable[[str], Endpoint | None],
     ) -> None:
         """Add those that are likely to hold the prompt's beginning."""
-        holders = sorted(match.cached, key=match.cached.__getitem__, reverse=True)
-        names = holders[:MAX_HOLDERS_DRAWN] + ([home] if home else [])
+        holders = sorted(match.cached_blocks, key=match.cached_blocks.__getitem__, reverse=True)
+        names = holders[:MAX_CACHE_HOLDERS_SAMPLED] + ([home] if home else [])
         for name in names:
             endpoint = find_endpoint(name)
             if endpoint is None or name in avoid or endpoint in candidates:
                 continue
-            if pool.may_draw(endpoint):
+            if pool.is_eligible(endpoint):
                 candidates.append(endpoint)
 
-    def expect(
+    def evaluate(
         self,
         endpoint: Endpoint,
         pool: Pool,
-        demand: Demand,
+        prompt: PromptProfile,
         match: PrefixMatch,
         home: str | None,
         now: float,
     ) -> Choice:
         """Return what is expected of one endpoint."""
         speed = pool.speed
-        cached = match.cached.get(endpoint.name, 0.0)
+        cached = match.cached_blocks.get(endpoint.name, 0.0)
         if endpoint.name == home:
-            cached = max(cached, HOME_CERTAINTY * match.known_depth)
-        uncached = max(0.0, demand.prompt_tokens - cached * BLOCK_TOKENS)
+            cached = max(cached, PREFERRED_CACHED_PROBABILITY * match.known_depth)
+        uncached = max(0.0, prompt.prompt_tokens - cached * BLOCK_TOKENS)
         capacity = endpoint.capacity * self._warmth(endpoint, now)
-        requests = endpoint.expected_requests(now, pool.others)
-        pool.note_own_load(endpoint.in_flight / endpoint.capacity)
+        requests = endpoint.estimate_requests(now, pool.background_load)
+        pool.observe_own_load(endpoint.in_flight / endpoint.capacity)
         wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.whole_s
-        batch_s = requests / capacity * BATCH_COST_SHARE * speed.whole_s
+        batch_s = requests / capacity * BATCH_COST_FRACTION * speed.whole_s
         prefill_s = uncached * speed.prefill_s_per_token
         # A doubted endpoint counts as one with a full batch: better than a queue.
-        doubt_s = BATCH_COST_SHARE * speed.whole_s if now < endpoint.doubted_until else 0.0
+        doubt_s = BATCH_COST_FRACTION * speed.whole_s if now < endpoint.deprioritized_until else 0.0
         first_token_s = wait_s + batch_s + doubt_s + prefill_s + self._link(endpoint.zone)
         load = requests / capacity
         return Choice(endpoint, wait_s, first_token_s, prefill_s, int(uncached), load)
 
     def _warmth(self, endpoint: Endpoint, now: float) -> float:
-        age_s = now - endpoint.known_since
-        if age_s >= SLOW_START_S:
+        age_s = now - endpoint.listed_since
+        if age_s >= SLOW_START_WINDOW_S:
             return 1.0
-        return SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * max(0.0, age_s) / SLOW_START_S
+        return (
+            SLOW_START_FRACTION
+            + (1.0 - SLOW_START_FRACTION) * max(0.0, age_s) / SLOW_START_WINDOW_S
+        )
 
     def _link(self, zone: str) -> float:
         if zone == self.zone:
             return 0.0
-        near_s = self.link_s.get(self.zone, 0.0)
-        far_s = self.link_s.get(zone, near_s + DEFAULT_LINK_S)
-        return max(0.0, far_s - near_s) + LINK_MARGIN_S
+        near_s = self.link_latency_s.get(self.zone, 0.0)
+        far_s = self.link_latency_s.get(zone, near_s + DEFAULT_LINK_LATENCY_S)
+        return max(0.0, far_s - near_s) + CROSS_ZONE_PENALTY_S
--- a/poplarrun/endpoints/_endpoint.py
+++ b/poplarrun/endpoints/_endpoint.py
@@ -10,13 +10,13 @@
 
 # Sends and ends that are remembered between two reports; more are forgotten,
 # oldest first, so that an engine without reports can't grow this host's memory.
-KEPT_TIMES = 512
+MAX_RECORDED_TIMES = 512
 # A report older than this says nothing about the load now.
-REPORT_HORIZON_S = 30.0
+REPORT_TTL_S = 30.0
 
 
 @dataclass
-class OthersModel:
+class BackgroundLoadModel:
     """How the load that other hosts give an endpoint drifts while a report ages.
 
     Other hosts read the same late reports and fill the endpoints that look
@@ -32,14 +32,14 @@
     """
 
     mean: float = 0.0
-    fade_s: float = 4.0
+    decay_time_s: float = 4.0
     _decay: float = 0.98
     _weight: float = 0.0
     _products: float = 0.0
     _squares: float = 0.0
     _interval_s: float = 0.0
 
-    def learn(self, before: float, after: float, interval_s: float) -> None:
+    def update(self, before: float, after: float, interval_s: float) -> None:
         """Take in two successive loads of one endpoint by other hosts."""
         keep = self._decay
         self.mean += (1.0 - keep) * (after - self.mean)
@@ -49,11 +49,11 @@
         self._interval_s = keep * self._interval_s + interval_s
         if self._squares > 0.0:
             kept_share = min(0.99, max(0.05, self._products / self._squares))
-            self.fade_s = -(self._interval_s / self._weight) / math.log(kept_share)
+            self.decay_time_s = -(self._interval_s / self._weight) / math.log(kept_share)
 
-    def project(self, others: float, age_s: float) -> float:
+    def estimate_at_age(self, others: float, age_s: float) -> float:
         """Return the expected load by other hosts when a report has this age."""
-        return self.mean + (others - self.mean) * math.exp(-age_s / max(self.fade_s, 1e-3))
+        return self.mean + (others - self.mean) * math.exp(-age_s / max(self.decay_time_s, 1e-3))
 
 
 @dataclass(eq=False)
@@ -97,71 +97,75 @@
     zone: str
     address: str
     service: str | None = None
-    leaving: bool = False
+    is_leaving: bool = False
     versions: frozenset[VersionId] = frozenset()
-    reported: float = 0.0
-    true_at: float = -math.inf
+    reported_requests: float = 0.0
+    measured_at: float = -math.inf
     capacity: int = 1
     in_flight: int = 0
-    known_since: float = -math.inf
+    listed_since: float = -math.inf
     paused_until: float = -math.inf
-    failures: int = 0
-    unreachable: bool = False
-    failed_at: float = -math.inf
-    refusals: int = 0
-    doubted_until: float = -math.inf
-    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_TIMES))
-    ended_at: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_TIMES))
-
-    def take_report(
-        self, requests: float, capacity: int, true_at: float, models: Sequence[OthersModel] = ()
+    consecutive_failures: int = 0
+    is_unreachable: bool = False
+    last_failed_at: float = -math.inf
+    consecutive_refusals: int = 0
+    deprioritized_until: float = -math.inf
+    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_RECORDED_TIMES))
+    finished_at: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_RECORDED_TIMES))
+
+    def apply_report(
+        self,
+        requests: float,
+        capacity: int,
+        true_at: float,
+        models: Sequence[BackgroundLoadModel] = (),
     ) -> None:
         """Take in a report that was true at a time; an older one than the last is dropped."""
-        if true_at <= self.true_at:
+        if true_at <= self.measured_at:
             return
-        before, interval_s = self._others_then(), true_at - self.true_at
-        had_report = math.isfinite(self.true_at)
-        self.reported = requests
+        before, interval_s = self._estimate_background_requests(), true_at - self.measured_at
+        had_report = math.isfinite(self.measured_at)
+        self.reported_requests = requests
         self.capacity = max(1, capacity)
-        self.true_at = true_at
-        _drop_until(self.sent_at, true_at)
-        _drop_until(self.ended_at, true_at)
+        self.measured_at = true_at
+        _discard_until(self.sent_at, true_at)
+        _discard_until(self.finished_at, true_at)
         if had_report:
-            after = self._others_then() / self.capacity
+            after = self._estimate_background_requests() / self.capacity
             for model in models:
-                model.learn(before / self.capacity, after, interval_s)
+                model.update(before / self.capacity, after, interval_s)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request that goes out."""
         self.in_flight += 1
         self.sent_at.append(now)
 
-    def note_ended(self, now: float) -> None:
+    def record_finished(self, now: float) -> None:
         """Count a request that came back."""
         self.in_flight = max(0, self.in_flight - 1)
-        self.ended_at.append(now)
+        self.finished_at.append(now)
 
-    def expected_requests(self, now: float, others: OthersModel) -> float:
+    def estimate_requests(self, now: float, others: BackgroundLoadModel) -> float:
         """Return the requests expected in and before the batch now.
 
         This host's own requests are known exactly. The report gives those of
         the other hosts at the time when it was true, as the rest.
         """
-        age_s = now - self.true_at
-        if age_s > REPORT_HORIZON_S:
+        age_s = now - self.measured_at
+        if age_s > REPORT_TTL_S:
             return self.in_flight + others.mean * self.capacity
-        then = self._others_then() / self.capacity
-        return self.in_flight + max(0.0, others.project(then, age_s)) * self.capacity
+        then = self._estimate_background_requests() / self.capacity
+        return self.in_flight + max(0.0, others.estimate_at_age(then, age_s)) * self.capacity
 
-    def load(self) -> float:
+    def compute_load(self) -> float:
         """Return the load by the last report and own requests, for each place of the batch."""
-        return (self.in_flight + self._others_then()) / self.capacity
+        return (self.in_flight + self._estimate_background_requests()) / self.capacity
 
-    def _others_then(self) -> float:
-        own_then = self.in_flight - len(self.sent_at) + len(self.ended_at)
-        return max(0.0, self.reported - max(0, own_then))
+    def _estimate_background_requests(self) -> float:
+        own_then = self.in_flight - len(self.sent_at) + len(self.finished_at)
+        return max(0.0, self.reported_requests - max(0, own_then))
 
 
-def _drop_until(times: deque[float], until: float) -> None:
+def _discard_until(times: deque[float], until: float) -> None:
     while times and times[0] <= until:
         times.popleft()
--- a/poplarrun/endpoints/_prefix.py
+++ b/poplarrun/endpoints/_prefix.py
@@ -10,15 +10,15 @@
 from poplarrun.contracts import VersionId
 
 # Pairs of block and endpoint that are remembered; the least used go first.
-KEPT_BLOCKS = 20_000
-HOLDERS_PER_BLOCK = 8
+MAX_INDEXED_BLOCKS = 20_000
+MAX_HOLDERS_PER_BLOCK = 8
 # Knowledge that no event confirms is worth 1/e after this time.
-FADE_S = 120.0
+CERTAINTY_DECAY_TIME_S = 120.0
 # Below this many blocks, one lost event would make too much doubtful.
-FEWEST_CACHED_BLOCKS = 200
+MIN_CACHED_BLOCKS = 200
 # Steps of the depths that are indexed: finer ones cost memory, not accuracy.
-DEPTH_STEP = 1.3
-STORED = "stored"
+DEPTH_GROWTH_FACTOR = 1.3
+STORED_EVENT = "stored"
 
 
 _parse_version = lru_cache(maxsize=1024)(VersionId.parse)
@@ -35,12 +35,12 @@
     step = 1.0
     while step < blocks:
         depths.append(int(step))
-        step = max(step + 1.0, step * DEPTH_STEP)
+        step = max(step + 1.0, step * DEPTH_GROWTH_FACTOR)
     return tuple(sorted(set(depths), reverse=True))
 
 
 @dataclass(slots=True)
-class _Feed:
+class _EventFeed:
     """What has been heard from one endpoint's cache."""
 
     number: int = 0
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class _Knowledge:
+class _Holding:
     """When it was learned that an endpoint holds a block, and after how many lost events."""
 
     learned_at: float
@@ -66,18 +66,18 @@
     the size of the fleet's caches.
     """
 
-    kept_blocks: int = KEPT_BLOCKS
-    _holders: OrderedDict[tuple[VersionId, int], dict[str, _Knowledge]] = field(
+    max_blocks: int = MAX_INDEXED_BLOCKS
+    _holders: OrderedDict[tuple[VersionId, int], dict[str, _Holding]] = field(
         default_factory=OrderedDict
     )
-    _feeds: dict[str, _Feed] = field(default_factory=dict)
+    _feeds: dict[str, _EventFeed] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._holders)
 
-    def take_events(self, endpoint: str, events: Sequence[CacheEvent], now: float) -> None:
+    def apply_events(self, endpoint: str, events: Sequence[CacheEvent], now: float) -> None:
         """Take in an engine's events in the order of their numbers."""
-        feed = self._feeds.setdefault(endpoint, _Feed())
+        feed = self._feeds.setdefault(endpoint, _EventFeed())
         feed.heard_at = now
         for event in events:
             if event.number <= feed.number:
@@ -87,15 +87,15 @@
             # known before gets less certain instead of staying wrongly certain.
             feed.lost += event.number - feed.number - 1 if feed.number else 0
             feed.number = event.number
-            feed.held = max(0, feed.held + (1 if event.kind == STORED else -1))
+            feed.held = max(0, feed.held + (1 if event.kind == STORED_EVENT else -1))
             self._apply(endpoint, event, feed, now)
 
-    def last_number(self, endpoint: str) -> int:
+    def last_event_number(self, endpoint: str) -> int:
         """Return the number of the last event heard from an endpoint."""
         feed = self._feeds.get(endpoint)
         return feed.number if feed else 0
 
-    def note_sent(
+    def record_sent(
         self, endpoint: str, version: VersionId, blocks: Sequence[int], now: float
     ) -> None:
         """Remember that a prompt went to an endpoint, which will hold its blocks."""
@@ -104,10 +104,10 @@
             key = (version, blocks[depth - 1])
             holders = self._holders.setdefault(key, {})
             self._holders.move_to_end(key)
-            holders[endpoint] = _Knowledge(now, lost)
-            if len(holders) > HOLDERS_PER_BLOCK:
+            holders[endpoint] = _Holding(now, lost)
+            if len(holders) > MAX_HOLDERS_PER_BLOCK:
                 del holders[min(holders, key=lambda name: holders[name].learned_at)]
-        while len(self._holders) > self.kept_blocks:
+        while len(self._holders) > self.max_blocks:
             self._holders.popitem(last=False)
 
     def forget(self, endpoint: str) -> None:
@@ -116,7 +116,7 @@
         for holders in self._holders.values():
             holders.pop(endpoint, None)
 
-    def find(self, version: VersionId, blocks: Sequence[int], now: float) -> "PrefixMatch":
+    def match(self, version: VersionId, blocks: Sequence[int], now: float) -> "PrefixMatch":
         """Return who is likely to hold how much of a prompt."""
         cached: dict[str, float] = {}
         known_depth = 0
@@ -133,28 +133,28 @@
         key = blocks[known_depth - 1] if known_depth else 0
         return PrefixMatch(cached, known_depth, key)
 
-    def _certainty(self, endpoint: str, knowledge: _Knowledge, now: float) -> float:
+    def _certainty(self, endpoint: str, knowledge: _Holding, now: float) -> float:
         feed = self._feeds.get(endpoint)
         if feed is None:
-            return math.exp((knowledge.learned_at - now) / FADE_S)
+            return math.exp((knowledge.learned_at - now) / CERTAINTY_DECAY_TIME_S)
         confirmed_at = max(knowledge.learned_at, feed.heard_at)
-        doubt = (feed.lost - knowledge.lost) / max(FEWEST_CACHED_BLOCKS, feed.held)
-        return math.exp((confirmed_at - now) / FADE_S - doubt)
+        doubt = (feed.lost - knowledge.lost) / max(MIN_CACHED_BLOCKS, feed.held)
+        return math.exp((confirmed_at - now) / CERTAINTY_DECAY_TIME_S - doubt)
 
-    def _apply(self, endpoint: str, event: CacheEvent, feed: _Feed, now: float) -> None:
+    def _apply(self, endpoint: str, event: CacheEvent, feed: _EventFeed, now: float) -> None:
         holders = self._holders.get((_parse_version(event.version), event.block))
         if holders is None:
             return
-        if event.kind != STORED:
+        if event.kind != STORED_EVENT:
             holders.pop(endpoint, None)
-        elif endpoint in holders or len(holders) < HOLDERS_PER_BLOCK:
-            holders[endpoint] = _Knowledge(now, feed.lost)
+        elif endpoint in holders or len(holders) < MAX_HOLDERS_PER_BLOCK:
+            holders[endpoint] = _Holding(now, feed.lost)
 
     def _restart_if_reset(self, endpoint: str, event: CacheEvent) -> None:
         """Drop what was known when the numbers start anew: the engine did too."""
         if event.number == 1:
             self.forget(endpoint)
-            self._feeds[endpoint] = _Feed(number=1, held=1)
+            self._feeds[endpoint] = _EventFeed(number=1, held=1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
         Hash of that beginning, from which all hosts derive the same home.
     """
 
-    cached: dict[str, float]
+    cached_blocks: dict[str, float]
     known_depth: int
     key: int
 
--- a/poplarrun/endpoints/_sharing.py
+++ b/poplarrun/endpoints/_sharing.py
@@ -14,9 +14,9 @@
 
 # Polls of endpoints that another host usually polls: those heard of least
 # recently, so that no endpoint stays unknown when its usual host is silent.
-OTHERS_POLLED = 1
+MAX_UNOWNED_POLLS = 1
 # Engines of the own zone whose cache events this host follows.
-EVENTS_FOLLOWED = 8
+MAX_EVENT_SOURCES = 8
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -33,7 +33,7 @@
     """Requests and places of all endpoints of a version that were summed up."""
 
     requests: int
-    places: int
+    capacity: int
 
 
 class LoadSummary(msgspec.Struct, array_like=True):
@@ -76,7 +76,7 @@
         for version, load in summary.versions.items():
             sum_so_far = versions.get(version, VersionLoad(0, 0))
             versions[version] = VersionLoad(
-                sum_so_far.requests + load.requests, sum_so_far.places + load.places
+                sum_so_far.requests + load.requests, sum_so_far.capacity + load.capacity
             )
     return msgspec.msgpack.encode(LoadSummary(number, [], versions))
 
@@ -96,53 +96,53 @@
         self._peers = peers
         self._table = table
         self._number = 0
-        self._heard: dict[str, int] = {}
+        self._applied_numbers: dict[str, int] = {}
         self._assignments: dict[str, tuple[_Fleet, dict[str, str]]] = {}
-        self._tried_at: dict[str, float] = {}
+        self._last_polled_at: dict[str, float] = {}
         self.zone_loads: dict[str, dict[str, VersionLoad]] = {}
 
-    def list_polled(self, now: float) -> list[Endpoint]:
+    def list_engines_to_poll(self, now: float) -> list[Endpoint]:
         """Return the engines to poll now."""
-        engines = [e for e in self._table.all() if _is_engine(e)]
-        owned = self.list_owned()
+        engines = [e for e in self._table.list_endpoints() if _is_engine(e)]
+        owned = self.list_owned_engines()
         names = {engine.name for engine in owned}
         others = [engine for engine in engines if engine.name not in names]
         # By the last try too: dead ones, which never answer, would otherwise
         # always be the oldest and keep the rest from being polled.
-        others.sort(key=lambda e: max(e.true_at, self._last_try(e)))
-        polled = others[:OTHERS_POLLED]
-        self._tried_at = {e.name: self._last_try(e) for e in others}
-        self._tried_at.update((engine.name, now) for engine in polled)
+        others.sort(key=lambda e: max(e.measured_at, self._get_last_poll(e)))
+        polled = others[:MAX_UNOWNED_POLLS]
+        self._last_polled_at = {e.name: self._get_last_poll(e) for e in others}
+        self._last_polled_at.update((engine.name, now) for engine in polled)
         return owned + polled
 
-    def _last_try(self, engine: Endpoint) -> float:
-        return self._tried_at.get(engine.name, -math.inf)
+    def _get_last_poll(self, engine: Endpoint) -> float:
+        return self._last_polled_at.get(engine.name, -math.inf)
 
-    def list_owned(self) -> list[Endpoint]:
+    def list_owned_engines(self) -> list[Endpoint]:
         """Return the engines that this host usually polls."""
-        engines = [e for e in self._table.all() if _is_engine(e)]
+        engines = [e for e in self._table.list_endpoints() if _is_engine(e)]
         owners: dict[str, str] = {}
         for zone in {engine.zone for engine in engines}:
-            owners.update(self._owners(zone))
+            owners.update(self._get_owners(zone))
         return [engine for engine in engines if owners[engine.name] == self._peers.me.name]
 
-    def list_followed(self) -> list[Endpoint]:
+    def list_event_sources(self) -> list[Endpoint]:
         """Return the engines whose cache events this host follows, the assigned ones first."""
-        owners = self._owners(self._peers.me.zone)
-        near = [e for e in self._table.all() if e.name in owners]
+        owners = self._get_owners(self._peers.me.zone)
+        near = [e for e in self._table.list_endpoints() if e.name in owners]
         near.sort(key=lambda engine: owners[engine.name] != self._peers.me.name)
-        return near[:EVENTS_FOLLOWED]
+        return near[:MAX_EVENT_SOURCES]
 
     def publish(self, now: float) -> None:
         """Pass on the loads of the endpoints that this host polls."""
         self._number += 1
         summary = LoadSummary(self._number)
-        for endpoint in self.list_owned():
-            if math.isfinite(endpoint.true_at):
+        for endpoint in self.list_owned_engines():
+            if math.isfinite(endpoint.measured_at):
                 _add_load(summary, endpoint, now)
         self._peers.publish(LOAD_TOPIC, msgspec.msgpack.encode(summary))
 
-    def take_in(self, now: float) -> None:
+    def apply_published(self, now: float) -> None:
         """Apply what the other hosts passed on since the last time."""
         gathered = self._peers.gathered(LOAD_TOPIC)
         for host, payload in gathered.own_zone.items():
@@ -155,30 +155,32 @@
     def _apply(self, host: str, summary: LoadSummary, now: float) -> None:
         # The summary carries ages, not times: clocks of hosts differ. Its age
         # counts from when it was first seen here.
-        if self._heard.get(host) == summary.number:
+        if self._applied_numbers.get(host) == summary.number:
             return
-        self._heard[host] = summary.number
+        self._applied_numbers[host] = summary.number
         for load in summary.endpoints:
             versions = frozenset(VersionId.parse(version) for version in load.versions)
             self._table.apply_load(
                 load.name, versions, load.requests, load.capacity, now - load.age_s
             )
 
-    def owns(self, endpoint: Endpoint) -> bool:
+    def is_owner(self, endpoint: Endpoint) -> bool:
         """Tell whether this host usually polls an endpoint."""
-        owners = self._owners(endpoint.zone)
+        owners = self._get_owners(endpoint.zone)
         return owners.get(endpoint.name) == self._peers.me.name
 
-    def assign(self) -> None:
+    def update_assignment(self) -> None:
         """Tell the table which endpoints are assigned to this host."""
         zone = self._peers.me.zone
         me = self._peers.me.name
-        mine = [name for name, owner in self._owners(zone).items() if owner == me]
-        self._table.take_assigned(frozenset(mine))
+        mine = [name for name, owner in self._get_owners(zone).items() if owner == me]
+        self._table.set_owned_endpoints(frozenset(mine))
 
-    def _owners(self, zone: str) -> dict[str, str]:
+    def _get_owners(self, zone: str) -> dict[str, str]:
         """Return the owner of each engine of a zone; worked out anew on changes only."""
-        engines = tuple(e.name for e in self._table.all() if _is_engine(e) and e.zone == zone)
+        engines = tuple(
+            e.name for e in self._table.list_endpoints() if _is_engine(e) and e.zone == zone
+        )
         hosts = tuple(self._zone_hosts(zone) or [peer.name for peer in self._peers.live()])
         kept = self._assignments.get(zone)
         if kept is None or kept[0] != (engines, hosts):
@@ -195,11 +197,11 @@
 
 def _add_load(summary: LoadSummary, endpoint: Endpoint, now: float) -> None:
     names = sorted(str(version) for version in endpoint.versions)
-    requests = int(endpoint.reported)
-    age_s = round(now - endpoint.true_at, 3)
+    requests = int(endpoint.reported_requests)
+    age_s = round(now - endpoint.measured_at, 3)
     summary.endpoints.append(EndpointLoad(endpoint.name, names, requests, endpoint.capacity, age_s))
     for name in names:
         before = summary.versions.get(name, VersionLoad(0, 0))
         summary.versions[name] = VersionLoad(
-            before.requests + requests, before.places + endpoint.capacity
+            before.requests + requests, before.capacity + endpoint.capacity
         )
--- a/poplarrun/endpoints/_table.py
+++ b/poplarrun/endpoints/_table.py
@@ -5,27 +5,27 @@
 
 from poplarrun.clients import CacheEvent, HostKind, HostState, ListedHost, LoadReport
 from poplarrun.contracts import VersionId
-from poplarrun.endpoints._choice import NO_DEMAND, Choice, Chooser, Demand
+from poplarrun.endpoints._choice import EMPTY_PROMPT, Choice, EndpointSelector, PromptProfile
 from poplarrun.endpoints._endpoint import Endpoint
 from poplarrun.endpoints._pool import Pool
 from poplarrun.endpoints._prefix import NO_MATCH, PrefixIndex
 
 # A failed endpoint gets nothing for this time, doubled with each further failure.
-FAILURE_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 30.0
+INITIAL_FAILURE_PAUSE_S = 1.0
+MAX_FAILURE_PAUSE_S = 30.0
 # An endpoint that says it is full is passed over for a moment, doubled while it goes on
 # saying so, and then doubted for longer: it is asked where the others have no room.
 # Asked without need, a few that refuse for long would use up the attempts and retry
 # budgets of work that the others could do. The pause itself is short, so that a pool
 # that has room again isn't left idle.
-BUSY_PAUSE_S = 0.25
-LONGEST_BUSY_PAUSE_S = 2.0
-DOUBTED_PAUSES = 10.0
-MOST_DOUBLINGS = 10
+INITIAL_BUSY_PAUSE_S = 0.25
+MAX_BUSY_PAUSE_S = 2.0
+DEPRIORITIZED_FACTOR = 10.0
+MAX_DOUBLINGS = 10
 BUSY_REASONS = frozenset({"status_429", "status_503"})
 UNREACHABLE_REASONS = frozenset({"connect"})
-JITTER_SHARE = 0.2
-LINK_WEIGHT = 0.2
+JITTER_FRACTION = 0.2
+LINK_SMOOTHING_FACTOR = 0.2
 
 
 class EndpointTable:
@@ -39,19 +39,19 @@
         Random source of the choice.
     """
 
-    def __init__(self, zone: str, source: random.Random) -> None:
+    def __init__(self, zone: str, rng: random.Random) -> None:
         self._zone = zone
-        self._random = source
+        self._rng = rng
         self._endpoints: dict[str, Endpoint] = {}
         self._pools: dict[VersionId | str, Pool] = {}
-        self._list_seen = False
+        self._has_host_list = False
         self._pools_stale = False
         self._retired: Mapping[str, frozenset[VersionId]] = {}
-        self._assigned: frozenset[str] = frozenset()
+        self._owned_names: frozenset[str] = frozenset()
         self.prefixes = PrefixIndex()
-        self.chooser = Chooser(source, self.prefixes, zone)
+        self.selector = EndpointSelector(rng, self.prefixes, zone)
 
-    def all(self) -> list[Endpoint]:
+    def list_endpoints(self) -> list[Endpoint]:
         """Return every endpoint."""
         return list(self._endpoints.values())
 
@@ -66,7 +66,7 @@
             pool = self._pools[work] = Pool(self._zone)
         return pool
 
-    def apply_list(self, listed: tuple[ListedHost, ...], now: float = 0.0) -> None:
+    def apply_host_list(self, listed: tuple[ListedHost, ...], now: float = 0.0) -> None:
         """Take over a host list: new ones come, gone ones go, states change."""
         before = self._endpoints
         self._endpoints = {}
@@ -77,13 +77,13 @@
             if endpoint is None or endpoint.address != host.address:
                 endpoint = Endpoint(host.name, host.kind, host.zone, host.address, host.service)
                 # The endpoints of the first list ran before this host did.
-                if self._list_seen:
-                    endpoint.known_since = now
-            endpoint.leaving = host.state is HostState.LEAVING
+                if self._has_host_list:
+                    endpoint.listed_since = now
+            endpoint.is_leaving = host.state is HostState.LEAVING
             self._endpoints[host.name] = endpoint
         for name in before.keys() - self._endpoints.keys():
             self.prefixes.forget(name)
-        self._list_seen = True
+        self._has_host_list = True
         self._pools_stale = True
 
     def apply_report(self, name: str, report: LoadReport, now: float) -> None:
@@ -105,68 +105,74 @@
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
-        if endpoint.unreachable and true_at > endpoint.failed_at:
-            self.note_success(name)
+        if endpoint.is_unreachable and true_at > endpoint.last_failed_at:
+            self.record_success(name)
         if versions != endpoint.versions:
             endpoint.versions = versions
             self._pools_stale = True
-        models = [self.pool(work).others for work in versions]
-        endpoint.take_report(requests, capacity, true_at, models)
+        models = [self.pool(work).background_load for work in versions]
+        endpoint.apply_report(requests, capacity, true_at, models)
 
-    def take_assigned(self, names: frozenset[str]) -> None:
+    def set_owned_endpoints(self, names: frozenset[str]) -> None:
         """Take over which endpoints are assigned to this host."""
-        if names != self._assigned:
-            self._assigned = names
+        if names != self._owned_names:
+            self._owned_names = names
             self._pools_stale = True
 
-    def retire(self, versions: Mapping[str, frozenset[VersionId]]) -> None:
+    def set_retired_versions(self, versions: Mapping[str, frozenset[VersionId]]) -> None:
         """Give versions no new work at some engines, by name, from the next choice on."""
         if versions != self._retired:
             self._retired = versions
             self._pools_stale = True
 
-    def note_link(self, zone: str, seconds: float) -> None:
+    def observe_link_latency(self, zone: str, seconds: float) -> None:
         """Take in how long a short call to an endpoint of a zone took."""
-        before = self.chooser.link_s.get(zone, seconds)
-        self.chooser.link_s[zone] = before + LINK_WEIGHT * (seconds - before)
+        before = self.selector.link_latency_s.get(zone, seconds)
+        self.selector.link_latency_s[zone] = before + LINK_SMOOTHING_FACTOR * (seconds - before)
 
     def apply_cache_events(self, name: str, events: Sequence[CacheEvent], now: float) -> None:
         """Take over an engine's cache events."""
         if name in self._endpoints:
-            self.prefixes.take_events(name, events, now)
+            self.prefixes.apply_events(name, events, now)
 
-    def note_failure(self, name: str, now: float, reason: str = "") -> None:
+    def record_failure(self, name: str, now: float, reason: str = "") -> None:
         """Pass an endpoint over for a while after a failed call."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
         in_pause = now < endpoint.paused_until
         if reason in BUSY_REASONS:
-            endpoint.refusals += not in_pause
-            pause_s = _double(BUSY_PAUSE_S, endpoint.refusals, LONGEST_BUSY_PAUSE_S)
-            endpoint.doubted_until = now + pause_s * DOUBTED_PAUSES
+            endpoint.consecutive_refusals += not in_pause
+            pause_s = _compute_backoff(
+                INITIAL_BUSY_PAUSE_S, endpoint.consecutive_refusals, MAX_BUSY_PAUSE_S
+            )
+            endpoint.deprioritized_until = now + pause_s * DEPRIORITIZED_FACTOR
         else:
-            endpoint.refusals = 0
-            endpoint.failures += not in_pause
-            pause_s = _double(FAILURE_PAUSE_S, endpoint.failures, LONGEST_PAUSE_S)
-        endpoint.unreachable = reason in UNREACHABLE_REASONS
-        endpoint.failed_at = now
+            endpoint.consecutive_refusals = 0
+            endpoint.consecutive_failures += not in_pause
+            pause_s = _compute_backoff(
+                INITIAL_FAILURE_PAUSE_S, endpoint.consecutive_failures, MAX_FAILURE_PAUSE_S
+            )
+        endpoint.is_unreachable = reason in UNREACHABLE_REASONS
+        endpoint.last_failed_at = now
         # Jitter: hosts that saw the same failure must not try again as one.
-        jitter = 1.0 + JITTER_SHARE * self._random.random()
+        jitter = 1.0 + JITTER_FRACTION * self._rng.random()
         endpoint.paused_until = max(endpoint.paused_until, now + pause_s * jitter)
-        self._mark_changed(endpoint)
+        self._invalidate_pools(endpoint)
 
-    def note_success(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Take an endpoint back at once when it answered a call."""
         endpoint = self._endpoints.get(name)
-        if endpoint is not None and (endpoint.failures or endpoint.refusals):
-            endpoint.failures = endpoint.refusals = 0
-            endpoint.doubted_until = float("-inf")
-            endpoint.unreachable = False
+        if endpoint is not None and (
+            endpoint.consecutive_failures or endpoint.consecutive_refusals
+        ):
+            endpoint.consecutive_failures = endpoint.consecutive_refusals = 0
+            endpoint.deprioritized_until = float("-inf")
+            endpoint.is_unreachable = False
             endpoint.paused_until = float("-inf")
-            self._mark_changed(endpoint)
+            self._invalidate_pools(endpoint)
 
-    def note_sent(
+    def record_sent(
         self,
         name: str,
         now: float,
@@ -177,22 +183,22 @@
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
-        endpoint.note_sent(now)
+        endpoint.record_sent(now)
         if version is not None and blocks:
-            self.prefixes.note_sent(name, version, blocks, now)
+            self.prefixes.record_sent(name, version, blocks, now)
 
-    def note_ended(self, name: str, now: float) -> None:
+    def record_finished(self, name: str, now: float) -> None:
         """Count a call that came back."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
-            endpoint.note_ended(now)
+            endpoint.record_finished(now)
 
     def choose_engine(
         self,
         version: VersionId,
         now: float,
         avoid: Container[str] = (),
-        demand: Demand = NO_DEMAND,
+        prompt: PromptProfile = EMPTY_PROMPT,
         may_wait: bool = False,
     ) -> Choice | None:
         """Choose a model engine that holds a version."""
@@ -200,24 +206,30 @@
         if pool is None:
             return None
         if avoid:
-            avoid = pool.avoid_refusing(avoid)
-        return self.chooser.choose(pool, version, demand, now, avoid, self._endpoints.get, may_wait)
+            avoid = pool.add_refusing(avoid)
+        return self.selector.choose(
+            pool, version, prompt, now, avoid, self._endpoints.get, may_wait
+        )
 
-    def choose_this(
-        self, version: VersionId, endpoint: Endpoint, now: float, demand: Demand = NO_DEMAND
+    def evaluate_engine(
+        self,
+        version: VersionId,
+        endpoint: Endpoint,
+        now: float,
+        prompt: PromptProfile = EMPTY_PROMPT,
     ) -> Choice | None:
         """Return what is expected of one endpoint, if it may get new work."""
         pool = self._current_pool(version)
-        if pool is None or not pool.may_draw(endpoint):
+        if pool is None or not pool.is_eligible(endpoint):
             return None
-        return self.chooser.expect(endpoint, pool, demand, NO_MATCH, None, now)
+        return self.selector.evaluate(endpoint, pool, prompt, NO_MATCH, None, now)
 
     def choose_service(
         self, service: str, now: float, avoid: Container[str] = ()
     ) -> Endpoint | None:
         """Choose an endpoint of a plain service."""
         pool = self._current_pool(service)
-        choice = self.chooser.choose(pool, None, NO_DEMAND, now, avoid) if pool else None
+        choice = self.selector.choose(pool, None, EMPTY_PROMPT, now, avoid) if pool else None
         return choice.endpoint if choice else None
 
     def _current_pool(self, work: VersionId | str) -> Pool | None:
@@ -229,26 +241,26 @@
     def _rebuild_pools(self) -> None:
         for pool in self._pools.values():
             pool.members = []
-            pool.own_names = self._assigned
-            pool.mark_changed()
+            pool.owned_names = self._owned_names
+            pool.invalidate()
         for endpoint in self._endpoints.values():
-            if not endpoint.leaving:
+            if not endpoint.is_leaving:
                 retired = self._retired.get(endpoint.name, frozenset())
-                for work in _work_of(endpoint):
+                for work in _list_work(endpoint):
                     if work not in retired:
                         self.pool(work).members.append(endpoint)
 
-    def _mark_changed(self, endpoint: Endpoint) -> None:
-        for work in _work_of(endpoint):
-            self.pool(work).mark_changed()
+    def _invalidate_pools(self, endpoint: Endpoint) -> None:
+        for work in _list_work(endpoint):
+            self.pool(work).invalidate()
 
 
-def _double(first_s: float, times: int, longest_s: float) -> float:
+def _compute_backoff(first_s: float, times: int, longest_s: float) -> float:
     """Return a pause that doubles with each time but the first, up to the longest."""
-    return min(longest_s, first_s * 2.0 ** min(max(0, times - 1), MOST_DOUBLINGS))
+    return min(longest_s, first_s * 2.0 ** min(max(0, times - 1), MAX_DOUBLINGS))
 
 
-def _work_of(endpoint: Endpoint) -> list[VersionId | str]:
+def _list_work(endpoint: Endpoint) -> list[VersionId | str]:
     if endpoint.service is not None:
         return [endpoint.service]
     return list(endpoint.versions)
--- a/poplarrun/leases/__init__.py
+++ b/poplarrun/leases/__init__.py
@@ -1,12 +1,12 @@
 """Leases for jobs that one host does at a time, from records of the log."""
 
-from poplarrun.leases._keeper import Lease, LeaseKeeper
+from poplarrun.leases._manager import Lease, LeaseManager
 from poplarrun.leases._records import (
     LEASE_STREAM,
-    LONGEST_LEASE_S,
+    MAX_LEASE_DURATION_S,
     Acquire,
-    Counted,
-    Held,
+    Applied,
+    JobState,
     LeaseRecord,
     LeaseSnapshot,
     LeaseTable,
@@ -21,12 +21,12 @@
 
 __all__ = [
     "LEASE_STREAM",
-    "LONGEST_LEASE_S",
+    "MAX_LEASE_DURATION_S",
     "Acquire",
-    "Counted",
-    "Held",
+    "Applied",
+    "JobState",
     "Lease",
-    "LeaseKeeper",
+    "LeaseManager",
     "LeaseRecord",
     "LeaseSnapshot",
     "LeaseTable",
--- a/poplarrun/leases/_records.py
+++ b/poplarrun/leases/_records.py
@@ -9,8 +9,8 @@
 
 LEASE_STREAM = "leases"
 # No lease lasts longer, so after this time of reading nothing every lease has lapsed.
-LONGEST_LEASE_S = 60.0
-NO_RECORD = -1
+MAX_LEASE_DURATION_S = 60.0
+NO_OFFSET = -1
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="acquire"):
@@ -50,7 +50,7 @@
     over: int
 
 
-class Held(msgspec.Struct, frozen=True):
+class JobState(msgspec.Struct, frozen=True):
     """The state of one job.
 
     Attributes
@@ -73,7 +73,7 @@
 
     id: str
     read_to: int
-    jobs: dict[str, Held]
+    jobs: dict[str, JobState]
 
 
 LeaseRecord = Acquire | Renew | Release | LeaseSnapshot
@@ -111,13 +111,13 @@
     """
 
     read_to: int = -1
-    jobs: Mapping[str, Held] = field(default_factory=dict)
-    anchored: bool = True
+    jobs: Mapping[str, JobState] = field(default_factory=dict)
+    is_complete: bool = True
     snapshot_at: int = -1
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class Applied:
     """The record changed the table."""
 
     record: LeaseRecord
@@ -130,7 +130,7 @@
     reason: str
 
 
-def fold_lease_entry(table: LeaseTable, entry: Entry) -> tuple[LeaseTable, Counted | Void]:
+def fold_lease_entry(table: LeaseTable, entry: Entry) -> tuple[LeaseTable, Applied | Void]:
     """Apply one record of the stream.
 
     No clock enters: a record names the last record that its writer saw, and
@@ -147,33 +147,35 @@
         case LeaseSnapshot(read_to=read_to, jobs=jobs):
             if read_to != entry.offset - 1:
                 return table, Void("a snapshot that does not follow directly")
-            return LeaseTable(entry.offset, jobs, True, entry.offset), Counted(record)
-    if not table.anchored:
+            return LeaseTable(entry.offset, jobs, True, entry.offset), Applied(record)
+    if not table.is_complete:
         return table, Void("records before it are gone and no snapshot was read yet")
     held = table.jobs.get(record.job)
-    if record.over != (NO_RECORD if held is None else held.last):
+    if record.over != (NO_OFFSET if held is None else held.last):
         return table, Void("another record came before it")
     after = _apply(record, held, entry.offset)
     if after is None:
         return table, Void("another host holds the job")
-    return replace(table, jobs={**table.jobs, record.job: after}), Counted(record)
+    return replace(table, jobs={**table.jobs, record.job: after}), Applied(record)
 
 
 def fold_lease_gap(table: LeaseTable, gap: Gap) -> LeaseTable:
     """Go on behind records that are gone; a snapshot tells who holds what."""
-    return replace(table, read_to=max(table.read_to, gap.horizon - 1), anchored=False)
+    return replace(table, read_to=max(table.read_to, gap.horizon - 1), is_complete=False)
 
 
-def _apply(record: Acquire | Renew | Release, held: Held | None, offset: int) -> Held | None:
+def _apply(
+    record: Acquire | Renew | Release, held: JobState | None, offset: int
+) -> JobState | None:
     match record:
         case Acquire():
-            duration_s = min(record.duration_s, LONGEST_LEASE_S)
-            return Held(record.holder, offset, offset, duration_s)
+            duration_s = min(record.duration_s, MAX_LEASE_DURATION_S)
+            return JobState(record.holder, offset, offset, duration_s)
         case Renew() | Release() if held is None or held.holder != record.holder:
             return None
         case Renew() if held.released:
             return None
         case Renew():
-            return Held(held.holder, held.fence, offset, held.duration_s)
+            return JobState(held.holder, held.fence, offset, held.duration_s)
         case Release():
-            return Held(held.holder, held.fence, offset, held.duration_s, True)
+            return JobState(held.holder, held.fence, offset, held.duration_s, True)
--- a/poplarrun/limits/__init__.py
+++ b/poplarrun/limits/__init__.py
@@ -1,34 +1,34 @@
 """Limits of client accounts over all hosts together."""
 
-from poplarrun.limits._accounts import AccountLimits, Limited
+from poplarrun.limits._accounts import AccountLimits, LimitExceeded
 from poplarrun.limits._loans import LOAN_MESSAGE, Loan, encode_loan
+from poplarrun.limits._reports import LIMITS_TOPIC, LimitKind
 from poplarrun.limits._shares import (
-    MATURE_ROUNDS,
-    ROUND_S,
-    START_ROUNDS,
-    VIEW_ROUNDS,
-    Claimant,
+    ACTIVATION_ROUNDS,
+    PROPAGATION_ROUNDS,
+    RAMP_UP_ROUNDS,
+    ROUND_INTERVAL_S,
     Share,
+    ShareReport,
     ShareView,
 )
-from poplarrun.limits._starts import ASKED_AT_START, SETTLED_ROUNDS
-from poplarrun.limits._summaries import LIMITS_TOPIC, LimitKind
+from poplarrun.limits._startup import MAX_STARTUP_LENDERS, STABLE_ROUNDS
 
 __all__ = [
-    "ASKED_AT_START",
+    "ACTIVATION_ROUNDS",
     "LIMITS_TOPIC",
     "LOAN_MESSAGE",
-    "MATURE_ROUNDS",
-    "ROUND_S",
-    "SETTLED_ROUNDS",
-    "START_ROUNDS",
-    "VIEW_ROUNDS",
+    "MAX_STARTUP_LENDERS",
+    "PROPAGATION_ROUNDS",
+    "RAMP_UP_ROUNDS",
+    "ROUND_INTERVAL_S",
+    "STABLE_ROUNDS",
     "AccountLimits",
-    "Claimant",
+    "LimitExceeded",
     "LimitKind",
-    "Limited",
     "Loan",
     "Share",
+    "ShareReport",
     "ShareView",
     "encode_loan",
 ]
