--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -6,49 +6,49 @@
 from poplarrun.contracts import ClientAccount, Limits
 from poplarrun.errors import ErrorKind
 from poplarrun.hosts import Gathered, Peers
-from poplarrun.limits._account import Account, kinds_of
+from poplarrun.limits._account import AccountState, list_limit_kinds
 from poplarrun.limits._buckets import Spend
 from poplarrun.limits._loans import (
     ASK_TIMEOUT_S,
     HAND_OVER_MESSAGE,
-    LENT_PART,
     LOAN_MESSAGE,
+    MAX_LENT_FRACTION,
     Loan,
-    LoanDesk,
+    LoanClient,
     decode_loan,
     encode_loan,
 )
-from poplarrun.limits._shares import ROUND_S, Claimant, ShareView
-from poplarrun.limits._starts import (
-    START_MESSAGE,
-    Start,
-    StartAnswer,
-    decode_request,
-    encode_start,
-    near_hosts,
-)
-from poplarrun.limits._summaries import (
+from poplarrun.limits._reports import (
     LIMITS_TOPIC,
     AccountSummary,
     LimitKind,
     Summary,
     decode,
+    decode_report,
     encode,
-    read_claim,
-    share_claim,
+    encode_report,
+)
+from poplarrun.limits._shares import ROUND_INTERVAL_S, ShareReport, ShareView
+from poplarrun.limits._startup import (
+    START_MESSAGE,
+    StartAnswer,
+    StartupSequence,
+    decode_request,
+    encode_start,
+    list_zone_peers,
 )
 
 # What a host may spend on hearing the shares of its zone's hosts.
-SUMMARY_BYTES_PER_S = 1000.0
-LONGEST_RETRY_S = 60.0
+MAX_SUMMARY_BYTES_PER_S = 1000.0
+MAX_RETRY_DELAY_S = 60.0
 SECONDS_PER_DAY = 86_400.0
 # A zone that was not heard for this long is late: nothing is taken until it
 # is heard again, or known to be silent.
-LATE_AFTER_S = 2.5
+ZONE_LATE_TIMEOUT_S = 2.5
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class LimitExceeded:
     """A request that its account's limits don't let through now."""
 
     kind: ErrorKind
@@ -67,86 +67,90 @@
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
-        self._accounts: dict[str, Account] = {}
+        self._accounts: dict[str, AccountState] = {}
         self._day = 0
-        self._desk = LoanDesk(peers)
-        self._start = Start(peers)
+        self._loans = LoanClient(peers)
+        self._startup = StartupSequence(peers)
         peers.serve(LOAN_MESSAGE, self._serve_loan)
-        peers.serve(HAND_OVER_MESSAGE, self._take_over)
+        peers.serve(HAND_OVER_MESSAGE, self._serve_hand_over)
         peers.serve(START_MESSAGE, self._serve_start)
-        self._bytes = 0
+        self._summary_bytes = 0
         self._round_ends_at = 0.0
 
     @property
-    def has_begun(self) -> bool:
+    def has_initial_shares(self) -> bool:
         """Whether this host has its first parts, or has given up waiting for them."""
-        return self._start.has_begun
+        return self._startup.has_shares
 
-    async def begin(self, accounts: Iterable[ClientAccount]) -> None:
+    async def request_initial_shares(self, accounts: Iterable[ClientAccount]) -> None:
         """Ask the zone for the first parts; called every round, and does nothing once begun.
 
         A host that served before it had them would refuse its callers while
         their accounts are far below their limits.
         """
-        if self.has_begun:
+        if self.has_initial_shares:
             return
         given: dict[str, dict[LimitKind, float]] = {}
-        for loan in await self._start.ask():
+        for loan in await self._startup.request_shares():
             parts = given.setdefault(loan.account, {})
-            for kind, part in loan.parts.items():
+            for kind, part in loan.shares.items():
                 parts[kind] = parts.get(kind, 0.0) + part
         for account in accounts:
             if account.name in given:
-                state = self._accounts.setdefault(account.name, Account(account.limits))
-                state.begin(given[account.name])
+                state = self._accounts.setdefault(account.name, AccountState(account.limits))
+                state.add_initial_shares(given[account.name])
 
     async def _serve_start(self, starter: str, payload: bytes) -> bytes:
         request = decode_request(payload)
-        if request is None or not self.has_begun or starter not in near_hosts(self._peers):
+        if (
+            request is None
+            or not self.has_initial_shares
+            or starter not in list_zone_peers(self._peers)
+        ):
             return encode_start(StartAnswer(False))
         portion = 1.0 / request.portions
-        given = [state.give_portion(name, portion) for name, state in self._accounts.items()]
+        given = [state.give_fraction(name, portion) for name, state in self._accounts.items()]
         return encode_start(StartAnswer(True, given))
 
     def admit(
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
-    ) -> Limited | None:
+    ) -> LimitExceeded | None:
         """Let a request through, and count it, or say when to come back."""
         if account.limits == Limits():
             return None
-        state = self._state(account)
-        state.requests.offered += 1
-        state.tokens.offered += tokens
-        limited = self._find_limit(state, tokens, now, is_stream)
+        state = self._get_state(account)
+        state.requests.requested += 1
+        state.tokens.requested += tokens
+        limited = self._check_limits(state, tokens, now, is_stream)
         if limited is not None:
             return limited
-        state.requests.take(1.0)
-        state.tokens.take(tokens)
+        state.requests.consume(1.0)
+        state.tokens.consume(tokens)
         state.streams.open += is_stream
         return None
 
-    def end(
+    def finish(
         self, account: ClientAccount, expected_tokens: int, used_tokens: int, amount: float
     ) -> None:
         """Close a request that was let through, with what it really took."""
         state = self._accounts.get(account.name)
         if state is not None:
-            state.tokens.take(used_tokens - expected_tokens)
+            state.tokens.consume(used_tokens - expected_tokens)
             state.streams.open = max(0, state.streams.open - 1)
-            state.spend.note(amount)
+            state.spend.record(amount)
 
-    def note_spend(self, account: ClientAccount, amount: float) -> None:
+    def record_spend(self, account: ClientAccount, amount: float) -> None:
         """Count what a call cost that holds no stream."""
         state = self._accounts.get(account.name)
         if state is not None:
-            state.spend.note(amount)
+            state.spend.record(amount)
 
-    def missing(self, account: str) -> Loan | None:
+    def compute_shortfall(self, account: str) -> Loan | None:
         """Return what ``borrow`` should ask for now; None while the account has enough."""
         state = self._accounts.get(account)
-        if state is None or not self._desk.can_ask(account):
+        if state is None or not self._loans.can_borrow(account):
             return None
-        return state.missing(account)
+        return state.compute_shortfall(account)
 
     async def borrow(self, wanted: Loan) -> None:
         """Borrow from another host what this one runs short of.
@@ -154,21 +158,21 @@
         Shares follow demand over some rounds; a host that has just started, or
         that gets a burst, would refuse until then what its account may have.
         """
-        lent = await self._desk.borrow(wanted)
+        lent = await self._loans.borrow(wanted)
         state = self._accounts.get(wanted.account)
         if lent is not None and state is not None:
             state.requests.borrow(lent.requests)
             state.tokens.borrow(lent.tokens)
-            state.shift(lent.parts)
+            state.transfer(lent.shares)
 
     async def _serve_loan(self, borrower: str, payload: bytes) -> bytes:
         wanted = decode_loan(payload)
         if wanted is None or wanted.account not in self._accounts:
             return encode_loan(Loan("", 0.0, 0.0))
         state = self._accounts[wanted.account]
-        requests = state.requests.lend(wanted.requests, LENT_PART)
-        tokens = state.tokens.lend(wanted.tokens, LENT_PART)
-        parts = state.lend_parts(wanted.parts) if borrower in near_hosts(self._peers) else {}
+        requests = state.requests.lend(wanted.requests, MAX_LENT_FRACTION)
+        tokens = state.tokens.lend(wanted.tokens, MAX_LENT_FRACTION)
+        parts = state.lend_shares(wanted.shares) if borrower in list_zone_peers(self._peers) else {}
         return encode_loan(Loan(wanted.account, requests, tokens, parts))
 
     async def hand_over(self) -> None:
@@ -177,28 +181,28 @@
         Else the others would take it over only some rounds later, and hosts that
         are restarted one after the other would leave less and less to use.
         """
-        near = near_hosts(self._peers)
+        near = list_zone_peers(self._peers)
         for number, (account, state) in enumerate(self._accounts.items()):
             if near:
-                given = Loan(account, 0.0, 0.0, state.give_up())
+                given = Loan(account, 0.0, 0.0, state.release_shares())
                 heir = near[number % len(near)]
                 await self._peers.ask(heir, HAND_OVER_MESSAGE, encode_loan(given), ASK_TIMEOUT_S)
 
-    async def _take_over(self, giver: str, payload: bytes) -> bytes:
+    async def _serve_hand_over(self, giver: str, payload: bytes) -> bytes:
         given = decode_loan(payload)
         if (
             given is not None
             and given.account in self._accounts
-            and giver in near_hosts(self._peers)
+            and giver in list_zone_peers(self._peers)
         ):
-            self._accounts[given.account].shift(given.parts)
+            self._accounts[given.account].transfer(given.shares)
         return b""
 
-    def spend_left(self, account: ClientAccount) -> float | None:
+    def remaining_spend(self, account: ClientAccount) -> float | None:
         """Return what an account may still spend through this host; None without a limit."""
         if account.limits.spend_per_day is None:
             return None
-        return max(0.0, self._state(account).spend.room())
+        return max(0.0, self._get_state(account).spend.compute_remaining())
 
     def close_round(self, accounts: Iterable[ClientAccount], now: float, wall_s: float) -> None:
         """Move shares when a round is over, and tell the others.
@@ -209,72 +213,81 @@
         """
         if now < self._round_ends_at:
             return
-        round_s = max(ROUND_S, self._zone_hosts() * self._bytes / SUMMARY_BYTES_PER_S)
-        self._round_ends_at = now + round_s - ROUND_S / 2.0
+        round_s = max(
+            ROUND_INTERVAL_S,
+            self._count_zone_hosts() * self._summary_bytes / MAX_SUMMARY_BYTES_PER_S,
+        )
+        self._round_ends_at = now + round_s - ROUND_INTERVAL_S / 2.0
         self._begin_day(int(wall_s // SECONDS_PER_DAY))
         gathered = self._peers.gathered(LIMITS_TOPIC)
         own_zone, other_zones = self._decode_others(gathered)
-        if not self._wait_for_start(other_zones):
+        if not self._update_startup(other_zones):
             return
-        silent, is_current = self._hear_zones(gathered)
+        silent, is_current = self._classify_zones(gathered)
         summary: Summary = {}
         limited = {account.name: account for account in accounts if account.limits != Limits()}
         for name in self._accounts.keys() - limited.keys():
             del self._accounts[name]
         for name, account in limited.items():
-            state = self._state(account)
-            self._sum_spend(state, name, own_zone, other_zones)
-            for kind in kinds_of(account.limits):
+            state = self._get_state(account)
+            self._update_spend(state, name, own_zone, other_zones)
+            for kind in list_limit_kinds(account.limits):
                 view = ShareView(
-                    _claims(own_zone, name, kind),
-                    dict(zip(other_zones, _claims(other_zones, name, kind), strict=True)),
+                    _list_reports(own_zone, name, kind),
+                    dict(zip(other_zones, _list_reports(other_zones, name, kind), strict=True)),
                     silent,
                     is_current,
                     len(self._peers.live()),
                 )
-                state.shares[kind].step(state.demand(kind, round_s), view)
-            state.use_parts()
-            state.requests.fill(now)
-            state.tokens.fill(now)
+                state.shares[kind].update(state.compute_demand(kind, round_s), view)
+            state.start_round()
+            state.requests.refill(now)
+            state.tokens.refill(now)
             summary[name] = self._summarise(state)
         payload = encode(summary)
-        self._bytes = len(payload)
+        self._summary_bytes = len(payload)
         self._peers.publish(LIMITS_TOPIC, payload)
 
-    def part(self, account: str, kind: LimitKind) -> float:
+    def usable_fraction(self, account: str, kind: LimitKind) -> float:
         """Return this host's part of a limit."""
         state = self._accounts.get(account)
         share = state.shares.get(kind) if state else None
-        return share.part if share else 0.0
+        return share.usable if share else 0.0
 
-    def _wait_for_start(self, other_zones: Iterable[str]) -> bool:
+    def _update_startup(self, other_zones: Iterable[str]) -> bool:
         """Tell whether this host has begun; until then it tells that it holds nothing."""
-        had_begun = self.has_begun
-        self._start.note_round(other_zones)
+        had_begun = self.has_initial_shares
+        self._startup.record_round(other_zones)
         if had_begun:
             return True
-        if not self.has_begun:
+        if not self.has_initial_shares:
             self._peers.publish(LIMITS_TOPIC, encode({}))
             return False
         for name, state in self._accounts.items():
-            state.begin(self._first_parts(name, kinds_of(state.limits)))
+            state.add_initial_shares(
+                self._compute_initial_shares(name, list_limit_kinds(state.limits))
+            )
         return True
 
-    def _state(self, account: ClientAccount) -> Account:
+    def _get_state(self, account: ClientAccount) -> AccountState:
         state = self._accounts.get(account.name)
         if state is None:
-            state = self._accounts[account.name] = Account(Limits())
+            state = self._accounts[account.name] = AccountState(Limits())
         if state.limits is not account.limits:
             state.limits = account.limits
-            new = [kind for kind in kinds_of(account.limits) if kind not in state.shares]
+            new = [kind for kind in list_limit_kinds(account.limits) if kind not in state.shares]
             if new:
-                state.begin(self._first_parts(account.name, new))
+                state.add_initial_shares(self._compute_initial_shares(account.name, new))
         return state
 
-    def _first_parts(self, name: str, kinds: Iterable[LimitKind]) -> dict[LimitKind, float]:
+    def _compute_initial_shares(
+        self, name: str, kinds: Iterable[LimitKind]
+    ) -> dict[LimitKind, float]:
         gathered = self._peers.gathered(LIMITS_TOPIC)
         own, far = self._decode_others(gathered)
-        return {kind: self._start.first_part(name, kind, own, far) for kind in kinds}
+        return {
+            kind: self._startup.compute_initial_fraction(name, kind, own, far) for kind in kinds
+        }
 
     def _decode_others(self, gathered: Gathered) -> tuple[dict[str, Summary], dict[str, Summary]]:
         own = {
@@ -284,31 +297,31 @@
         }
         return own, {zone: decode(payload) for zone, payload in gathered.other_zones.items()}
 
-    def _find_limit(
-        self, state: Account, tokens: int, now: float, is_stream: bool
-    ) -> Limited | None:
+    def _check_limits(
+        self, state: AccountState, tokens: int, now: float, is_stream: bool
+    ) -> LimitExceeded | None:
         limits = state.limits
         if limits.requests_per_second is not None:
-            wait_s = state.requests.wait_s(now, 1.0)
+            wait_s = state.requests.compute_wait_s(now, 1.0)
             if wait_s > 0.0:
                 reason = f"{limits.requests_per_second:g} requests a second are allowed"
-                return Limited(ErrorKind.RATE_LIMITED, reason, min(LONGEST_RETRY_S, wait_s))
+                return LimitExceeded(ErrorKind.RATE_LIMITED, reason, min(MAX_RETRY_DELAY_S, wait_s))
         if tokens and limits.tokens_per_minute is not None:
-            wait_s = state.tokens.wait_s(now, 1.0)
+            wait_s = state.tokens.compute_wait_s(now, 1.0)
             if wait_s > 0.0:
                 reason = f"{limits.tokens_per_minute:g} tokens a minute are allowed"
-                return Limited(ErrorKind.RATE_LIMITED, reason, min(LONGEST_RETRY_S, wait_s))
+                return LimitExceeded(ErrorKind.RATE_LIMITED, reason, min(MAX_RETRY_DELAY_S, wait_s))
         bounds_streams = is_stream and limits.concurrent_streams is not None
         if bounds_streams and not state.streams.has_room():
             state.streams.refused += 1
             reason = f"{limits.concurrent_streams} concurrent streams are allowed"
-            return Limited(ErrorKind.STREAMS_LIMITED, reason, ROUND_S)
+            return LimitExceeded(ErrorKind.STREAMS_LIMITED, reason, ROUND_INTERVAL_S)
         if limits.spend_per_day is not None and not state.spend.has_room():
             reason = f"{limits.spend_per_day:g} a day are allowed"
-            return Limited(ErrorKind.SPEND_EXHAUSTED, reason, SECONDS_PER_DAY)
+            return LimitExceeded(ErrorKind.SPEND_EXHAUSTED, reason, SECONDS_PER_DAY)
         return None
 
-    def _zone_hosts(self) -> int:
+    def _count_zone_hosts(self) -> int:
         return sum(peer.zone == self._peers.me.zone for peer in self._peers.live())
 
     def _begin_day(self, day: int) -> None:
@@ -316,40 +329,42 @@
             return
         self._day = day
         for state in self._accounts.values():
-            state.spend = Spend(part=state.spend.part)
+            state.spend = Spend(usable=state.spend.usable)
             state.spent_by_host.clear()
 
-    def _hear_zones(self, gathered: Gathered) -> tuple[frozenset[str], bool]:
+    def _classify_zones(self, gathered: Gathered) -> tuple[frozenset[str], bool]:
         others = [zone for zone in self._peers.zones() if zone.zone != self._peers.me.zone]
         silent = frozenset(zone.zone for zone in others if zone.silent)
-        late = [zone for zone in others if not zone.silent and zone.silence_s > LATE_AFTER_S]
+        late = [zone for zone in others if not zone.silent and zone.silence_s > ZONE_LATE_TIMEOUT_S]
         return silent, not late
 
-    def _sum_spend(
-        self, state: Account, name: str, own: dict[str, Summary], others: dict[str, Summary]
+    def _update_spend(
+        self, state: AccountState, name: str, own: dict[str, Summary], others: dict[str, Summary]
     ) -> None:
         if state.limits.spend_per_day is None:
             return
         # Kept also for hosts that died: what they let through was spent.
         for host, summary in own.items():
             if name in summary and summary[name].day == self._day:
-                state.spent_by_host[host] = summary[name].spent_here
-        state.spent_by_host[self._peers.me.name] = state.spend.used_here
+                state.spent_by_host[host] = summary[name].host_spent
+        state.spent_by_host[self._peers.me.name] = state.spend.spent_locally
         spent = sum(state.spent_by_host.values())
         for summary in others.values():
             if name in summary and summary[name].day == self._day:
                 spent += summary[name].zone_spent
-        state.spend.left = max(0.0, state.limits.spend_per_day - spent)
+        state.spend.remaining_total = max(0.0, state.limits.spend_per_day - spent)
 
-    def _summarise(self, state: Account) -> AccountSummary:
-        claims = {int(kind): share_claim(s.claimant()) for kind, s in state.shares.items()}
+    def _summarise(self, state: AccountState) -> AccountSummary:
+        claims = {int(kind): encode_report(s.report()) for kind, s in state.shares.items()}
         zone_spent = round(sum(state.spent_by_host.values()), 6)
-        return AccountSummary(claims, self._day, zone_spent, round(state.spend.used_here, 6))
+        return AccountSummary(claims, self._day, zone_spent, round(state.spend.spent_locally, 6))
 
 
-def _claims(summaries: dict[str, Summary], account: str, kind: LimitKind) -> list[Claimant]:
+def _list_reports(
+    summaries: dict[str, Summary], account: str, kind: LimitKind
+) -> list[ShareReport]:
     claims = []
     for summary in summaries.values():
-        found = summary[account].claims.get(int(kind)) if account in summary else None
-        claims.append(read_claim(found) if found else Claimant(0.0, 0.0, 0.0))
+        found = summary[account].reports.get(int(kind)) if account in summary else None
+        claims.append(decode_report(found) if found else ShareReport(0.0, 0.0, 0.0))
     return claims
--- a/poplarrun/limits/_buckets.py
+++ b/poplarrun/limits/_buckets.py
@@ -3,13 +3,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from poplarrun.limits._shares import VIEW_ROUNDS
+from poplarrun.limits._shares import PROPAGATION_ROUNDS
 
-BURST_S = 2.0
+BURST_WINDOW_S = 2.0
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """Tokens that come at a rate; one request may take more than there are.
 
     A request is let through while any token is left, and what it took too much
@@ -27,35 +27,35 @@
     """
 
     rate_per_s: float = 0.0
-    burst_s: float = BURST_S
+    burst_s: float = BURST_WINDOW_S
     level: float = 0.0
     borrowed: float = 0.0
-    offered: float = 0.0
-    _filled_at: float | None = None
+    requested: float = 0.0
+    _refilled_at: float | None = None
 
     @property
-    def most(self) -> float:
+    def capacity(self) -> float:
         """Tokens that are kept at most."""
         return max(1.0, self.rate_per_s * self.burst_s) + self.borrowed
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Add what has come since the last time."""
-        since_s = 0.0 if self._filled_at is None else now - self._filled_at
-        self._filled_at = now
-        self.level = min(self.most, self.level + since_s * self.rate_per_s)
+        since_s = 0.0 if self._refilled_at is None else now - self._refilled_at
+        self._refilled_at = now
+        self.level = min(self.capacity, self.level + since_s * self.rate_per_s)
 
-    def fill_up(self) -> None:
+    def fill_to_capacity(self) -> None:
         """Add as much as is kept at most."""
-        self.level = self.most
+        self.level = self.capacity
 
-    def wait_s(self, now: float, least: float) -> float:
+    def compute_wait_s(self, now: float, least: float) -> float:
         """Return the seconds until a request may pass; 0 when it may now."""
-        self.fill(now)
+        self.refill(now)
         if self.level >= least:
             return 0.0
         return (least - self.level) / self.rate_per_s if self.rate_per_s > 0.0 else float("inf")
 
-    def take(self, amount: float) -> None:
+    def consume(self, amount: float) -> None:
         """Take tokens, also more than there are."""
         self.level -= amount
         self.borrowed = max(0.0, self.borrowed - amount)
@@ -99,28 +99,28 @@
         This host's part of that.
     """
 
-    used_here: float = 0.0
-    left: float = 0.0
-    part: float = 0.0
-    in_round: float = 0.0
-    _unseen: deque[float] = field(default_factory=lambda: deque(maxlen=VIEW_ROUNDS))
+    spent_locally: float = 0.0
+    remaining_total: float = 0.0
+    usable: float = 0.0
+    spent_in_round: float = 0.0
+    _unpropagated: deque[float] = field(default_factory=lambda: deque(maxlen=PROPAGATION_ROUNDS))
 
-    def note(self, amount: float) -> None:
+    def record(self, amount: float) -> None:
         """Count what a request cost."""
-        self.used_here += amount
-        self.in_round += amount
+        self.spent_locally += amount
+        self.spent_in_round += amount
 
     def close_round(self) -> float:
         """Begin the next round; return what was spent in the last."""
-        spent = self.in_round
-        self._unseen.append(spent)
-        self.in_round = 0.0
+        spent = self.spent_in_round
+        self._unpropagated.append(spent)
+        self.spent_in_round = 0.0
         return spent
 
-    def room(self) -> float:
+    def compute_remaining(self) -> float:
         """Return what this host may still spend; what others can't know of counts twice."""
-        return self.part * self.left - self.in_round - sum(self._unseen)
+        return self.usable * self.remaining_total - self.spent_in_round - sum(self._unpropagated)
 
     def has_room(self) -> bool:
         """Tell whether more may be spent."""
-        return self.room() > 0.0
+        return self.compute_remaining() > 0.0
--- a/poplarrun/limits/_loans.py
+++ b/poplarrun/limits/_loans.py
@@ -6,15 +6,15 @@
 import msgspec
 
 from poplarrun.hosts import Peers, PeerSilent
-from poplarrun.limits._summaries import LimitKind
+from poplarrun.limits._reports import LimitKind
 
 LOAN_MESSAGE = "limits.loan"
 HAND_OVER_MESSAGE = "limits.hand_over"
 ASK_TIMEOUT_S = 0.5
 # A host borrows when less than this is left of what it may keep.
-LOW_PART = 0.5
+LOW_LEVEL_FRACTION = 0.5
 # A lender gives at most this of what it has, so that it doesn't run short next.
-LENT_PART = 0.5
+MAX_LENT_FRACTION = 0.5
 
 
 # A negative amount would take from the host that it is asked of or given to.
@@ -39,7 +39,7 @@
     account: str
     requests: Amount
     tokens: Amount
-    parts: dict[LimitKind, Amount] = {}
+    shares: dict[LimitKind, Amount] = {}
 
 
 encode_loan = msgspec.msgpack.Encoder().encode
@@ -55,7 +55,7 @@
 
 
 @dataclass
-class LoanDesk:
+class LoanClient:
     """Asks one host after the other for loans, one loan an account at a time.
 
     A loan moves what is already allowed: the lender takes it off before the
@@ -64,24 +64,24 @@
     """
 
     peers: Peers
-    _asking: set[str] = field(default_factory=set)
-    _turn: int = 0
+    _pending: set[str] = field(default_factory=set)
+    _next_index: int = 0
 
-    def can_ask(self, account: str) -> bool:
+    def can_borrow(self, account: str) -> bool:
         """Tell whether a loan may be asked for: no other is under way, and there is a lender."""
-        return account not in self._asking and len(self.peers.live()) > 1
+        return account not in self._pending and len(self.peers.live()) > 1
 
     async def borrow(self, wanted: Loan) -> Loan | None:
         """Return what one other host gave; None when there is none or it is silent."""
         lender = self._next_lender()
-        if lender is None or wanted.account in self._asking:
+        if lender is None or wanted.account in self._pending:
             return None
-        self._asking.add(wanted.account)
+        self._pending.add(wanted.account)
         try:
             payload = encode_loan(wanted)
             answer = await self.peers.ask(lender, LOAN_MESSAGE, payload, ASK_TIMEOUT_S)
         finally:
-            self._asking.discard(wanted.account)
+            self._pending.discard(wanted.account)
         return None if isinstance(answer, PeerSilent) else decode_loan(answer)
 
     def _next_lender(self) -> str | None:
@@ -91,5 +91,5 @@
         others.sort(key=lambda peer: (peer.zone != me.zone, peer.name))
         if not others:
             return None
-        self._turn += 1
-        return others[self._turn % len(others)].name
+        self._next_index += 1
+        return others[self._next_index % len(others)].name
--- a/poplarrun/limits/_summaries.py
+++ b/poplarrun/limits/_reports.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from poplarrun.hosts import SummaryTopic
-from poplarrun.limits._shares import Claimant
+from poplarrun.limits._shares import ShareReport
 
 # Parts travel as whole numbers of this, to save bytes.
-UNITS = 65_535
-MOST_WANT = 16.0
+FRACTION_UNITS = 65_535
+MAX_WANTED = 16.0
 
 
 class LimitKind(enum.IntEnum):
@@ -22,13 +22,13 @@
     SPEND = 3
 
 
-class SharedClaim(msgspec.Struct, frozen=True, array_like=True):
+class EncodedReport(msgspec.Struct, frozen=True, array_like=True):
     """A ``Claimant`` in whole units."""
 
-    part: int
-    want: int
+    held: int
+    wanted: int
     deficit: int
-    hosts: int = 1
+    host_count: int = 1
 
 
 class AccountSummary(msgspec.Struct, frozen=True, array_like=True):
@@ -42,10 +42,10 @@
         Spending in the zone that day, of dead hosts too.
     """
 
-    claims: dict[int, SharedClaim]
+    reports: dict[int, EncodedReport]
     day: int = 0
     zone_spent: float = 0.0
-    spent_here: float = 0.0
+    host_spent: float = 0.0
 
 
 Summary = dict[str, AccountSummary]
@@ -75,30 +75,35 @@
     return encode(merged)
 
 
-def share_claim(claimant: Claimant) -> SharedClaim:
+def encode_report(claimant: ShareReport) -> EncodedReport:
     """Return a claimant in whole units; what is held is rounded up."""
-    return SharedClaim(
-        -int(-claimant.part * UNITS // 1),
-        int(min(MOST_WANT, claimant.want) * UNITS),
-        int(claimant.deficit * UNITS),
-        claimant.hosts,
+    return EncodedReport(
+        -int(-claimant.held * FRACTION_UNITS // 1),
+        int(min(MAX_WANTED, claimant.wanted) * FRACTION_UNITS),
+        int(claimant.deficit * FRACTION_UNITS),
+        claimant.host_count,
     )
 
 
-def read_claim(claim: SharedClaim) -> Claimant:
+def decode_report(claim: EncodedReport) -> ShareReport:
     """Return a claim as parts of the limit."""
-    return Claimant(claim.part / UNITS, claim.want / UNITS, claim.deficit / UNITS, claim.hosts)
+    return ShareReport(
+        claim.held / FRACTION_UNITS,
+        claim.wanted / FRACTION_UNITS,
+        claim.deficit / FRACTION_UNITS,
+        claim.host_count,
+    )
 
 
 def _add(one: AccountSummary, other: AccountSummary) -> AccountSummary:
-    claims = dict(one.claims)
-    for kind, claim in other.claims.items():
-        before = claims.get(kind, SharedClaim(0, 0, 0, 0))
-        claims[kind] = SharedClaim(
-            before.part + claim.part,
-            before.want + claim.want,
+    claims = dict(one.reports)
+    for kind, claim in other.reports.items():
+        before = claims.get(kind, EncodedReport(0, 0, 0, 0))
+        claims[kind] = EncodedReport(
+            before.held + claim.held,
+            before.wanted + claim.wanted,
             before.deficit + claim.deficit,
-            before.hosts + claim.hosts,
+            before.host_count + claim.host_count,
         )
     day = max(one.day, other.day)
     spent = [s.zone_spent for s in (one, other) if s.day == day]
--- a/poplarrun/limits/_shares.py
+++ b/poplarrun/limits/_shares.py
@@ -5,26 +5,26 @@
 from dataclasses import dataclass, field
 
 # Length of a round: shares move once a round.
-ROUND_S = 1.0
+ROUND_INTERVAL_S = 1.0
 # Rounds after which every host that can be heard has heard of a change.
-VIEW_ROUNDS = 4
+PROPAGATION_ROUNDS = 4
 # Rounds for which a taken part is told to the others before it is used: longer
 # than it takes to notice that a zone is late.
-MATURE_ROUNDS = 6
+ACTIVATION_ROUNDS = 6
 # What nobody wants lies ready in equal shares, so that a host with new demand
 # starts at once; the rest stays free for whoever needs it first.
-IDLE_PART = 0.9
+IDLE_RESERVE_FRACTION = 0.9
 # When all is wanted, hosts without demand keep no more than this together.
-BUSY_IDLE_PART = 0.04
-START_ROUNDS = VIEW_ROUNDS + MATURE_ROUNDS
+MIN_IDLE_RESERVE_FRACTION = 0.04
+RAMP_UP_ROUNDS = PROPAGATION_ROUNDS + ACTIVATION_ROUNDS
 # Demand swings around its mean; a share of exactly the mean would refuse some.
-HEADROOM = 1.2
-GIVEN_BACK_A_ROUND = 0.5
-DEMAND_DECAY = 0.7
+HEADROOM_FACTOR = 1.2
+RELEASED_FRACTION_PER_ROUND = 0.5
+DEMAND_DECAY_FACTOR = 0.7
 
 
 @dataclass(frozen=True, slots=True)
-class Claimant:
+class ShareReport:
     """What one host, or a zone in sum, says of its share of a limit.
 
     Attributes
@@ -39,10 +39,10 @@
         Hosts that this sums up.
     """
 
-    part: float
-    want: float
+    held: float
+    wanted: float
     deficit: float
-    hosts: int = 1
+    host_count: int = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,14 +63,14 @@
         Hosts that are taken to be live, this one included.
     """
 
-    own_zone: Sequence[Claimant] = ()
-    other_zones: dict[str, Claimant] = field(default_factory=dict)
-    silent: frozenset[str] = frozenset()
+    own_zone: Sequence[ShareReport] = ()
+    other_zones: dict[str, ShareReport] = field(default_factory=dict)
+    silent_zones: frozenset[str] = frozenset()
     is_current: bool = True
-    live: int = 0
+    live_hosts: int = 0
 
 
-NOTHING = Claimant(0.0, 0.0, 0.0, 0)
+EMPTY_REPORT = ShareReport(0.0, 0.0, 0.0, 0)
 
 
 @dataclass
@@ -98,20 +98,20 @@
         Part that it lacks.
     """
 
-    part: float = 0.0
+    usable: float = 0.0
     held: float = 0.0
-    want: float = 0.0
+    wanted: float = 0.0
     deficit: float = 0.0
-    _recent: deque[float] = field(default_factory=lambda: deque([0.0], MATURE_ROUNDS))
+    _recent_held: deque[float] = field(default_factory=lambda: deque([0.0], ACTIVATION_ROUNDS))
     _demand: float = 0.0
     _rounds_short: int = 0
     _reserved: dict[str, float] = field(default_factory=dict)
 
-    def claimant(self) -> Claimant:
+    def report(self) -> ShareReport:
         """Return what this host tells the others."""
-        return Claimant(self.held, self.want, self.deficit)
+        return ShareReport(self.held, self.wanted, self.deficit)
 
-    def step(self, demand: float, view: ShareView) -> None:
+    def update(self, demand: float, view: ShareView) -> None:
         """Close a round.
 
         Parameters
@@ -122,79 +122,79 @@
         view : ShareView
             What was heard.
         """
-        keep = DEMAND_DECAY if demand < self._demand else 0.0
+        keep = DEMAND_DECAY_FACTOR if demand < self._demand else 0.0
         self._demand = keep * self._demand + (1.0 - keep) * demand
-        heard = [c for zone, c in view.other_zones.items() if zone not in view.silent]
+        heard = [c for zone, c in view.other_zones.items() if zone not in view.silent_zones]
         others = [*view.own_zone, *heard]
-        free = self._reserve(view, 1.0 - self.held - sum(c.part for c in others))
-        self.want = self._demand * HEADROOM
-        hosts = 1 + sum(c.hosts for c in others)
-        target = self._find_target(others, hosts)
+        free = self._deduct_reserved(view, 1.0 - self.held - sum(c.held for c in others))
+        self.wanted = self._demand * HEADROOM_FACTOR
+        hosts = 1 + sum(c.host_count for c in others)
+        target = self._compute_target(others, hosts)
         if self.held > target:
-            self.held -= GIVEN_BACK_A_ROUND * (self.held - target)
+            self.held -= RELEASED_FRACTION_PER_ROUND * (self.held - target)
         self.deficit = max(0.0, target - self.held)
         if view.is_current and free >= 0.0:
-            self._take(free, sum(c.deficit for c in others))
+            self._acquire(free, sum(c.deficit for c in others))
         elif not view.is_current:
-            self._cancel_taken()
+            self._cancel_pending()
         else:
             # Only what was taken goes back here. With a sum a hair above 1 (as heard,
             # parts are rounded up) no host may be kept from giving up more than this:
             # all would hold what nobody wants, for ever.
-            self.held = max(min(self.held, self.part), self.held + free)
-        self._recent.append(self.held)
-        self.part = min(self._recent)
+            self.held = max(min(self.held, self.usable), self.held + free)
+        self._recent_held.append(self.held)
+        self.usable = min(self._recent_held)
 
-    def begin(self, part: float) -> None:
+    def raise_to(self, part: float) -> None:
         """Hold at least this part from now on, of which the others haven't heard yet."""
-        self.shift(max(0.0, part - self.part))
+        self.transfer(max(0.0, part - self.usable))
 
-    def shift(self, amount: float) -> None:
+    def transfer(self, amount: float) -> None:
         """Take over a part that a host of the own zone gave up, or give one up (negative)."""
-        self.part = max(0.0, self.part + amount)
+        self.usable = max(0.0, self.usable + amount)
         self.held = max(0.0, self.held + amount)
-        moved = (max(0.0, recent + amount) for recent in self._recent)
-        self._recent = deque(moved, MATURE_ROUNDS)
+        moved = (max(0.0, recent + amount) for recent in self._recent_held)
+        self._recent_held = deque(moved, ACTIVATION_ROUNDS)
 
-    def drop(self) -> None:
+    def release_all(self) -> None:
         """Give everything back, after this host was paused or cut off alone.
 
         The others may have given its part away meanwhile.
         """
         self.held = 0.0
-        self._cancel_taken()
-        self.part = 0.0
+        self._cancel_pending()
+        self.usable = 0.0
 
-    def _cancel_taken(self) -> None:
-        self.held = min(self.held, self.part)
-        self._recent.clear()
-        self._recent.append(self.held)
+    def _cancel_pending(self) -> None:
+        self.held = min(self.held, self.usable)
+        self._recent_held.clear()
+        self._recent_held.append(self.held)
         self._rounds_short = 0
 
-    def _reserve(self, view: ShareView, free: float) -> float:
+    def _deduct_reserved(self, view: ShareView, free: float) -> float:
         for zone in list(self._reserved):
-            if zone not in view.silent:
+            if zone not in view.silent_zones:
                 del self._reserved[zone]
         zones = len(view.other_zones) + 1
-        new = [zone for zone in view.silent if zone not in self._reserved]
-        held = sum(view.other_zones.get(zone, NOTHING).part for zone in new)
+        new = [zone for zone in view.silent_zones if zone not in self._reserved]
+        held = sum(view.other_zones.get(zone, EMPTY_REPORT).held for zone in new)
         left = max(0.0, free - sum(self._reserved.values()) - held)
         for zone in new:
-            self._reserved[zone] = view.other_zones.get(zone, NOTHING).part + left / zones
+            self._reserved[zone] = view.other_zones.get(zone, EMPTY_REPORT).held + left / zones
         return free - sum(self._reserved.values())
 
-    def _find_target(self, others: Sequence[Claimant], hosts: int) -> float:
-        wanted = self.want + sum(c.want for c in others)
-        met = min(1.0, (1.0 - BUSY_IDLE_PART) / wanted) if wanted > 0.0 else 1.0
-        idle = max(BUSY_IDLE_PART, IDLE_PART * (1.0 - wanted))
-        return self.want * met + idle / hosts
+    def _compute_target(self, others: Sequence[ShareReport], hosts: int) -> float:
+        wanted = self.wanted + sum(c.wanted for c in others)
+        met = min(1.0, (1.0 - MIN_IDLE_RESERVE_FRACTION) / wanted) if wanted > 0.0 else 1.0
+        idle = max(MIN_IDLE_RESERVE_FRACTION, IDLE_RESERVE_FRACTION * (1.0 - wanted))
+        return self.wanted * met + idle / hosts
 
-    def _take(self, free: float, others_deficit: float) -> None:
+    def _acquire(self, free: float, others_deficit: float) -> None:
         if self.deficit <= 0.0:
             self._rounds_short = 0
             return
         self._rounds_short += 1
-        if self._rounds_short <= VIEW_ROUNDS or free <= 0.0:
+        if self._rounds_short <= PROPAGATION_ROUNDS or free <= 0.0:
             return
         portion = self.deficit / (self.deficit + others_deficit)
-        self.held += min(self.deficit, portion * free / VIEW_ROUNDS)
+        self.held += min(self.deficit, portion * free / PROPAGATION_ROUNDS)
--- a/poplarrun/orders/__init__.py
+++ b/poplarrun/orders/__init__.py
@@ -1,52 +1,52 @@
 """Which engine holds which versions, and the orders that bring it about."""
 
-from poplarrun.orders._demand import DemandCounter, OpenWork
-from poplarrun.orders._holder import (
-    GONE_S,
-    LOADS_AT_ONCE,
-    LOOK_S,
+from poplarrun.orders._controller import (
+    ENGINE_GONE_TIMEOUT_S,
+    ENGINE_POLL_INTERVAL_S,
+    MAX_CONCURRENT_LOADS,
     FetchWeights,
-    OrderHolder,
+    OrderController,
     SendOrder,
 )
-from poplarrun.orders._plan import DWELL_S, EngineRoom, Need, Plan, Planner
+from poplarrun.orders._demand import DemandCounter, OpenRequest
+from poplarrun.orders._plan import MIN_RESIDENCE_TIME_S, EngineCapacity, Plan, Planner, VersionNeed
 from poplarrun.orders._summaries import (
     DEMAND_TOPIC,
     ORDERS_TOPIC,
     DemandSummary,
+    DrainRevision,
     OrdersSummary,
-    Stamp,
     VersionDemand,
-    add_demand,
     decode_demand,
     decode_orders,
     encode_demand,
     hash_version,
+    sum_demand,
 )
 
 __all__ = [
     "DEMAND_TOPIC",
-    "DWELL_S",
-    "GONE_S",
-    "LOADS_AT_ONCE",
-    "LOOK_S",
+    "ENGINE_GONE_TIMEOUT_S",
+    "ENGINE_POLL_INTERVAL_S",
+    "MAX_CONCURRENT_LOADS",
+    "MIN_RESIDENCE_TIME_S",
     "ORDERS_TOPIC",
     "DemandCounter",
     "DemandSummary",
-    "EngineRoom",
+    "DrainRevision",
+    "EngineCapacity",
     "FetchWeights",
-    "Need",
-    "OpenWork",
-    "OrderHolder",
+    "OpenRequest",
+    "OrderController",
     "OrdersSummary",
     "Plan",
     "Planner",
     "SendOrder",
-    "Stamp",
     "VersionDemand",
-    "add_demand",
+    "VersionNeed",
     "decode_demand",
     "decode_orders",
     "encode_demand",
     "hash_version",
+    "sum_demand",
 ]
--- a/poplarrun/orders/_holder.py
+++ b/poplarrun/orders/_controller.py
@@ -9,22 +9,22 @@
 
 from poplarrun.clients import EngineModels, ModelsOrder
 from poplarrun.contracts import VersionId
-from poplarrun.orders._plan import EngineRoom, Need, Plan, Planner
-from poplarrun.orders._summaries import DemandSummary, OrdersSummary, Stamp
+from poplarrun.orders._plan import EngineCapacity, Plan, Planner, VersionNeed
+from poplarrun.orders._summaries import DemandSummary, DrainRevision, OrdersSummary
 
 # Each engine is looked at this often, whatever its load reports say. A late
 # order that an engine took is found and undone within this, a round and two timeouts.
-LOOK_S = 5.0
+ENGINE_POLL_INTERVAL_S = 5.0
 # An engine that did not answer for so long counts for nothing: its versions go elsewhere.
-GONE_S = 15.0
+ENGINE_GONE_TIMEOUT_S = 15.0
 # Versions of a zone that are on their way at the same time.
-LOADS_AT_ONCE = 4
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 30.0
-JITTER_SHARE = 0.2
+MAX_CONCURRENT_LOADS = 4
+INITIAL_BACKOFF_DELAY_S = 1.0
+MAX_BACKOFF_DELAY_S = 30.0
+JITTER_FRACTION = 0.2
 # Before any load was measured.
-GUESSED_LOAD_S = 10.0
-LOAD_WEIGHT = 0.3
+DEFAULT_LOAD_TIME_S = 10.0
+LOAD_TIME_SMOOTHING_FACTOR = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class _Known:
+class _EngineState:
     """An engine as it was last looked at."""
 
     models: EngineModels
@@ -52,16 +52,16 @@
     loaded: frozenset[VersionId]
     loading: frozenset[VersionId]
 
-    def is_other(self, reported: frozenset[VersionId]) -> bool:
+    def differs_from(self, reported: frozenset[VersionId]) -> bool:
         return bool(self.loading) or self.loaded != reported
 
     @property
-    def held(self) -> frozenset[VersionId]:
+    def resident(self) -> frozenset[VersionId]:
         return self.loaded | self.loading
 
 
 @dataclass
-class OrderHolder:
+class OrderController:
     """Decides on the orders of one zone; every call has the time passed in.
 
     What engines report is compared with the plan as a whole, round for round,
@@ -75,29 +75,31 @@
         The last plan.
     """
 
-    source: random.Random
+    rng: random.Random
     planner: Planner = field(default_factory=Planner)
     draining: dict[str, frozenset[VersionId]] = field(default_factory=dict)
     plan: Plan = field(default_factory=lambda: Plan({}, ()))
 
     def __post_init__(self) -> None:
-        self._known: dict[str, _Known] = {}
-        self._looked_at: dict[str, float] = {}
+        self._engines: dict[str, _EngineState] = {}
+        self._polled_at: dict[str, float] = {}
         self._fetching: dict[tuple[str, VersionId], float] = {}
         self._granted: dict[tuple[str, VersionId], float] = {}
-        self._stamp = Stamp()
-        self._drained_since: dict[tuple[str, VersionId], Stamp] = {}
-        self._paused_until = -math.inf
-        self._pause_s = FIRST_PAUSE_S
-        self._load_s = GUESSED_LOAD_S
-        self._without_room: list[str] = []
+        self._revision = DrainRevision()
+        self._draining_since: dict[tuple[str, VersionId], DrainRevision] = {}
+        self._backoff_until = -math.inf
+        self._backoff_s = INITIAL_BACKOFF_DELAY_S
+        self._load_time_s = DEFAULT_LOAD_TIME_S
+        self._unplaced: list[str] = []
 
     @property
     def engines(self) -> list[str]:
         """Engines that take orders."""
-        return list(self._known)
+        return list(self._engines)
 
-    def list_due(self, reported: Mapping[str, frozenset[VersionId]], now: float) -> list[str]:
+    def list_engines_to_poll(
+        self, reported: Mapping[str, frozenset[VersionId]], now: float
+    ) -> list[str]:
         """Return the engines to look at now.
 
         Parameters
@@ -105,88 +107,95 @@
         reported : mapping of engine to set of VersionId
             What their load reports say.
         """
-        pending = {engine for engine, version in self._pending()}
+        pending = {engine for engine, version in self._list_pending()}
         restless = pending | self.draining.keys()
         due = [
             name
             for name, versions in reported.items()
-            if now - self._looked_at.get(name, -math.inf) >= LOOK_S
-            or (name in self._known and (name in restless or self._known[name].is_other(versions)))
+            if now - self._polled_at.get(name, -math.inf) >= ENGINE_POLL_INTERVAL_S
+            or (
+                name in self._engines
+                and (name in restless or self._engines[name].differs_from(versions))
+            )
         ]
         # Those longest unseen first: where more are due than a round looks at, none starves.
-        due.sort(key=lambda name: self._looked_at.get(name, -math.inf))
+        due.sort(key=lambda name: self._polled_at.get(name, -math.inf))
         return due
 
-    def has_looked_at(self, engines: Iterable[str]) -> bool:
+    def has_polled(self, engines: Iterable[str]) -> bool:
         """Tell whether each engine was looked at, whether or not it answered.
 
         A holder that planned before would load what engines hold that it has
         not looked at yet.
         """
-        return all(engine in self._looked_at for engine in engines)
+        return all(engine in self._polled_at for engine in engines)
 
-    def take_models(self, engine: str, models: EngineModels, now: float) -> None:
+    def apply_models(self, engine: str, models: EngineModels, now: float) -> None:
         """Take in what an engine holds."""
-        self._looked_at[engine] = now
-        known = _Known(models, now, _parse(models.loaded), _parse(models.loading))
-        before = self._known.get(engine)
-        self._known[engine] = known
+        self._polled_at[engine] = now
+        known = _EngineState(models, now, _parse(models.loaded), _parse(models.loading))
+        before = self._engines.get(engine)
+        self._engines[engine] = known
         if models.fence < 0 and before is not None and before.models.fence >= 0:
             # It started anew and lost what was handed to it.
             self._granted = {s: at for s, at in self._granted.items() if s[0] != engine}
         for version in known.loaded - (before.loaded if before else known.loaded):
             granted_at = self._granted.get((engine, version))
             if granted_at is not None:
-                self._load_s += LOAD_WEIGHT * (now - granted_at - self._load_s)
+                self._load_time_s += LOAD_TIME_SMOOTHING_FACTOR * (
+                    now - granted_at - self._load_time_s
+                )
 
-    def note_taken(self, engine: str, order: ModelsOrder) -> None:
+    def record_accepted_order(self, engine: str, order: ModelsOrder) -> None:
         """Note that an engine took an order, so that it is not sent again meanwhile."""
-        known = self._known.get(engine)
+        known = self._engines.get(engine)
         if known is not None:
             known.models = msgspec.structs.replace(
                 known.models, wanted=order.versions, fence=order.fence
             )
 
-    def note_silent(self, engine: str, now: float) -> None:
+    def record_no_answer(self, engine: str, now: float) -> None:
         """Note that an engine did not answer."""
-        self._looked_at[engine] = now
-        known = self._known.get(engine)
-        if known is not None and now - known.answered_at > GONE_S:
+        self._polled_at[engine] = now
+        known = self._engines.get(engine)
+        if known is not None and now - known.answered_at > ENGINE_GONE_TIMEOUT_S:
             self.forget(engine)
-            self._looked_at[engine] = now
+            self._polled_at[engine] = now
 
     def forget(self, engine: str) -> None:
         """Drop an engine that is gone."""
-        self._known.pop(engine, None)
-        self._looked_at.pop(engine, None)
+        self._engines.pop(engine, None)
+        self._polled_at.pop(engine, None)
         self._granted = {s: at for s, at in self._granted.items() if s[0] != engine}
 
-    def note_weights(self, engine: str, version: VersionId, refusal: str, now: float) -> None:
+    def record_weights_answer(
+        self, engine: str, version: VersionId, refusal: str, now: float
+    ) -> None:
         """Take in the store's answer."""
         self._fetching.pop((engine, version), None)
         if not refusal:
             self._granted[(engine, version)] = now
-            self._pause_s, self._paused_until = FIRST_PAUSE_S, -math.inf
+            self._backoff_s, self._backoff_until = INITIAL_BACKOFF_DELAY_S, -math.inf
             return
-        jitter = 1.0 + JITTER_SHARE * self.source.random()
-        self._paused_until = max(self._paused_until, now + self._pause_s * jitter)
-        self._pause_s = min(LONGEST_PAUSE_S, 2.0 * self._pause_s)
+        jitter = 1.0 + JITTER_FRACTION * self.rng.random()
+        self._backoff_until = max(self._backoff_until, now + self._backoff_s * jitter)
+        self._backoff_s = min(MAX_BACKOFF_DELAY_S, 2.0 * self._backoff_s)
 
-    def rest(self) -> None:
+    def reset(self) -> None:
         """Forget everything: this host sends no orders now.
 
         The stamp goes on: a lease may come back under its old number, and hosts
         that hold an older list must not seem to hold the new one.
         """
-        stamp = self._stamp
+        stamp = self._revision
         self.__post_init__()
-        self._stamp = stamp
+        self._revision = stamp
         self.planner, self.draining, self.plan = Planner(), {}, Plan({}, ())
 
     def decide(
         self,
         fence: int,
-        needs: Sequence[Need],
+        needs: Sequence[VersionNeed],
         places: Mapping[str, int],
         demand: Sequence[DemandSummary],
         zone: str,
@@ -206,35 +215,35 @@
         """
         needed = frozenset(need.version for need in needs)
         engines = [
-            EngineRoom(name, known.models.room, places[name], taken)
-            for name, known, taken in self._list_taken(needed)
+            EngineCapacity(name, known.models.room, places[name], taken)
+            for name, known, taken in self._iterate_occupied(needed)
             if name in places
         ]
         self.plan = self.planner.plan(needs, engines, now)
         placed = frozenset().union(*self.plan.targets.values())
-        self._without_room = sorted(map(str, needed - placed))
+        self._unplaced = sorted(map(str, needed - placed))
         self._granted = {s: at for s, at in self._granted.items() if self._is_target(s)}
-        self._set_draining(fence)
+        self._update_draining(fence)
         actions: list[FetchWeights | SendOrder] = []
         for engine in engines:
-            order = self._order_for(engine.name, fence, demand, zone)
+            order = self._make_order(engine.name, fence, demand, zone)
             if order is not None:
                 actions.append(SendOrder(engine.name, order))
-        return [*actions, *self._fetches(now)]
+        return [*actions, *self._choose_fetches(now)]
 
     def summarize(self) -> OrdersSummary:
         """Return what all hosts must know."""
         draining = {e: sorted(map(str, vs)) for e, vs in sorted(self.draining.items())}
-        return OrdersSummary(self._stamp, draining, self._coming(), self._without_room)
+        return OrdersSummary(self._revision, draining, self._estimate_load_times(), self._unplaced)
 
-    def _list_taken(
+    def _iterate_occupied(
         self, needed: frozenset[VersionId]
-    ) -> Iterator[tuple[str, _Known, frozenset[VersionId]]]:
+    ) -> Iterator[tuple[str, _EngineState, frozenset[VersionId]]]:
         """Go through the engines with the versions that their room is taken by."""
         handed: dict[str, set[VersionId]] = {}
         for name, version in (*self._granted, *self._fetching):
             handed.setdefault(name, set()).add(version)
-        for name, known in self._known.items():
+        for name, known in self._engines.items():
             # A load that nobody needs, as of a late order, is not carried on.
             wanted = known.loaded | known.loading & needed | handed.get(name, set())
             # What drains is on its way out: its room counts as free, and stays planned so.
@@ -243,40 +252,40 @@
     def _is_target(self, slot: tuple[str, VersionId]) -> bool:
         return slot[1] in self.plan.targets.get(slot[0], ())
 
-    def _pending(self) -> list[tuple[str, VersionId]]:
+    def _list_pending(self) -> list[tuple[str, VersionId]]:
         """Return what was handed to engines and is not loaded yet."""
         return [
             (engine, version)
             for engine, version in self._granted
-            if engine in self._known and version not in self._known[engine].loaded
+            if engine in self._engines and version not in self._engines[engine].loaded
         ]
 
-    def _set_draining(self, fence: int) -> None:
+    def _update_draining(self, fence: int) -> None:
         """Drain what engines hold beyond the plan."""
         draining: dict[str, frozenset[VersionId]] = {}
         for name, target in self.plan.targets.items():
-            extra = self._known[name].held - target
+            extra = self._engines[name].resident - target
             if extra:
                 draining[name] = extra
-        if draining != self.draining or fence != self._stamp.fence:
-            self._stamp = Stamp(fence, self._stamp.number + 1)
+        if draining != self.draining or fence != self._revision.fence:
+            self._revision = DrainRevision(fence, self._revision.number + 1)
         self.draining = draining
         slots = {(name, version) for name, extra in draining.items() for version in extra}
-        since = self._drained_since
-        self._drained_since = {slot: since.get(slot, self._stamp) for slot in slots}
+        since = self._draining_since
+        self._draining_since = {slot: since.get(slot, self._revision) for slot in slots}
 
-    def _is_clear(
+    def _is_drained(
         self, name: str, version: VersionId, demand: Sequence[DemandSummary], zone: str
     ) -> bool:
         """Tell whether no host sends a version's work to an engine, nor has any open there."""
-        since = self._drained_since[(name, version)]
+        since = self._draining_since[(name, version)]
         return all(
-            summary.applied.get(zone, Stamp()) >= since
-            and not summary.open.get(name, {}).get(str(version))
+            summary.applied_revisions.get(zone, DrainRevision()) >= since
+            and not summary.open_requests.get(name, {}).get(str(version))
             for summary in demand
         )
 
-    def _order_for(
+    def _make_order(
         self, name: str, fence: int, demand: Sequence[DemandSummary], zone: str
     ) -> ModelsOrder | None:
         """Return the order that an engine needs; None when it is as it should be.
@@ -284,42 +293,46 @@
         The engine tells which order it follows. One that follows another, such
         as a late one of a former holder, gets this one again.
         """
-        known = self._known[name]
+        known = self._engines[name]
         target = self.plan.targets[name]
         kept = {v for v in self.draining.get(name, ()) if v in known.loaded}
-        kept = {version for version in kept if not self._is_clear(name, version, demand, zone)}
-        ready = {v for v in target if v in known.held or (name, v) in self._granted}
+        kept = {version for version in kept if not self._is_drained(name, version, demand, zone)}
+        ready = {v for v in target if v in known.resident or (name, v) in self._granted}
         # What is ready waits until the room of what drains is free.
         room = known.models.room - len(kept)
-        ready_now = sorted(ready, key=lambda v: (v not in known.held, str(v)))[: max(0, room)]
+        ready_now = sorted(ready, key=lambda v: (v not in known.resident, str(v)))[: max(0, room)]
         versions = sorted(str(version) for version in {*kept, *ready_now})
         if versions == known.models.wanted and known.models.fence == fence:
             return None
         return ModelsOrder(fence, versions)
 
-    def _fetches(self, now: float) -> list[FetchWeights]:
+    def _choose_fetches(self, now: float) -> list[FetchWeights]:
         """Return the loads to begin, in order of need, a bounded number at a time."""
-        count = LOADS_AT_ONCE - len(self._fetching) - len(self._pending())
-        if now < self._paused_until or count <= 0:
+        count = MAX_CONCURRENT_LOADS - len(self._fetching) - len(self._list_pending())
+        if now < self._backoff_until or count <= 0:
             return []
-        if self._pause_s > FIRST_PAUSE_S:
+        if self._backoff_s > INITIAL_BACKOFF_DELAY_S:
             # The store refused last: one tries it for all.
             count = min(count, 1 - len(self._fetching))
         # A version that was to go and is wanted again is still there.
-        missing = [slot for slot in self.plan.loads if slot[1] not in self._known[slot[0]].held]
+        missing = [
+            slot for slot in self.plan.loads if slot[1] not in self._engines[slot[0]].resident
+        ]
         chosen = [FetchWeights(*slot) for slot in missing[: max(0, count)]]
         self._fetching.update({(f.engine, f.version): now for f in chosen})
         return chosen
 
-    def _coming(self) -> dict[str, float]:
-        loaded = {version for known in self._known.values() for version in known.loaded}
+    def _estimate_load_times(self) -> dict[str, float]:
+        loaded = {version for known in self._engines.values() for version in known.loaded}
         coming: dict[str, float] = {}
-        begun = [version for _, version in (*self._pending(), *self._fetching)]
+        begun = [version for _, version in (*self._list_pending(), *self._fetching)]
         waiting = [version for _, version in self.plan.loads if version not in begun]
         for place, version in enumerate((*begun, *waiting)):
             if version not in loaded:
-                rounds = 1 + max(0, place - len(begun) + 1) / LOADS_AT_ONCE
-                coming.setdefault(str(version), math.ceil(rounds * self._load_s + self._pause_s))
+                rounds = 1 + max(0, place - len(begun) + 1) / MAX_CONCURRENT_LOADS
+                coming.setdefault(
+                    str(version), math.ceil(rounds * self._load_time_s + self._backoff_s)
+                )
         return coming
 
 
--- a/poplarrun/orders/_summaries.py
+++ b/poplarrun/orders/_summaries.py
@@ -13,7 +13,7 @@
 
 NO_FENCE = -1
 # Places travel as one byte, in steps of a factor: from 0.05 to 170,000.
-LEAST_PLACES = 0.05
+MIN_ENCODED_REQUESTS = 0.05
 LEVELS_PER_OCTAVE = 12
 _VERSION = struct.Struct(">HBB")
 
@@ -32,12 +32,12 @@
         Whether an open session keeps the version.
     """
 
-    places: float = 0.0
+    concurrent_requests: float = 0.0
     importance: int = 0
-    sessions: bool = False
+    has_sessions: bool = False
 
 
-class Stamp(msgspec.Struct, frozen=True, array_like=True, order=True):
+class DrainRevision(msgspec.Struct, frozen=True, array_like=True, order=True):
     """Which list of drains of a zone: later ones are higher."""
 
     fence: int = NO_FENCE
@@ -60,15 +60,15 @@
     """
 
     versions: dict[int, VersionDemand] = field(default_factory=dict)
-    applied: dict[str, Stamp] = field(default_factory=dict)
-    open: dict[str, dict[str, int]] = field(default_factory=dict)
+    applied_revisions: dict[str, DrainRevision] = field(default_factory=dict)
+    open_requests: dict[str, dict[str, int]] = field(default_factory=dict)
 
 
-class _DemandWire(msgspec.Struct, array_like=True):
+class _EncodedDemand(msgspec.Struct, array_like=True):
     """A demand summary as it travels: four bytes a version."""
 
     versions: bytes = b""
-    applied: dict[str, Stamp] = {}
+    applied: dict[str, DrainRevision] = {}
     open: dict[str, dict[str, int]] = {}
 
 
@@ -87,13 +87,13 @@
         Offered versions that have no place in the zone.
     """
 
-    stamp: Stamp = Stamp()
+    revision: DrainRevision = DrainRevision()
     draining: dict[str, list[str]] = {}
-    coming: dict[str, float] = {}
-    without_room: list[str] = []
+    load_times_s: dict[str, float] = {}
+    unplaced: list[str] = []
 
 
-_demand_decoder = msgspec.msgpack.Decoder(_DemandWire)
+_demand_decoder = msgspec.msgpack.Decoder(_EncodedDemand)
 _orders_decoder = msgspec.msgpack.Decoder(OrdersSummary)
 
 
@@ -109,10 +109,14 @@
 def encode_demand(summary: DemandSummary) -> bytes:
     """Return the bytes of a summary; places are rounded by up to 5%."""
     packed = b"".join(
-        _VERSION.pack(key, _level_of(seen.places), seen.importance << 1 | seen.sessions)
+        _VERSION.pack(
+            key, _quantize(seen.concurrent_requests), seen.importance << 1 | seen.has_sessions
+        )
         for key, seen in sorted(summary.versions.items())
     )
-    return msgspec.msgpack.encode(_DemandWire(packed, summary.applied, summary.open))
+    return msgspec.msgpack.encode(
+        _EncodedDemand(packed, summary.applied_revisions, summary.open_requests)
+    )
 
 
 def decode_demand(payload: bytes) -> DemandSummary:
@@ -120,7 +124,7 @@
     try:
         wire = _demand_decoder.decode(payload)
         versions = {
-            key: VersionDemand(_places_of(level), marks >> 1, bool(marks & 1))
+            key: VersionDemand(_dequantize(level), marks >> 1, bool(marks & 1))
             for key, level, marks in _VERSION.iter_unpack(wire.versions)
         }
     except (msgspec.MsgspecError, struct.error):
@@ -128,14 +132,14 @@
     return DemandSummary(versions, wire.applied, wire.open)
 
 
-def _level_of(places: float) -> int:
+def _quantize(places: float) -> int:
     if places <= 0.0:
         return 0
-    return min(255, max(1, round(LEVELS_PER_OCTAVE * math.log2(places / LEAST_PLACES)) + 1))
+    return min(255, max(1, round(LEVELS_PER_OCTAVE * math.log2(places / MIN_ENCODED_REQUESTS)) + 1))
 
 
-def _places_of(level: int) -> float:
-    return LEAST_PLACES * 2.0 ** ((level - 1) / LEVELS_PER_OCTAVE) if level else 0.0
+def _dequantize(level: int) -> float:
+    return MIN_ENCODED_REQUESTS * 2.0 ** ((level - 1) / LEVELS_PER_OCTAVE) if level else 0.0
 
 
 def decode_orders(payload: bytes) -> OrdersSummary:
@@ -146,34 +150,36 @@
         return OrdersSummary()
 
 
-def add_demand(summaries: Sequence[DemandSummary]) -> DemandSummary:
+def sum_demand(summaries: Sequence[DemandSummary]) -> DemandSummary:
     """Sum up what several hosts see."""
     total = DemandSummary()
     for summary in summaries:
         for version, seen in summary.versions.items():
             known = total.versions.get(version, VersionDemand())
             total.versions[version] = VersionDemand(
-                known.places + seen.places,
+                known.concurrent_requests + seen.concurrent_requests,
                 max(known.importance, seen.importance),
-                known.sessions or seen.sessions,
+                known.has_sessions or seen.has_sessions,
             )
-        for engine, versions in summary.open.items():
-            counts = total.open.setdefault(engine, {})
+        for engine, versions in summary.open_requests.items():
+            counts = total.open_requests.setdefault(engine, {})
             for name, count in versions.items():
                 counts[name] = counts.get(name, 0) + count
     # A zone that one host has not told of counts as not applied there.
-    zones = set.intersection(*(set(s.applied) for s in summaries)) if summaries else set()
-    total.applied = {zone: min(s.applied[zone] for s in summaries) for zone in sorted(zones)}
+    zones = set.intersection(*(set(s.applied_revisions) for s in summaries)) if summaries else set()
+    total.applied_revisions = {
+        zone: min(s.applied_revisions[zone] for s in summaries) for zone in sorted(zones)
+    }
     return total
 
 
 def _merge_demand(payloads: Sequence[bytes]) -> bytes:
-    return encode_demand(add_demand([decode_demand(payload) for payload in payloads]))
+    return encode_demand(sum_demand([decode_demand(payload) for payload in payloads]))
 
 
 def _merge_orders(payloads: Sequence[bytes]) -> bytes:
     summaries = [decode_orders(payload) for payload in payloads]
-    return msgspec.msgpack.encode(max(summaries, key=lambda s: s.stamp, default=OrdersSummary()))
+    return msgspec.msgpack.encode(max(summaries, key=lambda s: s.revision, default=OrdersSummary()))
 
 
 DEMAND_TOPIC = SummaryTopic("version-demand", _merge_demand)
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -6,9 +6,9 @@
 from poplarrun.billing import Bill
 from poplarrun.clients import Usage
 from poplarrun.contracts import ClientAccount, Unmet, Version, WorkClass
-from poplarrun.endpoints import Demand, Endpoint
+from poplarrun.endpoints import Endpoint, PromptProfile
 from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
-from poplarrun.orders import OpenWork
+from poplarrun.orders import OpenRequest
 from poplarrun.retries import GiveUp
 from poplarrun.router._chat_versions import ChatVersions, VersionPick
 from poplarrun.router._context import RouterContext
@@ -74,10 +74,10 @@
         """Ids of those requests."""
         return list(self._chats)
 
-    def list_open_work(self) -> list[OpenWork]:
+    def list_open_work(self) -> list[OpenRequest]:
         """Return what the open chats ask of the engines."""
         return [
-            OpenWork(
+            OpenRequest(
                 chat.version.id,
                 chat.work_class.importance,
                 chat.request.session is not None,
@@ -123,7 +123,7 @@
         self._chats[request.request_id] = chat
         start = self._dispatch.start(job, now)
         if isinstance(start, NoEndpoint):
-            self._context.demand.note_missed(
+            self._context.demand.record_missed(
                 pick.version.id, work_class.importance, request.session is not None
             )
         if isinstance(start, Refused | NoEndpoint):
@@ -328,7 +328,7 @@
         if self._context.limits is not None:
             expected = request.prompt_tokens + request.max_tokens
             used = usage.input_tokens + usage.output_tokens
-            self._context.limits.end(account, expected, used, amount)
+            self._context.limits.finish(account, expected, used, amount)
 
     def _give_up(
         self, chat: _Chat, kind: ErrorKind, message: str, retry_after_s: float | None = None
@@ -372,7 +372,7 @@
         work_class=work_class.name,
         importance=work_class.importance,
         version=version.id,
-        demand=Demand(request.prompt_tokens, request.blocks),
+        demand=PromptProfile(request.prompt_tokens, request.blocks),
         start_by=now + wait_s,
         deadline=now + targets.whole_s,
     )
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -95,7 +95,7 @@
 
     def spend_left(self, account: ClientAccount) -> float | None:
         """Return what an account may still spend through this host; None without a limit."""
-        return None if self.limits is None else self.limits.spend_left(account)
+        return None if self.limits is None else self.limits.remaining_spend(account)
 
     def check_limits(
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
--- a/poplarrun/router/_dispatch.py
+++ b/poplarrun/router/_dispatch.py
@@ -13,7 +13,7 @@
     Ticket,
 )
 from poplarrun.contracts import VersionId
-from poplarrun.endpoints import Choice, Demand, EndpointTable, Pool
+from poplarrun.endpoints import Choice, EndpointTable, Pool, PromptProfile
 from poplarrun.retries import (
     MAX_ATTEMPTS,
     MAX_STREAM_ATTEMPTS,
@@ -57,7 +57,7 @@
     work_class: str
     importance: int
     version: VersionId
-    demand: Demand
+    demand: PromptProfile
     start_by: float
     deadline: float
     attempts: int = 0
@@ -137,8 +137,8 @@
         assert job.choice is not None
         name = job.choice.endpoint.name
         self._admissions.of(job.version).in_flight -= 1
-        self._endpoints.note_ended(name, now)
-        self._endpoints.note_failure(name, now, reason)
+        self._endpoints.record_finished(name, now)
+        self._endpoints.record_failure(name, now, reason)
         job.started = job.started or started
         # Generating twice is harmless: the caller gets one answer and one bill.
         failed = FailedAttempt(
@@ -165,7 +165,7 @@
         assert job.choice is not None
         job.attempts -= 1
         self._admissions.of(job.version).in_flight -= 1
-        self._endpoints.note_ended(job.choice.endpoint.name, now)
+        self._endpoints.record_finished(job.choice.endpoint.name, now)
 
     def note_first_token(self, job: Job, now: float) -> None:
         """Learn from the time to a first token."""
@@ -187,11 +187,11 @@
             return
         name = job.choice.endpoint.name
         self._admissions.of(job.version).in_flight -= 1
-        self._endpoints.note_ended(name, now)
+        self._endpoints.record_finished(name, now)
         if self._held and job.waited_s <= MOST_WAIT_OF_FREED_S:
             self._freed.append((job.version, name))
         if whole:
-            self._endpoints.note_success(name)
+            self._endpoints.record_success(name)
             # From the first token on: the time in the endpoint's queue is not work.
             self._pool(job).speed.note_whole(now - (job.first_at or now) + job.choice.prefill_s)
 
@@ -208,7 +208,7 @@
             if endpoint is None or not len(admission.queue):
                 continue
             job = self._held[admission.queue.peek().request_id]
-            choice = self._endpoints.choose_this(version, endpoint, now, job.demand)
+            choice = self._endpoints.evaluate_engine(version, endpoint, now, job.demand)
             if choice is not None and admission.may_pass_on(
                 self._load(job, choice), job.importance, now
             ):
@@ -250,7 +250,7 @@
         """
         pool = self._endpoints.pool(version)
         waits = self._admissions.of(version).backlog_s(now) > BACKLOG_S
-        if waits and pool.is_full_of_others(now):
+        if waits and pool.is_saturated_by_others(now):
             self._full_until[version] = now + FULL_FOR_S
         return now < self._full_until.get(version, 0.0)
 
@@ -260,7 +260,7 @@
         job.sent_at = now + delay_s
         job.tried.add(choice.endpoint.name)
         self._admissions.of(job.version).in_flight += 1
-        self._endpoints.note_sent(choice.endpoint.name, now, job.version, job.demand.blocks)
+        self._endpoints.record_sent(choice.endpoint.name, now, job.version, job.demand.blocks)
         return Sent(choice, delay_s)
 
     def _load(self, job: Job, choice: Choice) -> PlaceLoad:
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -8,8 +8,8 @@
 from poplarrun.claims import (
     RETENTION_S,
     Claim,
-    ClaimKeeper,
-    Holding,
+    ClaimManager,
+    KeyState,
     KnownOutcome,
     Lost,
     Outcome,
@@ -20,9 +20,9 @@
     Unsettled,
     Voided,
     Won,
+    derive_outcome,
     issued_at,
-    make_ran,
-    read_outcome,
+    make_ran_result,
 )
 from poplarrun.contracts import ClientAccount, Operation, WithoutKey
 from poplarrun.errors import ErrorKind, Refusal
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, context: RouterContext) -> None:
-        self.keeper: ClaimKeeper | None = None
+        self.keeper: ClaimManager | None = None
         self.peers: Peers | None = None
         self._context = context
         self._now: Callable[[], float] = time.monotonic
@@ -139,7 +139,7 @@
         call = self._calls[failure.request_id]
         now = self._now()
         self._note_attempt_end(call)
-        self._context.endpoints.note_failure(call.endpoint, now, failure.reason)
+        self._context.endpoints.record_failure(call.endpoint, now, failure.reason)
         call.explanation.attempts.append(f"{call.endpoint}: {failure.reason}")
         failed = FailedAttempt(
             call.attempts, call.is_sent, call.operation.idempotent, call.deadline - now
@@ -158,11 +158,11 @@
         """Close a call that was answered: keep its answer, and make its bill."""
         call = self._close(end.request_id)
         self._note_attempt_end(call, self._now() - call.sent_at)
-        self._context.endpoints.note_success(call.endpoint)
+        self._context.endpoints.record_success(call.endpoint)
         ran = end.answer.status < FIRST_ERROR_STATUS
         call.explanation.outcome = "ran" if ran else "refused by the service"
         if call.claim is not None and self.keeper is not None:
-            answer = make_ran(end.answer.status, end.answer.content_type, end.answer.body)
+            answer = make_ran_result(end.answer.status, end.answer.content_type, end.answer.body)
             self.keeper.settle(_outcome(call.claim, answer))
         if not ran:
             return None
@@ -170,7 +170,7 @@
             end.request_id, call.account.name, call.explanation.subject, call.operation.price
         )
         if self._context.limits is not None:
-            self._context.limits.note_spend(call.account, bill.amount)
+            self._context.limits.record_spend(call.account, bill.amount)
         return self._context.add_bill(bill, call.explanation)
 
     async def find(self, message: FindOperation) -> KnownOutcome | Refusal:
@@ -183,7 +183,7 @@
         if self.keeper is None or self.peers is None:
             return self._context.refuse(ErrorKind.NOT_READY, "this host keeps no claims yet")
         found = await self.keeper.find(account.name, message.key)
-        outcome = read_outcome(self._newest(found.holding), self.peers.live())
+        outcome = derive_outcome(self._newest(found.state), self.peers.live())
         if not found.is_current and outcome.kind is OutcomeKind.NOT_RUN:
             text = "the log does not answer, so nothing can be told of this key; ask again"
             return self._context.refuse(ErrorKind.OPERATION_OUTCOME_UNKNOWN, text)
@@ -281,13 +281,13 @@
         match verdict:
             case Won():
                 return self._choose_within_limits(call)
-            case Taken(holding=holding):
+            case Taken(state=holding):
                 call.claim = None
                 if holding is not None and holding.claim.fingerprint != claim.fingerprint:
                     message = "the key was used for another operation or body"
                     return self._refuse(call, ErrorKind.IDEMPOTENCY_KEY_REUSED, message)
-                return self._repeat(call, read_outcome(self._newest(holding), self.peers.live()))
-            case Unsettled(may_stand=may_stand):
+                return self._repeat(call, derive_outcome(self._newest(holding), self.peers.live()))
+            case Unsettled(may_be_logged=may_stand):
                 if not may_stand:
                     call.claim = None
                 message = "the log did not confirm the claim; repeat with the same key"
@@ -295,13 +295,13 @@
             case Voided():
                 raise AssertionError("only this host voids its claims, and did not yet")
 
-    def _newest(self, holding: Holding | None) -> Holding | None:
+    def _newest(self, holding: KeyState | None) -> KeyState | None:
         """Add an outcome of this host that the log doesn't hold yet."""
         if holding is None or self.keeper is None:
             return holding
-        match self.keeper.settled_here(holding.claim.id):
+        match self.keeper.find_unsettled(holding.claim.id):
             case Outcome(result=result):
-                return Holding(holding.claim, result)
+                return KeyState(holding.claim, result)
         return holding
 
     def _repeat(self, call: _Call, outcome: KnownOutcome) -> Replay | Refusal:
@@ -321,7 +321,7 @@
     def _note_attempt_end(self, call: _Call, took_s: float | None = None) -> None:
         now = self._now()
         self._context.service_limit(call.request.service).note_end(took_s, now)
-        self._context.endpoints.note_ended(call.endpoint, now)
+        self._context.endpoints.record_finished(call.endpoint, now)
 
     def _choose(self, call: _Call, delay_s: float = 0.0) -> OperationGrant | Refusal:
         name_and_address = self._choose_endpoint(call)
@@ -335,7 +335,7 @@
         call.tried.add(call.endpoint)
         call.sent_at = self._now() + delay_s
         self._context.service_limit(call.request.service).note_sent()
-        self._context.endpoints.note_sent(call.endpoint, self._now())
+        self._context.endpoints.record_sent(call.endpoint, self._now())
         return OperationGrant(call.endpoint, address, call.operation, delay_s)
 
     def _choose_endpoint(self, call: _Call) -> tuple[str, str] | None:
--- a/poplarrun/server/_bodies.py
+++ b/poplarrun/server/_bodies.py
@@ -134,7 +134,7 @@
     body: dict[str, Any] = {"key": key, "outcome": outcome.kind.value}
     if outcome.ran is not None:
         ran = outcome.ran
-        text = ran.body.decode(errors="replace") if ran.is_kept else None
+        text = ran.body.decode(errors="replace") if ran.has_full_body else None
         body["answer"] = {"status": ran.status, "content_type": ran.content_type, "body": text}
     return msgspec.json.encode(body)
 
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -6,7 +6,7 @@
 
 import cherrypy
 
-from poplarrun.claims import KnownOutcome, OutcomeKind, Ran, fingerprint_of
+from poplarrun.claims import KnownOutcome, OutcomeKind, Ran, compute_fingerprint
 from poplarrun.clients import Engine, ServiceAnswer, ServiceCaller, Usage, hash_blocks
 from poplarrun.errors import ErrorKind, Refusal, answer_for
 from poplarrun.router import BeginChat, BeginOperation, FindOperation
@@ -161,7 +161,7 @@
             refusal = Refusal(ErrorKind.INVALID_REQUEST, message, IDEMPOTENCY_HEADER)
             self._crossing.ask(refusal)
             return send_refusal(refusal)
-        fingerprint = fingerprint_of(service, operation, data) if key else b""
+        fingerprint = compute_fingerprint(service, operation, data) if key else b""
         request = BeginOperation(new_request_id(), read_key(), service, operation, key, fingerprint)
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
         content_type = cherrypy.request.headers.get("Content-Type", JSON)
@@ -190,7 +190,7 @@
 def _send_replay(key: str, ran: Ran) -> bytes:
     """Give the recorded answer again; an outcome where the answer was too large to keep."""
     cherrypy.response.headers[REPLAY_HEADER] = "true"
-    if ran.is_kept:
+    if ran.has_full_body:
         return _send_answer(ran.status, ran.content_type, ran.body)
     return send_json(render_outcome(key, KnownOutcome(OutcomeKind.RAN, ran)), ran.status)
 
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -78,8 +78,8 @@
             return False
         if self._clock() - self.list_seen_at > FIRST_REPORTS_BOUND_S:
             return True
-        engines = [e for e in self._endpoints.all() if e.kind is HostKind.MODEL_ENGINE]
-        return all(e.true_at > -math.inf or e.failures > 0 for e in engines)
+        engines = [e for e in self._endpoints.list_endpoints() if e.kind is HostKind.MODEL_ENGINE]
+        return all(e.measured_at > -math.inf or e.consecutive_failures > 0 for e in engines)
 
     async def follow_host_list(self) -> None:
         """Take over the platform's host list."""
@@ -87,14 +87,14 @@
             case ListUnavailable():
                 self._metrics.count_event("host_list_failed")
             case listed:
-                self._endpoints.apply_list(listed, self._clock())
+                self._endpoints.apply_host_list(listed, self._clock())
                 self.entry_hosts.take(listed, self._peers.zones(), self._clock())
                 self.list_seen_at = self.list_seen_at or self._clock()
 
     async def poll_loads(self) -> None:
         """Ask the engines that fall to this host for their loads."""
-        self._sharing.assign()
-        polled = self._sharing.list_polled(self._clock())
+        self._sharing.update_assignment()
+        polled = self._sharing.list_engines_to_poll(self._clock())
         await asyncio.gather(*(self._poll_load(engine) for engine in polled))
 
     async def _poll_load(self, endpoint: Endpoint) -> None:
@@ -102,25 +102,25 @@
         match await self._in_thread(self._engine.report_load, endpoint.address):
             case LoadReport() as report:
                 now = self._clock()
-                self._endpoints.note_link(endpoint.zone, now - began)
+                self._endpoints.observe_link_latency(endpoint.zone, now - began)
                 self._endpoints.apply_report(endpoint.name, report, now)
             case EngineFailed(reason=reason):
                 self._metrics.count_event("load_report_failed")
-                self._endpoints.note_failure(endpoint.name, self._clock(), reason)
+                self._endpoints.record_failure(endpoint.name, self._clock(), reason)
 
     async def share_loads(self) -> None:
         """Pass on the loads polled here, and take in what others passed on."""
         now = self._clock()
         self._sharing.publish(now)
-        self._sharing.take_in(now)
+        self._sharing.apply_published(now)
 
     async def poll_cache_events(self) -> None:
         """Ask the engines that this host follows for their cache events."""
-        followed = self._sharing.list_followed()
+        followed = self._sharing.list_event_sources()
         await asyncio.gather(*(self._poll_events(engine) for engine in followed))
 
     async def _poll_events(self, endpoint: Endpoint) -> None:
-        after = self._endpoints.prefixes.last_number(endpoint.name)
+        after = self._endpoints.prefixes.last_event_number(endpoint.name)
         match await self._in_thread(self._engine.list_cache_events, endpoint.address, after):
             case EngineFailed():
                 self._metrics.count_event("cache_events_failed")
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -9,8 +9,8 @@
 from typing import Any, TypeVar
 
 from poplarrun.admission import Held
-from poplarrun.billing import Bill, BillKeeper, BillSnapshots
-from poplarrun.claims import ClaimKeeper
+from poplarrun.billing import Bill, BillReplicator, BillSnapshots
+from poplarrun.claims import ClaimManager
 from poplarrun.clients import (
     Engine,
     HostList,
@@ -30,8 +30,8 @@
 from poplarrun.endpoints import EndpointTable
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.hosts import Peers
-from poplarrun.leases import LeaseKeeper
-from poplarrun.limits import ROUND_S, AccountLimits
+from poplarrun.leases import LeaseManager
+from poplarrun.limits import ROUND_INTERVAL_S, AccountLimits
 from poplarrun.log import Log, ThreadedLog
 from poplarrun.logs import part_logger
 from poplarrun.metrics import Metrics
@@ -139,12 +139,12 @@
         )
         awaited_log = ThreadedLog(log, self._in_thread)
         count = self.metrics.count_event
-        self.claims = ClaimKeeper(self.peers, awaited_log, clock, time.time, count)
-        self.billing = BillKeeper(self.peers, awaited_log, clock, time.time, count)
+        self.claims = ClaimManager(self.peers, awaited_log, clock, time.time, count)
+        self.billing = BillReplicator(self.peers, awaited_log, clock, time.time, count)
         self._bill_snapshots = BillSnapshots(self.peers, awaited_log, clock, time.time, count)
         bias = settings.platform.ratings_bias
         versions = Versions(self.peers.me, random.Random(settings.name), bias)
-        self.leases = LeaseKeeper(
+        self.leases = LeaseManager(
             awaited_log,
             self.peers,
             self.metrics,
@@ -209,11 +209,11 @@
             (self._endpoint_tasks.poll_loads, LOAD_POLL_S),
             (self._endpoint_tasks.share_loads, LOAD_SHARE_S),
             (self._endpoint_tasks.poll_cache_events, EVENTS_POLL_S),
-            (self._share_limits, ROUND_S),
-            (self.claims.tend, TEND_CLAIMS_S),
-            (self.leases.tend, TEND_LEASES_S),
-            (self.billing.tend, TEND_BILLS_S),
-            (self._bill_snapshots.tend, TEND_BILL_SNAPSHOTS_S),
+            (self._share_limits, ROUND_INTERVAL_S),
+            (self.claims.write_due_snapshots, TEND_CLAIMS_S),
+            (self.leases.run_round, TEND_LEASES_S),
+            (self.billing.run_round, TEND_BILLS_S),
+            (self._bill_snapshots.write_due_snapshots, TEND_BILL_SNAPSHOTS_S),
             (self._version_tasks.exchange_evidence, EVIDENCE_PERIOD_S),
             (self._version_tasks.run_steward, STEWARD_PERIOD_S),
             (self._version_tasks.rate_answers, RATINGS_POLL_S),
@@ -239,7 +239,7 @@
 
     def _borrow_limits(self) -> None:
         for account in self.router.context.limited_accounts:
-            wanted = self._limits.missing(account)
+            wanted = self._limits.compute_shortfall(account)
             if wanted is not None:
                 self._tasks.spawn(self._limits.borrow(wanted))
         self.router.context.limited_accounts.clear()
@@ -247,13 +247,13 @@
     def _hand_entries_on(self) -> None:
         context = self.router.context
         for bill in context.opened:
-            self.billing.open(bill)
+            self.billing.open_bill(bill)
         for bill_id in context.closed:
-            self.billing.drop(bill_id)
+            self.billing.cancel_bill(bill_id)
         context.opened, context.closed = [], []
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
-        await asyncio.gather(*(self.billing.keep(bill) for bill in bills))
+        await asyncio.gather(*(self.billing.replicate(bill) for bill in bills))
         return answer
 
     def _answer(self, message: object) -> Any:
@@ -377,7 +377,7 @@
     async def _share_limits(self) -> None:
         accounts = self.router.context.configuration.document.accounts.values()
         if self.router.context.configuration.offset >= 0:
-            await self._limits.begin(accounts)
+            await self._limits.request_initial_shares(accounts)
         self._limits.close_round(accounts, self._clock(), time.time())
 
     def _list_classes(self, message: ListClasses) -> list[str] | Refusal:
@@ -398,7 +398,7 @@
             offset=configuration.offset,
             log_age_s=round(now - self.config.log_answered_at, 3),
             open_requests=self.router.open_requests,
-            endpoints=tuple(read_endpoint(e, now) for e in self._endpoints.all()),
+            endpoints=tuple(read_endpoint(e, now) for e in self._endpoints.list_endpoints()),
             withdrawn=tuple(sorted(configuration.withdrawn)),
             refusals=dict(self.metrics.refusal_counts),
             zones=read_zones(self.peers, self._endpoint_tasks.entry_hosts),
@@ -406,7 +406,7 @@
             peer_bytes_received=self.peers.bytes_received,
             rollouts=self._version_tasks.read_rollouts(),
             bills_held=self.billing.size,
-            bills_waiting=self.billing.waiting,
-            outcomes_waiting=self.claims.unsettled,
+            bills_waiting=self.billing.unlogged_count,
+            outcomes_waiting=self.claims.unsettled_count,
             orders=self._order_tasks.read_status(),
         )
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -21,27 +21,27 @@
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import Endpoint
 from poplarrun.hosts import Peers
-from poplarrun.leases import Lease, LeaseKeeper
+from poplarrun.leases import Lease, LeaseManager
 from poplarrun.logs import part_logger
 from poplarrun.metrics import Metrics
 from poplarrun.orders import (
     DEMAND_TOPIC,
-    DWELL_S,
+    MIN_RESIDENCE_TIME_S,
     ORDERS_TOPIC,
     DemandSummary,
+    DrainRevision,
     FetchWeights,
-    Need,
-    OpenWork,
-    OrderHolder,
+    OpenRequest,
+    OrderController,
     OrdersSummary,
     SendOrder,
-    Stamp,
     VersionDemand,
-    add_demand,
+    VersionNeed,
     decode_demand,
     decode_orders,
     encode_demand,
     hash_version,
+    sum_demand,
 )
 from poplarrun.router import RouterContext
 from poplarrun.server._messages import OrdersStatus
@@ -60,7 +60,7 @@
 class OpenRequests(Protocol):
     """Who knows the host's open requests."""
 
-    def list_open_work(self) -> list[OpenWork]:
+    def list_open_work(self) -> list[OpenRequest]:
         """Return what the open requests ask of the engines."""
 
 
@@ -84,7 +84,7 @@
         context: RouterContext,
         chats: OpenRequests,
         peers: Peers,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         orders: Orders,
         store: WeightStore | None,
         metrics: Metrics,
@@ -108,7 +108,7 @@
         self._no_orders_until: dict[str, float] = {}
         self._beside: set[asyncio.Task[None]] = set()
         self._heard: dict[str, OrdersSummary] = {}
-        self.holder = OrderHolder(random.Random(peers.me.name))
+        self.holder = OrderController(random.Random(peers.me.name))
         self._log = part_logger("orders")
 
     def read_status(self) -> tuple[OrdersStatus, ...]:
@@ -116,10 +116,10 @@
         return tuple(
             OrdersStatus(
                 zone,
-                summary.stamp.fence,
+                summary.revision.fence,
                 summary.draining,
-                summary.coming,
-                tuple(summary.without_room),
+                summary.load_times_s,
+                tuple(summary.unplaced),
             )
             for zone, summary in sorted(self._heard.items())
         )
@@ -134,7 +134,9 @@
         open_work = self._chats.list_open_work()
         self._context.demand.close_round(open_work, now)
         summary = self._context.demand.summarize(now)
-        summary.applied = {zone: h.stamp for zone, h in self._heard.items() if h.draining}
+        summary.applied_revisions = {
+            zone: h.revision for zone, h in self._heard.items() if h.draining
+        }
         draining = {
             (engine, version)
             for heard in self._heard.values()
@@ -143,7 +145,7 @@
         }
         for work in open_work:
             if (work.engine, str(work.version)) in draining:
-                counts = summary.open.setdefault(work.engine, {})
+                counts = summary.open_requests.setdefault(work.engine, {})
                 counts[str(work.version)] = counts.get(str(work.version), 0) + 1
         self._peers.publish(DEMAND_TOPIC, encode_demand(summary))
 
@@ -153,7 +155,7 @@
             await self._probe()
         lease = self._leases.find(self._job)
         if lease is None or not self._context.configuration.document.versions:
-            self.holder.rest()
+            self.holder.reset()
             if self._tells:
                 self._publish_orders(OrdersSummary())
                 self._tells = False
@@ -162,7 +164,7 @@
         # The look took time: the lease may have lapsed meanwhile.
         lease = self._leases.find(self._job)
         is_due = self._clock() >= self._next_plan_at
-        if lease and is_due and self.holder.has_looked_at(e.name for e in self._engines()):
+        if lease and is_due and self.holder.has_polled(e.name for e in self._engines()):
             await self._act(lease)
 
     def _engines(self) -> list[Endpoint]:
@@ -170,10 +172,10 @@
         now = self._clock()
         return [
             e
-            for e in self._context.endpoints.all()
+            for e in self._context.endpoints.list_endpoints()
             if e.kind is HostKind.MODEL_ENGINE
             and e.zone == self._zone
-            and not e.leaving
+            and not e.is_leaving
             and self._no_orders_until.get(e.name, 0.0) <= now
         ]
 
@@ -182,7 +184,7 @@
         await self._look_at(self._engines()[:PROBED_AT_ONCE])
         if self.holder.engines:
             self._stands = True
-            self._leases.want(self._job, zone=self._zone)
+            self._leases.campaign_for(self._job, zone=self._zone)
 
     async def _look(self) -> None:
         """Read the engines that are due."""
@@ -190,7 +192,7 @@
         for name in set(self.holder.engines) - engines.keys():
             self.holder.forget(name)
         reported = {name: e.versions for name, e in engines.items()}
-        due = self.holder.list_due(reported, self._clock())
+        due = self.holder.list_engines_to_poll(reported, self._clock())
         await self._look_at([engines[name] for name in due[:LOOKED_AT_ONCE]])
 
     async def _look_at(self, engines: list[Endpoint]) -> None:
@@ -199,19 +201,19 @@
     async def _read_models(self, engine: Endpoint) -> None:
         match await self._in_thread(self._orders.read_models, engine.address):
             case EngineModels() as models:
-                self.holder.take_models(engine.name, models, self._clock())
+                self.holder.apply_models(engine.name, models, self._clock())
             case TakesNoOrders():
                 self._no_orders_until[engine.name] = self._clock() + NO_ORDERS_S
                 self.holder.forget(engine.name)
             case _:
                 self._metrics.count_event("engine_models_unread")
-                self.holder.note_silent(engine.name, self._clock())
+                self.holder.record_no_answer(engine.name, self._clock())
 
     async def _act(self, lease: Lease) -> None:
         """Plan, tell the drains, and hand out what is due."""
         engines = {e.name: e for e in self._engines()}
         gathered = self._demand()
-        own = add_demand(list(gathered.values()))
+        own = sum_demand(list(gathered.values()))
         everywhere = [*gathered.values(), *self._other_zones()]
         places = {name: e.capacity for name, e in engines.items()}
         now = self._clock()
@@ -239,7 +241,7 @@
         match await self._in_thread(self._orders.send, engine.address, action.order):
             case OrderTaken():
                 self._metrics.count_event("order_sent")
-                self.holder.note_taken(engine.name, action.order)
+                self.holder.record_accepted_order(engine.name, action.order)
                 self._log.info(
                     "Order sent.",
                     extra={"engine": engine.name, **msgspec.to_builtins(action.order)},
@@ -247,7 +249,7 @@
             case OrderFenced():
                 self._metrics.count_event("order_refused_fence")
                 self._log.warning("Order refused.", extra={"engine": engine.name})
-                await self._leases.tend()
+                await self._leases.run_round()
             case _:
                 self._metrics.count_event("order_failed")
 
@@ -257,7 +259,7 @@
         if self._store is not None:
             refusal = await self._in_thread(self._store.fetch, version, action.engine)
         self._metrics.count_event(f"weights_{refusal}" if refusal else "weights_handed_out")
-        self.holder.note_weights(action.engine, action.version, refusal, self._clock())
+        self.holder.record_weights_answer(action.engine, action.version, refusal, self._clock())
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -272,16 +274,16 @@
         gathered = self._peers.gathered(ORDERS_TOPIC)
         own = [decode_orders(payload) for payload in gathered.own_zone.values()]
         heard = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
-        heard[self._zone] = max(own, key=lambda s: s.stamp, default=OrdersSummary())
-        self._heard = {zone: s for zone, s in heard.items() if s.stamp != Stamp()}
+        heard[self._zone] = max(own, key=lambda s: s.revision, default=OrdersSummary())
+        self._heard = {zone: s for zone, s in heard.items() if s.revision != DrainRevision()}
         retired: dict[str, frozenset[VersionId]] = {}
         for summary in self._heard.values():
             for engine, versions in summary.draining.items():
                 retired[engine] = frozenset(VersionId.parse(version) for version in versions)
-        self._context.endpoints.retire(retired)
+        self._context.endpoints.set_retired_versions(retired)
         own_zone = self._heard.get(self._zone, OrdersSummary())
-        # Room is given up after DWELL_S at the earliest.
-        waits = {**dict.fromkeys(own_zone.without_room, DWELL_S), **own_zone.coming}
+        # Room is given up after MIN_RESIDENCE_TIME_S at the earliest.
+        waits = {**dict.fromkeys(own_zone.unplaced, MIN_RESIDENCE_TIME_S), **own_zone.load_times_s}
         self._context.coming = {VersionId.parse(v): seconds for v, seconds in waits.items()}
 
     def _demand(self) -> dict[str, DemandSummary]:
@@ -296,7 +298,7 @@
         payloads = self._peers.gathered(DEMAND_TOPIC).other_zones
         return [decode_demand(p) for zone, p in payloads.items() if zone not in silent]
 
-    def _needs(self, demand: DemandSummary) -> list[Need]:
+    def _needs(self, demand: DemandSummary) -> list[VersionNeed]:
         """Return what the zone needs: every version that is offered, and how much."""
         configuration = self._context.configuration
         on_trial = {
@@ -309,5 +311,9 @@
             if not configuration.is_withdrawn(version):
                 seen = demand.versions.get(hash_version(version), VersionDemand())
                 trial = version in on_trial
-                needs.append(Need(version, seen.places, seen.importance, seen.sessions, trial))
+                needs.append(
+                    VersionNeed(
+                        version, seen.concurrent_requests, seen.importance, seen.has_sessions, trial
+                    )
+                )
         return needs
--- a/poplarrun/server/_readiness.py
+++ b/poplarrun/server/_readiness.py
@@ -1,6 +1,6 @@
 """Whether a host takes requests now, and the refusals of one that doesn't."""
 
-from poplarrun.billing import BillKeeper
+from poplarrun.billing import BillReplicator
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.limits import AccountLimits
 from poplarrun.router import Router
@@ -38,7 +38,7 @@
         router: Router,
         endpoint_tasks: EndpointTasks,
         version_tasks: VersionTasks,
-        billing: BillKeeper,
+        billing: BillReplicator,
         limits: AccountLimits,
         has_peers: bool,
     ) -> None:
@@ -62,7 +62,7 @@
         missing = self._list_unserved()
         if not self._endpoint_tasks.knows_engines():
             missing.append("reports of the engines")
-        if self._has_peers and not self._limits.has_begun:
+        if self._has_peers and not self._limits.has_initial_shares:
             missing.append("first parts of the account limits")
         if self.leaving:
             missing.append("the host is leaving")
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any
 
-from poplarrun.billing import Bill, KeptBy
+from poplarrun.billing import Bill, BillDurability
 from poplarrun.clients import Usage
 from poplarrun.config import Configuration, Verdict
 from poplarrun.contracts import VersionId
@@ -97,7 +97,7 @@
             (self._endpoint_tasks.follow_host_list, 2.0),
             (self._endpoint_tasks.poll_loads, 1.0),
             (self._endpoint_tasks.share_loads, 1.0),
-            (self.billing.tend, 1.0),
+            (self.billing.run_round, 1.0),
         ):
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
@@ -132,13 +132,13 @@
 
     def _note_finished(self) -> None:
         """Write down the bills that this host finishes for one that it takes for dead."""
-        finish = self.billing._finish
+        finish = self.billing._adopt_orphans
 
         def note(orphans: Any) -> None:
             self._place.history.finished_by_peers.update(bill.id for bill in orphans.bills)
             finish(orphans)
 
-        self.billing._finish = note  # type: ignore[method-assign]
+        self.billing._adopt_orphans = note  # type: ignore[method-assign]
 
     def _note_openings(self, peers: ChatPeers) -> None:
         """Write down the homes that are out of a host's sight when it opens a session."""
@@ -163,10 +163,10 @@
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._place.history.kept_alone.add(bill.id)
             hosts = self._place.hosts.values()
-            holders = tuple(h.process for h in hosts if h.product.billing.holds(bill.id))
+            holders = tuple(h.process for h in hosts if h.product.billing.has_bill(bill.id))
             self._place.world.keeps.append(Keep(bill.id, now(), holders))
         return answer
 
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -4,8 +4,8 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from poplarrun.billing import BillKeeper, KeptBy
-from poplarrun.claims import ClaimKeeper, fingerprint_of
+from poplarrun.billing import BillDurability, BillReplicator
+from poplarrun.claims import ClaimManager, compute_fingerprint
 from poplarrun.clients import HostKind, HostState, ListedHost, ServiceAnswer
 from poplarrun.config import Configuration
 from poplarrun.contracts import Document, hash_key, parse_document
@@ -78,7 +78,7 @@
         self._service = SimService(world)
         log = SimLog(world, name)
         endpoints = EndpointTable(self.zone, random.Random(f"{name}{incarnation}"))
-        endpoints.apply_list(ENDPOINTS)
+        endpoints.apply_host_list(ENDPOINTS)
         # Without a source of its own the router's back-off would differ from run to run.
         source = random.Random(f"router {name}{incarnation}")
         versions = Versions(me, random.Random(name))
@@ -86,8 +86,8 @@
         self._router.context.configuration = Configuration(offset=0, document=_document())
         self._operations = self._router.operations
         self._operations.use_times(now, wall)
-        self.claims = ClaimKeeper(self.peers, log, now, wall)
-        self.billing = BillKeeper(self.peers, log, now, wall)
+        self.claims = ClaimManager(self.peers, log, now, wall)
+        self.billing = BillReplicator(self.peers, log, now, wall)
         self._operations.keeper = self.claims
         self._operations.peers = self.peers
         spawn(self.process, self.tend)
@@ -95,7 +95,7 @@
     async def run(self, request_id: str, key: str, reached: Reached) -> Answer:
         """Run one request as a worker does, and record what its caller is told."""
         await reached(self, "before claim")
-        fingerprint = fingerprint_of(SERVICE, OPERATION, key.encode())
+        fingerprint = compute_fingerprint(SERVICE, OPERATION, key.encode())
         request = BeginOperation(request_id, API_KEY, SERVICE, OPERATION, key, fingerprint)
         self._world.history.deadlines[request_id] = now() + TIMEOUT_S
         step = await self._operations.begin(request)
@@ -120,16 +120,16 @@
     async def tend(self) -> None:
         """Tend the bills for ever, as the host's task does."""
         while True:
-            await self.billing.tend()
+            await self.billing.run_round()
             await asyncio.sleep(1.0)
 
     async def _keep_bills(self) -> None:
         context = self._router.context
         bills, context.bills = context.bills, []
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._world.history.kept_alone.add(bill.id)
-            holders = tuple(h.process for h in self._all.values() if h.billing.holds(bill.id))
+            holders = tuple(h.process for h in self._all.values() if h.billing.has_bill(bill.id))
             self._world.keeps.append(Keep(bill.id, now(), holders))
 
     async def _exchange(
--- a/standins/histories/_schedule.py
+++ b/standins/histories/_schedule.py
@@ -252,7 +252,7 @@
             keep.bill_id for keep in self.world.keeps if all_died(keep)
         }
         self.world.injected["bills finished for a dead host"] = sum(
-            h.billing.finished for h in self.hosts.values()
+            h.billing.finished_for_peers for h in self.hosts.values()
         )
 
     async def _call(self, key: str, at: float) -> None:
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -17,10 +17,10 @@
 from poplarrun.contracts import Document, Price, Stage, Version, VersionId
 from poplarrun.endpoints import EndpointTable
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.leases import LeaseKeeper
+from poplarrun.leases import LeaseManager
 from poplarrun.log import AppendOutcome, AppendRefused, MemoryLog, ReadFailed, ReadOutcome
 from poplarrun.metrics import Metrics
-from poplarrun.orders import OpenWork
+from poplarrun.orders import OpenRequest
 from poplarrun.router import RouterContext
 from poplarrun.server._order_tasks import OrderTasks
 from poplarrun.versions import Versions
@@ -63,7 +63,7 @@
 
     def __init__(self, world: "OrderWorld", name: str) -> None:
         self.name, self.zone = name, name[0]
-        self.open_work: list[OpenWork] = []
+        self.open_work: list[OpenRequest] = []
         self.paused = self.dead = self.stuck = False
         self._world = world
         self.peers = MemoryPeers(world.network, Peer(name, self.zone, REGION, 1))
@@ -71,9 +71,9 @@
         self.metrics = Metrics()
         source = random.Random(name)
         clock = world.loop.time
-        self.leases = LeaseKeeper(self.way, self.peers, self.metrics, source, clock)
+        self.leases = LeaseManager(self.way, self.peers, self.metrics, source, clock)
         self.table = EndpointTable(self.zone, source)
-        self.table.apply_list(world.listed)
+        self.table.apply_host_list(world.listed)
         self.context = RouterContext(self.table, self.metrics, Versions(self.peers.me, source))
         self.tasks = OrderTasks(
             self.context, self, self.peers, self.leases, world.orders, world.store,
@@ -81,14 +81,14 @@
         )  # fmt: skip
         self.report()
         for step, period_s in (
-            (self.leases.tend, LEASES_S),
+            (self.leases.run_round, LEASES_S),
             (self._take_reports, REPORTS_S),
             (self.tasks.share_demand, ORDERS_S),
             (self.tasks.run_orders, ORDERS_S),
         ):
             world.loop.create_task(self._repeat(step, period_s))
 
-    def list_open_work(self) -> list[OpenWork]:
+    def list_open_work(self) -> list[OpenRequest]:
         """Return the open requests."""
         return self.open_work
 
