--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -18,7 +18,16 @@
 from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_share
 from poplarrun.placement import Listing, Placement
 from poplarrun.platform import decode_catalogue
-from poplarrun.routing import Pace, PromptPart, Repeat, Request, Route, Service, Share, Work
+from poplarrun.routing import (
+    InFlightRequest,
+    LatencyTargets,
+    PromptPart,
+    RepeatPolicy,
+    Request,
+    Route,
+    Service,
+    ServiceWeight,
+)
 
 COMMAND = "python -m bench.gateway"
 ENDPOINT_COUNTS = (12, 100, 400, 830)
@@ -27,8 +36,8 @@
 ROUNDS = 400
 REPETITIONS = 5
 ENGINES = Service("engines", 100, 64, 400_000)
-PACE = Pace(10.0, 2.0)
-ROUTE = Route("r", "h", "/", Repeat.STREAM, PACE, 1, (Share("engines", 1.0),), 3)
+PACE = LatencyTargets(10.0, 2.0)
+ROUTE = Route("r", "h", "/", RepeatPolicy.STREAM, PACE, 1, (ServiceWeight("engines", 1.0),), 3)
 # Lines of one good request: admitted, sent, answered.
 LINES_A_REQUEST = 3
 # Requests a second of one host today, and ten times that.
@@ -45,11 +54,11 @@
     ]
 
 
-def make_work(number: int) -> Work:
+def make_work(number: int) -> InFlightRequest:
     """Return a request with a beginning that others share."""
     parts = (PromptPart(f"p{number % 90}", 13_000), PromptPart(f"own{number}", 3_700))
-    request = Request(f"r{number}", b"POST", b"/", "h", (), b"", 10.0, parts=parts)
-    return Work(request, ROUTE, None, "engines", 0.0, 10.0)
+    request = Request(f"r{number}", b"POST", b"/", "h", (), b"", 10.0, prompt_parts=parts)
+    return InFlightRequest(request, ROUTE, None, "engines", 0.0, 10.0)
 
 
 def time_us(step: Callable[[int], object]) -> float:
--- a/bench/gateway_load.py
+++ b/bench/gateway_load.py
@@ -5,7 +5,7 @@
 from bench.figures import Figure, report
 from bench.gateway_world import Load, Policy, Tally, World
 from poplarrun.placement import Placement, Seat
-from poplarrun.routing import Work
+from poplarrun.routing import InFlightRequest
 from poplarrun.sizes import SizePolicy
 
 LOADS = (
@@ -19,21 +19,21 @@
 class RandomPlacement(Placement):
     """A baseline: any engine."""
 
-    def _pick(self, seats: list[Seat], work: Work) -> Seat:
+    def _pick(self, seats: list[Seat], work: InFlightRequest) -> Seat:
         return self._random.choice(seats)
 
 
 class LeastLoadedPlacement(Placement):
     """A baseline: the engine that runs the fewest requests, by its last word."""
 
-    def _pick(self, seats: list[Seat], work: Work) -> Seat:
+    def _pick(self, seats: list[Seat], work: InFlightRequest) -> Seat:
         return min(seats, key=lambda seat: seat.member.load)
 
 
 class OwnZonePlacement(Placement):
     """A baseline: engines of the own zone only."""
 
-    def _pick(self, seats: list[Seat], work: Work) -> Seat:
+    def _pick(self, seats: list[Seat], work: InFlightRequest) -> Seat:
         near = [seat for seat in seats if seat.member.listing.zone == self._zone]
         return super()._pick(near or seats, work)
 
@@ -45,11 +45,11 @@
         super().__init__()
         self._place = place
 
-    def first(self, work: Work) -> str | None:
+    def first(self, work: InFlightRequest) -> str | None:
         """Return the one model."""
         return work.route.sizes[self._place]
 
-    def largest(self, work: Work) -> str | None:
+    def largest(self, work: InFlightRequest) -> str | None:
         """Ask no other one."""
         return None
 
--- a/bench/gateway_world.py
+++ b/bench/gateway_world.py
@@ -19,15 +19,15 @@
 from poplarrun.routing import (
     Account,
     Catalogue,
-    Pace,
+    InFlightRequest,
+    LatencyTargets,
+    ModelSize,
     PromptPart,
-    Repeat,
+    RepeatPolicy,
     Request,
     Route,
     Service,
-    Share,
-    Size,
-    Work,
+    ServiceWeight,
 )
 from poplarrun.sizes import SizePolicy
 
@@ -53,16 +53,16 @@
 class Model:
     """A model: its price, prompt tokens a second, seconds a token, and quality."""
 
-    size: Size
+    size: ModelSize
     read_per_s: float
     token_s: float
     quality: float
 
 
 MODELS = (
-    Model(Size("small", 0.0081), 169_000.0, 0.0018, 0.54),
-    Model(Size("middle", 0.061), 63_400.0, 0.0048, 0.64),
-    Model(Size("large", 0.12), 16_900.0, 0.018, 1.0),
+    Model(ModelSize("small", 0.0081), 169_000.0, 0.0018, 0.54),
+    Model(ModelSize("middle", 0.061), 63_400.0, 0.0048, 0.64),
+    Model(ModelSize("large", 0.12), 16_900.0, 0.018, 1.0),
 )
 BY_NAME = {model.size.name: model for model in MODELS}
 ENGINES = Service("engines", 360, 64, MEMORY_TOKENS, tuple(model.size for model in MODELS))
@@ -121,7 +121,7 @@
     def read(self, request: Request, model: Model, now: float) -> float:
         """Take a prompt in, and return when its first event comes."""
         unread, is_kept = 0, True
-        for part in request.parts:
+        for part in request.prompt_parts:
             key = (model.size.name, part.key)
             is_kept = is_kept and key in self.kept
             unread += 0 if is_kept else part.tokens
@@ -223,7 +223,7 @@
         self._arrive_after(kind)
         host = self._hosts[self._random.randrange(HOSTS)]
         work = host.admit(self._make_request(kind), self.now)
-        assert isinstance(work, Work), work
+        assert isinstance(work, InFlightRequest), work
         Call(self, host, work, kind, self._random.random()).send()
 
     def _make_request(self, kind: Kind) -> Request:
@@ -273,7 +273,7 @@
 
     world: World
     host: Dispatch
-    work: Work
+    work: InFlightRequest
     kind: Kind
     difficulty: float
     confidence: float = 0.0
@@ -326,10 +326,10 @@
 
 def make_route(kind: Kind) -> Route:
     """Return the route of a kind of request."""
-    pace = Pace(12.0, kind.target_s)
-    shares = (Share("engines", 1.0),)
+    pace = LatencyTargets(12.0, kind.target_s)
+    shares = (ServiceWeight("engines", 1.0),)
     sizes = tuple(model.size.name for model in MODELS)
     prefix = f"/{kind.name}/"
     return Route(
-        kind.name, "h", prefix, Repeat.STREAM, pace, kind.rank, shares, 3, False, True, sizes
+        kind.name, "h", prefix, RepeatPolicy.STREAM, pace, kind.rank, shares, 3, False, True, sizes
     )
--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -8,7 +8,7 @@
 from bench.load_common import COMMAND
 from bench.load_policies import VERSION
 from poplarrun.clients import HostKind, HostState, ListedHost
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.endpoints import LOAD_TOPIC, Demand, EndpointTable, LoadSharing, PrefixIndex
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.limits import LIMITS_TOPIC, AccountLimits
@@ -86,7 +86,7 @@
 
 def measure_limits_summary(accounts: int) -> float:
     """Return the bytes of a host's shares of so many accounts, each with four limits."""
-    limits = Limits(100.0, 1e6, 100, 50.0)
+    limits = AccountLimitSettings(100.0, 1e6, 100, 50.0)
     found = [ClientAccount(f"account-{n}", (), (), (), (), limits) for n in range(accounts)]
     peers = MemoryPeers(MemoryNetwork(), Peer("a1", "a", "r", 0))
     part = AccountLimits(peers)
--- a/bench/version_decisions.py
+++ b/bench/version_decisions.py
@@ -47,9 +47,9 @@
     host = learned_host(26)
     tracemalloc.stop()
     took = time_decisions(host)
-    tick = time_calls(lambda: host.versions.exchange(host.peers, 1e6), 100)
+    tick = time_calls(lambda: host.versions.exchange_evidence(host.peers, 1e6), 100)
     median = statistics.median(took)
-    payload = len(host.versions.estimates.encode_own())
+    payload = len(host.versions.estimates.encode_local())
     return [
         Figure("choice at 26 versions, median", median, "us", target="under 200 us",
                holds=median < MEDIAN_BOUND_US),
@@ -86,7 +86,7 @@
     """Measure bytes and decisions against the number of versions."""
     hosts = {count: learned_host(count) for count in VERSIONS}
     sizes = tuple(
-        (float(n), float(len(h.versions.estimates.encode_own()))) for n, h in hosts.items()
+        (float(n), float(len(h.versions.estimates.encode_local()))) for n, h in hosts.items()
     )
     times = tuple((float(n), statistics.median(time_decisions(h))) for n, h in hosts.items())
     return [
--- a/bench/version_exposure.py
+++ b/bench/version_exposure.py
@@ -8,7 +8,7 @@
 from bench.figures import Figure
 from bench.version_traces import ACCOUNT
 from poplarrun.contracts import VersionId
-from poplarrun.versions import TRIAL_BAR, CellKey, bets_below, log_capital
+from poplarrun.versions import TRIAL_LOG_CAPITAL_LIMIT, CellKey, bets_below, log_capital
 from standins.version_world import RatingTraits, Traits, VersionWorld
 
 WORKERS = 4
@@ -135,7 +135,7 @@
     for _ in range(500):
         # The hardest case for a test of a mean: ratings of 0 or 1.
         counts[16 if source.random() < mean else 0] += 1
-        if log_capital(counts, bets_below(mean)) >= TRIAL_BAR:
+        if log_capital(counts, bets_below(mean)) >= TRIAL_LOG_CAPITAL_LIMIT:
             return True
     return False
 
--- a/bench/version_sessions.py
+++ b/bench/version_sessions.py
@@ -6,11 +6,11 @@
 
 from bench.figures import Figure
 from bench.version_decisions import time_calls
-from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key
+from poplarrun.contracts import AccountLimitSettings, ClientAccount, VersionId, hash_key
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.versions import SessionKeeper, read_session, sign_session
+from poplarrun.versions import SessionRegistry, sign_session_token, verify_session_token
 
-ACCOUNT = ClientAccount("shop", (hash_key("a"),), ("*",), ("*",), (), Limits())
+ACCOUNT = ClientAccount("shop", (hash_key("a"),), ("*",), ("*",), (), AccountLimitSettings())
 VERSION = VersionId("larch", "1")
 SESSIONS = 1000
 CALLS = 5000
@@ -18,9 +18,9 @@
 
 def bench_sessions() -> list[Figure]:
     """Measure each way."""
-    token = sign_session(ACCOUNT, "borough-report-7", VERSION)
-    signed = time_calls(lambda: sign_session(ACCOUNT, "borough-report-7", VERSION), CALLS)
-    read = time_calls(lambda: read_session(ACCOUNT, token), CALLS)
+    token = sign_session_token(ACCOUNT, "borough-report-7", VERSION)
+    signed = time_calls(lambda: sign_session_token(ACCOUNT, "borough-report-7", VERSION), CALLS)
+    read = time_calls(lambda: verify_session_token(ACCOUNT, token), CALLS)
     one_host, one_zone = asyncio.run(lose_homes(1)), asyncio.run(lose_homes(2))
     return [
         Figure("session token, sign, median", statistics.median(signed), "us"),
@@ -40,7 +40,7 @@
     """Return the share of sessions that the other hosts find after some died."""
     network = MemoryNetwork()
     peers = [MemoryPeers(network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)]
-    keepers = [SessionKeeper(member) for member in peers]
+    keepers = [SessionRegistry(member) for member in peers]
     for number in range(SESSIONS):
         await keepers[number % 6].open("shop", f"s{number}", VERSION)
     network.down |= {f"h{3 * n}" for n in range(lost)}
--- a/bench/version_traces.py
+++ b/bench/version_traces.py
@@ -4,12 +4,18 @@
 import statistics
 from dataclasses import dataclass
 
-from poplarrun.contracts import ClientAccount, Document, Limits, VersionId, parse_document
+from poplarrun.contracts import (
+    AccountLimitSettings,
+    ClientAccount,
+    Document,
+    VersionId,
+    parse_document,
+)
 from standins.version_world import HARDNESS, RatingTraits, Served, Traits, VersionWorld
 
 LEARNING_REQUESTS = 2000
 WINDOW = 500
-ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), Limits())
+ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), AccountLimitSettings())
 
 
 @dataclass(frozen=True)
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -14,7 +14,7 @@
 from poplarrun.errors import NotRun, Refusal, answer_for
 from poplarrun.gateway._host import RETRY_PART, part_of_allowance
 from poplarrun.placement import Seat
-from poplarrun.routing import Account, Repeat, Work
+from poplarrun.routing import Account, InFlightRequest, RepeatPolicy
 
 
 def send_until_refused(dispatch, number):
@@ -41,7 +41,7 @@
 @then("a keyed request is admitted at {at:f}")
 def step_admitted(context, at):
     context.work = context.dispatch.admit(make_request(), at)
-    assert isinstance(context.work, Work), context.work
+    assert isinstance(context.work, InFlightRequest), context.work
 
 
 @then('a keyed request is refused with "{kind}" at {at:f}')
@@ -173,8 +173,10 @@
 
 @then("a request of an account of rank {rank:d} on a route of rank {route:d} has rank {whole:d}")
 def step_rank(context, rank, route, whole):
-    work = Work(make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0)
-    assert work.rank == whole
+    work = InFlightRequest(
+        make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0
+    )
+    assert work.priority == whole
 
 
 @then("a stream expected after {one:f} s is left after {first:f} s, {rest}")
@@ -190,8 +192,8 @@
 def step_no_patience(context):
     seat = Seat(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
     last = make_work()
-    last.runs = 2
+    last.possible_runs = 2
     order = make_work()
-    order.route = make_route(repeat=Repeat.ONCE, attempts=1)
+    order.route = make_route(repeat=RepeatPolicy.ONCE, attempts=1)
     assert first_patience_s(last, seat) is None and first_patience_s(order, seat) is None
     assert gap_patience_s(order) is None
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -6,24 +6,24 @@
 from poplarrun.routing import (
     Account,
     Catalogue,
-    Pace,
-    Repeat,
+    InFlightRequest,
+    LatencyTargets,
+    ModelSize,
+    RepeatPolicy,
     Request,
     Route,
     Service,
-    Share,
-    Size,
-    Work,
+    ServiceWeight,
 )
 from poplarrun.sizes import SizePolicy
 
-PACE = Pace(10.0, 2.0, 1.0)
-SIZES = (Size("small", 0.008), Size("large", 0.12))
+PACE = LatencyTargets(10.0, 2.0, 1.0)
+SIZES = (ModelSize("small", 0.008), ModelSize("large", 0.12))
 ENGINES = Service("engines", 100, 8, 400_000, SIZES)
 
 
-def make_route(prefix="/", repeat=Repeat.STREAM, rank=1, attempts=3, name="draft"):
-    shares = (Share("engines", 1.0),)
+def make_route(prefix="/", repeat=RepeatPolicy.STREAM, rank=1, attempts=3, name="draft"):
+    shares = (ServiceWeight("engines", 1.0),)
     sizes = ("small", "large")
     return Route(name, "shop", prefix, repeat, PACE, rank, shares, attempts, False, True, sizes)
 
@@ -62,4 +62,6 @@
 
 def make_work(parts=(), number=0, session=None):
     request = make_request(parts=parts, number=number, session=session)
-    return Work(request, make_route(), Account("acme"), "engines", 100.0, 110.0, size=None)
+    return InFlightRequest(
+        request, make_route(), Account("acme"), "engines", 100.0, 110.0, model_size=None
+    )
--- a/features/steps/limit_starts.py
+++ b/features/steps/limit_starts.py
@@ -3,13 +3,13 @@
 from behave import given, then, when
 
 from features.steps.limits import Clock
-from poplarrun.contracts import Limits
+from poplarrun.contracts import AccountLimitSettings
 from poplarrun.limits import SETTLED_ROUNDS
 
 
 @given("account limits of 2 hosts in 2 zones for {rate:d} requests a second")
 def step_two_zones(context, rate):
-    context.clock = Clock(Limits(requests_per_second=float(rate)), "ab")
+    context.clock = Clock(AccountLimitSettings(requests_per_second=float(rate)), "ab")
 
 
 @when("host {dies:d} is killed, host {other:d} takes all, and host {again:d} starts again")
@@ -30,7 +30,7 @@
 
 @given("account limits of 2 hosts in one zone for {rate:d} requests a second")
 def step_one_zone(context, rate):
-    context.clock = Clock(Limits(requests_per_second=float(rate)))
+    context.clock = Clock(AccountLimitSettings(requests_per_second=float(rate)))
 
 
 @given("both have begun")
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -4,7 +4,7 @@
 
 from bench.load_limits import LimitRun
 from features.steps.endpoints import names_of
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.errors import ErrorKind
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.limits import (
@@ -112,17 +112,17 @@
 
 @given("account limits of 2 hosts for {rate:d} requests a second")
 def step_rate(context, rate):
-    context.clock = Clock(Limits(requests_per_second=float(rate)))
+    context.clock = Clock(AccountLimitSettings(requests_per_second=float(rate)))
 
 
 @given("account limits of 2 hosts for {streams:d} concurrent streams")
 def step_streams(context, streams):
-    context.clock = Clock(Limits(concurrent_streams=streams))
+    context.clock = Clock(AccountLimitSettings(concurrent_streams=streams))
 
 
 @given("account limits of 2 hosts for {amount:f} spent a day")
 def step_spend(context, amount):
-    context.clock = Clock(Limits(spend_per_day=amount))
+    context.clock = Clock(AccountLimitSettings(spend_per_day=amount))
 
 
 @then("the first request at each host passes")
--- a/features/steps/log_signatures.py
+++ b/features/steps/log_signatures.py
@@ -12,7 +12,13 @@
     fold_lease_entry,
 )
 from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, seal_record
-from poplarrun.versions import ROLLOUTS_STREAM, Granted, Rollouts, encode_rollout, fold_rollout
+from poplarrun.versions import (
+    ROLLOUTS_STREAM,
+    BudgetGrant,
+    RolloutTable,
+    encode_rollout,
+    fold_rollout,
+)
 
 KEYS = {"first": b"first-key-of-the-hosts", "second": b"second-key-of-the-hosts"}
 STREAM = "billing-00"
@@ -64,7 +70,7 @@
 @when("the forger appends a bill, an outcome, a lease and a roll-out")
 def step_forge(context):
     outcome = Outcome("c1", "shop", "k", Lost("forged"))
-    grant = Granted("g", "note", "larch:1", 0, 0, {"a1/1": 100})
+    grant = BudgetGrant("g", "note", "larch:1", 0, 0, {"a1/1": 100})
     log = context.forged_log
     log.append(STREAM, BILL)
     log.append(CLAIMS, encode_batch([outcome]))
@@ -91,7 +97,7 @@
     for entry in read_all(context, LEASE_STREAM):
         table, _ = fold_lease_entry(table, entry)
     assert not table.jobs and table.read_to == 0
-    state = Rollouts()
+    state = RolloutTable()
     for entry in read_all(context, ROLLOUTS_STREAM):
         state = fold_rollout(state, entry)
     assert state.states == {} and state.read_to == 0
--- a/features/steps/proving.py
+++ b/features/steps/proving.py
@@ -4,28 +4,30 @@
 
 from features.steps.gateway_world import ENGINES, make_listing, make_work
 from poplarrun.placement import Placement
-from poplarrun.rollouts import LOADED, Evidence, Tally
+from poplarrun.rollouts import UNDER_LOAD, AnswerStatistics, Tally
 
 SERVICE = "engines"
 
 
 @given("{old:d} good answers of the old version and {new:d} of the new one")
 def step_answers(context, old, new):
-    context.evidence = Evidence()
-    context.evidence.own[(SERVICE, "v1", "draft/small")] = Tally(old)
-    context.evidence.own[(SERVICE, "v2", "draft/small")] = Tally(new)
+    context.evidence = AnswerStatistics()
+    context.evidence.local[(SERVICE, "v1", "draft/small")] = Tally(old)
+    context.evidence.local[(SERVICE, "v2", "draft/small")] = Tally(new)
 
 
 @when("{count:d} answers of the new version come under load, of which {failed:d} fail")
 def step_loaded(context, count, failed):
-    context.evidence.own[(SERVICE, "v2", LOADED)] = Tally(count, failed)
+    context.evidence.local[(SERVICE, "v2", UNDER_LOAD)] = Tally(count, failed)
 
 
 @when('{hosts:d} hosts tell that "{endpoint}" broke off answers of the new version')
 def step_broken(context, hosts, endpoint):
     for number in range(hosts):
-        tally = Tally(1, broken={endpoint})
-        context.evidence.take(f"10.0.0.{number}:1", {(SERVICE, "v2", "draft/small"): tally})
+        tally = Tally(1, interrupting_endpoints={endpoint})
+        context.evidence.apply_host_tallies(
+            f"10.0.0.{number}:1", {(SERVICE, "v2", "draft/small"): tally}
+        )
 
 
 @then("the new version is judged bad")
@@ -35,12 +37,12 @@
 
 @then("the new version is judged good")
 def step_good(context):
-    assert not context.evidence.is_bad(SERVICE, "v2"), context.evidence.merged(SERVICE)
+    assert not context.evidence.is_bad(SERVICE, "v2"), context.evidence.merge_tallies(SERVICE)
 
 
 @then("without its answers under load it is judged good")
 def step_good_without(context):
-    del context.evidence.own[(SERVICE, "v2", LOADED)]
+    del context.evidence.local[(SERVICE, "v2", UNDER_LOAD)]
     assert not context.evidence.is_bad(SERVICE, "v2")
 
 
@@ -72,7 +74,7 @@
 @when("that endpoint is full")
 def step_full(context):
     for placement in context.placements:
-        placement.find(context.proving).in_flight = ENGINES.places
+        placement.find(context.proving).in_flight = ENGINES.slots
 
 
 @then("they choose as usual")
--- a/features/steps/rollout_sessions.py
+++ b/features/steps/rollout_sessions.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from poplarrun.rollouts import Stage
+from poplarrun.rollouts import ComparisonStage
 from standins.rollout_fleet import OLD, SERVICE, RolloutFleet, run_by_virtual_clock
 
 SEED = 2541
@@ -92,4 +92,4 @@
 
 @then("the first session that it serves is in the stage of the roll-out that the others are in")
 def step_same_stage(context):
-    assert set(context.stages) == {Stage.SHIFT}, context.stages
+    assert set(context.stages) == {ComparisonStage.SHIFT}, context.stages
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -11,19 +11,26 @@
 )
 from poplarrun.dispatch import AnswerFailed, ConnectionBroke, Knowledge, Send, TookTooLong
 from poplarrun.placement import Seat
-from poplarrun.rollouts import Evidence, Rollouts, Stage, Tally, Times, Verdict
+from poplarrun.rollouts import (
+    AnswerStatistics,
+    AnswerTimes,
+    ComparisonStage,
+    Rollouts,
+    RolloutVerdict,
+    Tally,
+)
 from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus
 
 
 def tally(context, version, route, ended, bad):
     if not hasattr(context, "evidence"):
-        context.evidence = Evidence()
-    context.evidence.own[("engines", version, route)] = Tally(ended, bad)
+        context.evidence = AnswerStatistics()
+    context.evidence.local[("engines", version, route)] = Tally(ended, bad)
 
 
 def count_tries(context, count):
     works = [make_work(session=f"new-{number}") for number in range(count)]
-    return sum(context.rollouts.pick_version(work, 101.0).only is not None for work in works)
+    return sum(context.rollouts.choose_version(work, 101.0).allowed is not None for work in works)
 
 
 def send_to(context, name, number, sent_at, first_at=None):
@@ -41,8 +48,8 @@
 def shift_sessions(context):
     """Order a roll-out, and let sessions change; return the dispatch."""
     dispatch = context.dispatch
-    dispatch.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
-    dispatch.rollouts.find("engines").shift(111.5)
+    dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    dispatch.rollouts.find("engines").record_shift(111.5)
     return dispatch
 
 
@@ -73,12 +80,12 @@
 
 @given("usual answers of {usual:f} s, and {slow:d} of {ended:d} new ones of {long:f} s")
 def step_slow(context, usual, slow, ended, long):
-    context.evidence = Evidence()
+    context.evidence = AnswerStatistics()
     for _ in range(50):
-        context.evidence.note(("engines", "v1", "a"), False, Times(usual), False)
+        context.evidence.record_answer(("engines", "v1", "a"), False, AnswerTimes(usual), False)
     for number in range(ended):
-        times = Times(long if number < slow else usual)
-        context.evidence.note(("engines", "v2", "a"), False, times, True)
+        times = AnswerTimes(long if number < slow else usual)
+        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @given("a dispatch whose endpoints usually begin after {usual:f} s")
@@ -94,7 +101,7 @@
 
 @when("{slow:d} of {count:d} answers of the version on trial have not begun after {late:f} s")
 def step_not_begun(context, slow, count, late):
-    context.dispatch.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    context.dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
     context.late = []
     for number in range(count):
         first_at = None if number < slow else 102.1
@@ -106,9 +113,9 @@
 
 @then("the new version is judged bad although none of its answers failed")
 def step_judged_open(context):
-    evidence = context.dispatch.rollouts.evidence
-    assert evidence.of_version("engines", "v2").bad == 0
-    assert evidence.is_bad("engines", "v2"), evidence.own
+    evidence = context.dispatch.rollouts.statistics
+    assert evidence.merge_version_tallies("engines", "v2").bad == 0
+    assert evidence.is_bad("engines", "v2"), evidence.local
 
 
 @when(
@@ -116,7 +123,7 @@
 )
 def step_crash(context, good, broken):
     dispatch = context.dispatch
-    dispatch.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
     for number in range(good):
         send_to(context, "new", number, 102.0, 102.1)
     for work, attempt in [send_to(context, "new", 100 + n, 103.0) for n in range(broken)]:
@@ -126,53 +133,53 @@
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
 def step_crash_judged(context, bad):
-    evidence = context.dispatch.rollouts.evidence
-    assert not evidence.is_bad("engines", "v2"), evidence.own
-    assert evidence.of_version("engines", "v2").bad == bad, evidence.own
+    evidence = context.dispatch.rollouts.statistics
+    assert not evidence.is_bad("engines", "v2"), evidence.local
+    assert evidence.merge_version_tallies("engines", "v2").bad == bad, evidence.local
 
 
 @given("usual answers of {pace:f} s an event")
 def step_usual_pace(context, pace):
-    context.evidence = Evidence()
+    context.evidence = AnswerStatistics()
     context.pace = pace
     for _ in range(50):
-        context.evidence.note(("engines", "v1", "a"), False, Times(0.1, pace), False)
+        context.evidence.record_answer(("engines", "v1", "a"), False, AnswerTimes(0.1, pace), False)
 
 
 @when("{slow:d} of {count:d} answers of the new version take {pace:f} s an event")
 def step_dripping(context, slow, count, pace):
     for number in range(count):
-        times = Times(0.1, pace if number < slow else context.pace)
-        context.evidence.note(("engines", "v2", "a"), False, times, True)
+        times = AnswerTimes(0.1, pace if number < slow else context.pace)
+        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @when("{late:d} of {count:d} answers of the new version begin after {first:f} s, at the usual pace")
 def step_cold(context, late, count, first):
     for number in range(count):
-        times = Times(first if number < late else 0.1, context.pace)
-        context.evidence.note(("engines", "v2", "a"), False, times, True)
+        times = AnswerTimes(first if number < late else 0.1, context.pace)
+        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @then("the new version is judged good while all traffic moves to it")
 def step_judged_cold(context):
-    assert not context.evidence.is_bad("engines", "v2", Stage.SHIFT)
+    assert not context.evidence.is_bad("engines", "v2", ComparisonStage.SHIFT)
 
 
 @when("a request on the new version is asked of a larger model")
 def step_cascade(context):
     for number in range(100):
         context.work = make_work(number=number)
-        if context.rollouts.pick_version(context.work, 101.0).only == {"v2"}:
+        if context.rollouts.choose_version(context.work, 101.0).allowed == {"v2"}:
             break
-    context.work.version, context.work.runs = "v2", 1
+    context.work.session_version, context.work.possible_runs = "v2", 1
 
 
 @then("its next send goes to the new version, and after a failure to the old one")
 def step_stays(context):
-    assert context.rollouts.pick_version(context.work, 101.0).only == {"v2"}
+    assert context.rollouts.choose_version(context.work, 101.0).allowed == {"v2"}
     context.work.failures = 1
-    choice = context.rollouts.pick_version(context.work, 101.0)
-    assert (choice.only, choice.avoided) == (None, "v2")
+    choice = context.rollouts.choose_version(context.work, 101.0)
+    assert (choice.allowed, choice.excluded) == (None, "v2")
 
 
 @then("the new version is judged {judgement:w}")
@@ -182,25 +189,25 @@
 
 @given("{count:d} answers {times:f} times as slow as usual, and old ones {old:f} times")
 def step_paces(context, count, times, old):
-    context.evidence = Evidence()
+    context.evidence = AnswerStatistics()
     for version, pace in (("v2", times), ("v1", old)):
         log_pace = count * math.log(pace)
-        context.evidence.own[("engines", version, "a")] = Tally(count, 0, 0, count, log_pace)
+        context.evidence.local[("engines", version, "a")] = Tally(count, 0, 0, count, log_pace)
 
 
 @then('the new version is judged {judgement:w} in the stage "{stage:w}"')
 def step_judged_in(context, judgement, stage):
-    is_bad = context.evidence.is_bad("engines", "v2", Stage(stage))
-    assert is_bad == (judgement == "bad"), context.evidence.own
+    is_bad = context.evidence.is_bad("engines", "v2", ComparisonStage(stage))
+    assert is_bad == (judgement == "bad"), context.evidence.local
 
 
 @given("a roll-out of {seconds:d} s ordered at {at:f} and {count:d} sessions on the old version")
 def step_rollout(context, seconds, at, count):
-    context.rollouts = Rollouts(session_s=5.0)
-    context.rollouts.take_order(RolloutOrder("engines", "v2", seconds, 7), at)
+    context.rollouts = Rollouts(session_timeout_s=5.0)
+    context.rollouts.apply_order(RolloutOrder("engines", "v2", seconds, 7), at)
     context.sessions = [f"session-{number}" for number in range(count)]
     for session in context.sessions:
-        context.rollouts.note_end(make_work(session=session), "v1", at)
+        context.rollouts.record_end(make_work(session=session), "v1", at)
 
 
 @then("none of them is sent to the new version until {until:f}")
@@ -209,9 +216,9 @@
     while now < until:
         for session in context.sessions:
             work = make_work(session=session)
-            choice = context.rollouts.pick_version(work, now)
-            assert choice.only is None and choice.avoided == "v2", (session, now)
-            context.rollouts.note_end(work, "v1", now)
+            choice = context.rollouts.choose_version(work, now)
+            assert choice.allowed is None and choice.excluded == "v2", (session, now)
+            context.rollouts.record_end(work, "v1", now)
         now += 1.0
 
 
@@ -222,8 +229,8 @@
 
 @given("a roll-out whose version may reach {share:f} of the requests")
 def step_exposure(context, share):
-    context.rollouts = Rollouts(exposure=share)
-    context.rollouts.take_order(RolloutOrder("engines", "v2", 20, 7), 100.0)
+    context.rollouts = Rollouts(exposure_limit=share)
+    context.rollouts.apply_order(RolloutOrder("engines", "v2", 20, 7), 100.0)
 
 
 @then("at most {share:f} of {count:d} new sessions try the new version")
@@ -234,33 +241,33 @@
 @when('it is recorded as "{first}" and then as "{second}" by a host that was paused')
 def step_recorded(context, first, second):
     for phase in (first, second):
-        context.rollouts.take_status(RolloutStatus("engines", "v2", RolloutPhase(phase)))
+        context.rollouts.apply_status(RolloutStatus("engines", "v2", RolloutPhase(phase)))
 
 
 @then("it is rolled back and no request goes to the new version")
 def step_rolled_back(context):
     rollout = context.rollouts.find("engines")
-    assert rollout.recorded is RolloutPhase.ROLLED_BACK
-    assert context.rollouts.judge(rollout, 130.0) is Verdict.NOTHING
+    assert rollout.recorded_phase is RolloutPhase.ROLLED_BACK
+    assert context.rollouts.compute_verdict(rollout, 130.0) is RolloutVerdict.NOTHING
     for number in range(200):
-        choice = context.rollouts.pick_version(make_work(number=number), 105.0)
-        assert choice.avoided == "v2"
+        choice = context.rollouts.choose_version(make_work(number=number), 105.0)
+        assert choice.excluded == "v2"
 
 
 @when(
     'one of "{new}" is ordered at {at:f} and a peer tells at {told:f} that "{old}" is {age:f} s old'
 )
 def step_second_order(context, new, at, told, old, age):
-    assert context.rollouts.take_order(RolloutOrder("engines", new, 16.0, 9), at)
-    assert not context.rollouts.take_order(RolloutOrder("engines", old, 16.0, 7), told, age)
+    assert context.rollouts.apply_order(RolloutOrder("engines", new, 16.0, 9), at)
+    assert not context.rollouts.apply_order(RolloutOrder("engines", old, 16.0, 7), told, age)
 
 
 @then('"{target}" is at the beginning of its trial at {at:f} and nothing is recorded but its start')
 def step_trial_begins(context, target, at):
     rollout = context.rollouts.find("engines")
-    assert rollout.order.target == target and rollout.part(at) < 0.1, rollout
-    assert context.rollouts.judge(rollout, at) is Verdict.ACTIVE
-    assert rollout.shifted_at is None
+    assert rollout.order.target == target and rollout.elapsed_fraction(at) < 0.1, rollout
+    assert context.rollouts.compute_verdict(rollout, at) is RolloutVerdict.ACTIVE
+    assert rollout.shift_decided_at is None
 
 
 @when("these {count:d} answers fail in the end")
@@ -273,29 +280,29 @@
 
 @then("the version on trial has {bad:d} bad and {slow:d} slow answers of {ended:d}")
 def step_bad_and_slow(context, bad, slow, ended):
-    tally = context.dispatch.rollouts.evidence.of_version("engines", "v2")
-    assert (tally.bad, tally.slow, tally.ended) == (bad, slow, ended), tally
+    tally = context.dispatch.rollouts.statistics.merge_version_tallies("engines", "v2")
+    assert (tally.bad, tally.slow, tally.answers) == (bad, slow, ended), tally
 
 
 @given("two hosts that know a roll-out of {seconds:d} s ordered at {at:f}")
 def step_two_hosts(context, seconds, at):
     context.hosts = [Rollouts(), Rollouts()]
     for rollouts in context.hosts:
-        rollouts.take_order(RolloutOrder("engines", "v2", seconds, 7), at)
+        rollouts.apply_order(RolloutOrder("engines", "v2", seconds, 7), at)
 
 
 @when("one decides at {at:f} that sessions may change, and the other hears of it {later:f} s later")
 def step_shift(context, at, later):
     one, other = (rollouts.find("engines") for rollouts in context.hosts)
     context.moves = []
-    one.shift(at)
+    one.record_shift(at)
     for tenth in range(20):
         now = at + tenth / 10.0
         if now >= at + later:
-            other.shift(at)
+            other.record_shift(at)
         for number in range(200):
             work = make_work(session=f"session-{number}")
-            picked = [rollouts.pick_version(work, now).only for rollouts in context.hosts]
+            picked = [rollouts.choose_version(work, now).allowed for rollouts in context.hosts]
             context.moves.append((now, number, *picked))
 
 
@@ -342,9 +349,9 @@
 
 @then("the new version is judged {judgement:w} while it is proven")
 def step_judged_proven(context, judgement):
-    evidence = context.dispatch.rollouts.evidence
-    is_bad = evidence.is_bad("engines", "v2", Stage.SHIFT)
-    assert is_bad == (judgement == "bad"), evidence.own
+    evidence = context.dispatch.rollouts.statistics
+    is_bad = evidence.is_bad("engines", "v2", ComparisonStage.SHIFT)
+    assert is_bad == (judgement == "bad"), evidence.local
 
 
 @given(
@@ -352,6 +359,6 @@
     " and {ended:d} of the new one of which {slow:d} are slow"
 )
 def step_late_answers(context, old, ended, slow):
-    context.evidence = Evidence()
-    context.evidence.own[("engines", "v1", "a")] = Tally(old)
-    context.evidence.own[("engines", "v2", "a")] = Tally(ended, 0, slow)
+    context.evidence = AnswerStatistics()
+    context.evidence.local[("engines", "v1", "a")] = Tally(old)
+    context.evidence.local[("engines", "v2", "a")] = Tally(ended, 0, slow)
--- a/features/steps/security.py
+++ b/features/steps/security.py
@@ -18,8 +18,8 @@
 from hypothesis import given as given_values
 
 from poplarrun.clients import HttpLog, PlatformTls, use_plain_http, use_tls
-from poplarrun.config import Publication, encode_record, open_record, sign_record
-from poplarrun.config._sharing import ShareAnswer, read_answer
+from poplarrun.config import Publication, decode_signed_record, encode_record, sign_record
+from poplarrun.config._sharing import ShareAnswer, decode_share_answer
 from poplarrun.contracts import parse_document
 from poplarrun.hosts._items import Item, ItemStore
 from poplarrun.hosts._peers import Peer
@@ -320,9 +320,9 @@
 
 BORDERS = {
     "peer messages": (decode_envelope, encode_envelope(ENVELOPE)),
-    "configuration records": (open_record, sign_record(PUBLICATION, "ada", b"key")),
+    "configuration records": (decode_signed_record, sign_record(PUBLICATION, "ada", b"key")),
     "configuration answers": (
-        read_answer,
+        decode_share_answer,
         msgspec.msgpack.encode(ShareAnswer(None, [(1, encode_record(PUBLICATION))])),
     ),
     "lease records": (decode_lease_record, encode_lease_record(Acquire("i", "j", "h", 1.0, -1))),
--- a/features/steps/sizes.py
+++ b/features/steps/sizes.py
@@ -24,13 +24,13 @@
 
 def is_asked_again(confidence, seat, request=None, policy=None, engines=ENGINES):
     work = make_work()
-    work.size = "small"
+    work.model_size = "small"
     work.request = request or work.request
     return (policy or SizePolicy()).is_worth_more(work, confidence, seat, engines, 100.1)
 
 
 def make_sized_request(prompt, most):
-    return dataclasses.replace(make_work().request, prompt_tokens=prompt, most_tokens=most)
+    return dataclasses.replace(make_work().request, prompt_tokens=prompt, max_tokens=most)
 
 
 @given("a policy of sizes before empty engines")
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -46,8 +46,8 @@
     context.now = 100.0
     context.store = MemoryStore()
     context.rollouts = Rollouts()
-    context.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
-    context.rollouts.evidence.own[("engines", "v2", "a")] = Tally(8, 8)
+    context.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
+    context.rollouts.statistics.local[("engines", "v2", "a")] = Tally(8, 8)
     context.steward = Steward(context.store, context.rollouts, lambda _: turn, lambda _: None)
     clock = mock.patch.object(steward_module, "boot_time", lambda: context.now)
     clock.start()
@@ -113,4 +113,4 @@
 
 @then('the steward has taken "{phase}" over')
 def step_taken(context, phase):
-    assert context.rollouts.find("engines").recorded is RolloutPhase(phase)
+    assert context.rollouts.find("engines").recorded_phase is RolloutPhase(phase)
--- a/features/steps/versions_cascades.py
+++ b/features/steps/versions_cascades.py
@@ -7,8 +7,21 @@
 from behave import given, then, when
 
 from poplarrun.clients import pool_for
-from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key, parse_document
-from poplarrun.versions import AnswerSeen, CellKey, Estimates, Evidence, find_cut, make_cuts
+from poplarrun.contracts import (
+    AccountLimitSettings,
+    ClientAccount,
+    VersionId,
+    hash_key,
+    parse_document,
+)
+from poplarrun.versions import (
+    AnswerObservation,
+    CellKey,
+    Estimates,
+    Evidence,
+    find_cutoff,
+    make_cutoffs,
+)
 from poplarrun.versions._cascades import SecondStep
 from standins.version_world import RatingTraits, Traits, VersionWorld
 
@@ -29,7 +42,7 @@
 CLASS = "digest"
 CHEAP, DEAR = VersionId("cheap", "1"), VersionId("dear", "1")
 CELL = CellKey(CLASS, CHEAP)
-ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), Limits())
+ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), AccountLimitSettings())
 
 
 @given(
@@ -48,8 +61,8 @@
 
 @when("the cheapest cut that reaches {target:g} with a second version of {lower:g} is looked for")
 def step_find(context, target, lower):
-    cuts = make_cuts(context.evidence.judged, 0.05)
-    context.cut = find_cut(cuts, 1.0, SecondStep(lower, lower, 10.0), target)
+    cuts = make_cutoffs(context.evidence.judged, 0.05)
+    context.cut = find_cutoff(cuts, 1.0, SecondStep(lower, lower, 10.0), target)
 
 
 @then("a cut is {found}")
@@ -136,8 +149,8 @@
 
 def rate(context, is_good, score):
     estimates = context.estimates
-    estimates.note_answer(CELL, AnswerSeen(False, False, WORDS, 0.1, score))
-    estimates.note_rating(CELL, 0.95 if is_good else 0.0, score)
+    estimates.record_answer(CELL, AnswerObservation(False, False, WORDS, 0.1, score))
+    estimates.record_rating(CELL, 0.95 if is_good else 0.0, score)
     estimates.refresh()
     return estimates.find(CELL)
 
@@ -175,7 +188,7 @@
 
 @then("no cut of its judge is trusted, and it is taken out of service")
 def step_cut_gone(context):
-    assert not context.known.cuts and context.known.is_bad(in_service=True), context.known
+    assert not context.known.cutoffs and context.known.is_bad(in_service=True), context.known
 
 
 def stream(host, **headers):
--- a/features/steps/versions_exposure.py
+++ b/features/steps/versions_exposure.py
@@ -2,14 +2,14 @@
 
 from behave import given, then, when
 
-from poplarrun.contracts import ClientAccount, Limits, VersionId
+from poplarrun.contracts import AccountLimitSettings, ClientAccount, VersionId
 from poplarrun.log import Entry
 from poplarrun.versions import (
+    BudgetGrant,
     CellKey,
-    Granted,
-    Rollouts,
-    Settled,
-    Snapshot,
+    RolloutResult,
+    RolloutSnapshot,
+    RolloutTable,
     Standing,
     encode_rollout,
     fold_rollout,
@@ -30,7 +30,7 @@
 
 
 def account(*patterns):
-    return ClientAccount("shop", (), ("*",), patterns, (), Limits())
+    return ClientAccount("shop", (), ("*",), patterns, (), AccountLimitSettings())
 
 
 def offer(context, *names):
@@ -214,7 +214,9 @@
 def step_adopt(context, new, old):
     host = context.world.add_host(new, "a", 1)
     context.world.advance(2.0)
-    host.versions.estimates.adopt(context.world.hosts[old].versions.estimates.encode_known())
+    host.versions.estimates.apply_aged_evidence(
+        context.world.hosts[old].versions.estimates.encode_aged_evidence()
+    )
     context.world.advance(2.0)
 
 
@@ -273,19 +275,19 @@
     match kind:
         case "grant":
             number = state.find(CellKey(CLASS, VersionId.parse("new:1"))).grants
-            return Granted(record_id, CLASS, "new:1", number, 0, {"h0/1": 4, "h1/1": 4})
+            return BudgetGrant(record_id, CLASS, "new:1", number, 0, {"h0/1": 4, "h1/1": 4})
         case "reject":
-            return Settled(record_id, CLASS, "new:1", False, "quality 0.2")
+            return RolloutResult(record_id, CLASS, "new:1", False, "quality 0.2")
         case "snapshot":
             return state.snapshot(record_id)
         case "overtaken":
-            return Snapshot(record_id, state.read_to - 1, [])
+            return RolloutSnapshot(record_id, state.read_to - 1, [])
     raise ValueError(kind)
 
 
 @given('roll-out records "{kinds}"')
 def step_records(context, kinds):
-    context.state, context.entries = Rollouts(), []
+    context.state, context.entries = RolloutTable(), []
     for offset, kind in enumerate(kinds.split(", ")):
         entry = Entry(offset, encode_rollout(rollout_record(kind, offset, context.state)))
         context.entries.append(entry)
@@ -294,16 +296,16 @@
 
 @when("one host folds them all and another from record {first:d} on")
 def step_fold_late(context, first):
-    context.late = Rollouts().skip_to(first)
+    context.late = RolloutTable().skip_to(first)
     for entry in context.entries[first:]:
         context.late = fold_rollout(context.late, entry)
 
 
 @then("the second knows the roll-outs: {known}")
 def step_known(context, known):
-    assert context.late.is_whole == (known == "yes"), context.late
+    assert context.late.is_complete == (known == "yes"), context.late
 
 
 @then("if it does they hold the same roll-outs")
 def step_same_rollouts(context):
-    assert not context.late.is_whole or context.late.states == context.state.states
+    assert not context.late.is_complete or context.late.states == context.state.states
--- a/features/steps/versions_sampling.py
+++ b/features/steps/versions_sampling.py
@@ -9,7 +9,9 @@
 from standins.version_world import RatingTraits, VersionWorld
 
 SEEDS = range(8)
-SETTLED = Estimate(standing=Standing.GOOD, rated=500.0, mean_quality=0.9, radius=0.02)
+SETTLED = Estimate(
+    standing=Standing.GOOD, rating_weight=500.0, mean_quality=0.9, confidence_radius=0.02
+)
 
 
 def start_world(seed, hosts, per_s, delay):
@@ -60,7 +62,7 @@
 def step_answers(context, per_s, seconds):
     key = CellKey(CLASS, OLD)
     times = (number / per_s for number in range(per_s * seconds))
-    context.rated = sum(context.sampler.choose(key, SETTLED, "cheapest", at) for at in times)
+    context.rated = sum(context.sampler.should_rate(key, SETTLED, "cheapest", at) for at in times)
 
 
 @then("{count:d} of them are rated, give or take a tenth")
--- a/features/steps/versions_sessions.py
+++ b/features/steps/versions_sessions.py
@@ -2,13 +2,20 @@
 
 from behave import given, then, when
 
-from poplarrun.contracts import ClientAccount, Limits, VersionId, hash_key
+from poplarrun.contracts import AccountLimitSettings, ClientAccount, VersionId, hash_key
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.versions import SessionKeeper, choose_homes, read_session, sign_session
+from poplarrun.versions import (
+    SessionRegistry,
+    choose_session_replicas,
+    sign_session_token,
+    verify_session_token,
+)
 from standins.histories import run_virtual
 
-SHOP = ClientAccount("shop", (hash_key("a"), hash_key("b")), ("*",), ("*",), (), Limits())
-OTHER = ClientAccount("other", (hash_key("c"),), ("*",), ("*",), (), Limits())
+SHOP = ClientAccount(
+    "shop", (hash_key("a"), hash_key("b")), ("*",), ("*",), (), AccountLimitSettings()
+)
+OTHER = ClientAccount("other", (hash_key("c"),), ("*",), ("*",), (), AccountLimitSettings())
 
 
 def version(text):
@@ -20,7 +27,7 @@
 
 
 def homes_of(context, session):
-    return choose_homes(SHOP.name, session, live_peers(context)[0].live())
+    return choose_session_replicas(SHOP.name, session, live_peers(context)[0].live())
 
 
 @given("6 hosts in 3 zones that keep sessions")
@@ -29,7 +36,7 @@
     context.peers = {
         f"h{n}": MemoryPeers(context.network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)
     }
-    context.keepers = {name: SessionKeeper(peers) for name, peers in context.peers.items()}
+    context.keepers = {name: SessionRegistry(peers) for name, peers in context.peers.items()}
 
 
 @when('hosts "{one}" and "{two}" race to open session "{session}", for "{first}" and "{second}"')
@@ -67,7 +74,7 @@
 @when('host "{host}" alone opens session "{session}" for "{proposal}"')
 def step_open(context, host, session, proposal):
     opened = asyncio.run(context.keepers[host].open(SHOP.name, session, version(proposal)))
-    context.token = sign_session(SHOP, session, opened)
+    context.token = sign_session_token(SHOP, session, opened)
 
 
 @when('all homes of session "{session}" but the last die')
@@ -89,18 +96,18 @@
 
 @then('the token that host "h0" gave names "{expected}" for session "{session}" at any host')
 def step_token(context, expected, session):
-    assert read_session(SHOP, context.token) == (session, version(expected))
+    assert verify_session_token(SHOP, context.token) == (session, version(expected))
 
 
 @then("the token with one byte changed is refused")
 def step_forged(context):
     changed = context.token[:-6] + ("A" if context.token[-6] != "A" else "B") + context.token[-5:]
-    assert read_session(SHOP, changed) is None
+    assert verify_session_token(SHOP, changed) is None
 
 
 @then("the token is refused for another client account")
 def step_other(context):
-    assert read_session(OTHER, context.token) is None
+    assert verify_session_token(OTHER, context.token) is None
 
 
 @when('home {number:d} of session "{session}" is paused')
--- a/poplarrun/cli/_config.py
+++ b/poplarrun/cli/_config.py
@@ -35,9 +35,9 @@
     Refused,
     Unsigned,
     Verdict,
+    decode_signed_record,
     encode_record,
-    open_record,
-    read_stream,
+    fold_stream,
     sign_record,
 )
 from poplarrun.contracts import DocumentProblems, parse_document
@@ -58,7 +58,7 @@
 
 def read_configuration(log: Log) -> FoldedStream:
     """Fold the whole configuration stream."""
-    match read_stream(log):
+    match fold_stream(log):
         case ReadFailed(reason=reason):
             raise cappa.Exit(f"the log did not answer: {reason}", code=EXIT_FAILED)
         case FoldedStream() as folded:
@@ -156,7 +156,7 @@
         folded = read_configuration(log)
         state, history = folded.state, folded.history
         for entry, verdict in history:
-            found = open_record(entry.data)
+            found = decode_signed_record(entry.data)
             if found is None or isinstance(found, Unsigned) or found.id != record.id:
                 continue
             match verdict:
@@ -205,7 +205,7 @@
         """Print a line for each record."""
         history = read_configuration(HttpLog(self.log)).history
         for entry, verdict in history:
-            record = open_record(entry.data)
+            record = decode_signed_record(entry.data)
             operator = record.operator if isinstance(record, Publication) else "system"
             name = type(verdict).__name__.lower()
             if self.json:
@@ -278,7 +278,7 @@
 def _find_record(log: Log, record_id: str) -> int | None:
     history = read_configuration(log).history
     for entry, _verdict in history:
-        record = open_record(entry.data)
+        record = decode_signed_record(entry.data)
         if record is not None and not isinstance(record, Unsigned) and record.id == record_id:
             return entry.offset
     return None
@@ -286,7 +286,7 @@
 
 def _text_at(history: list[tuple[Entry, Verdict]], offset: int) -> str:
     for entry, _verdict in history:
-        record = open_record(entry.data)
+        record = decode_signed_record(entry.data)
         if entry.offset == offset and isinstance(record, Publication):
             return record.document
     raise cappa.Exit(f"no publication at offset {offset}", code=EXIT_FAILED)
--- a/poplarrun/config/__init__.py
+++ b/poplarrun/config/__init__.py
@@ -7,7 +7,7 @@
     Invalid,
     Refused,
     Verdict,
-    adopt_snapshot,
+    apply_snapshot,
     fold_entry,
     fold_gap,
 )
@@ -23,13 +23,13 @@
     decode_record,
     encode_record,
 )
-from poplarrun.config._reading import FoldedStream, read_stream
+from poplarrun.config._reading import FoldedStream, fold_stream
 from poplarrun.config._signatures import (
     NO_KEYS,
-    SYSTEM,
+    SYSTEM_KEY_NAME,
     OperatorKeys,
     Unsigned,
-    open_record,
+    decode_signed_record,
     sign_record,
     sign_system_record,
 )
@@ -40,7 +40,7 @@
     "BASED_ON_ANYTHING",
     "CONFIG_STREAM",
     "NO_KEYS",
-    "SYSTEM",
+    "SYSTEM_KEY_NAME",
     "Accepted",
     "ConfigFollower",
     "ConfigRecord",
@@ -57,15 +57,15 @@
     "Unsigned",
     "Verdict",
     "Withdrawal",
-    "adopt_snapshot",
+    "apply_snapshot",
     "decode_record",
+    "decode_signed_record",
     "encode_record",
     "fold_entry",
     "fold_gap",
+    "fold_stream",
     "make_snapshot",
-    "open_record",
     "read_snapshot",
-    "read_stream",
     "sign_record",
     "sign_system_record",
 ]
--- a/poplarrun/config/_fold.py
+++ b/poplarrun/config/_fold.py
@@ -9,10 +9,10 @@
     Snapshot,
     Withdrawal,
 )
-from poplarrun.config._signatures import NO_KEYS, OperatorKeys, Unsigned, open_record
+from poplarrun.config._signatures import NO_KEYS, OperatorKeys, Unsigned, decode_signed_record
 from poplarrun.config._snapshots import read_snapshot
 from poplarrun.config._state import Configuration
-from poplarrun.contracts import Document, DocumentProblems, Stage, VersionId, parse_document
+from poplarrun.contracts import Document, DocumentProblems, VersionId, VersionStage, parse_document
 from poplarrun.log import Entry, Gap
 
 SEEN_RECORDS = 256
@@ -79,7 +79,7 @@
     if entry.offset <= state.read_to:
         return state, Ignored("already folded")
     state = replace(state, read_to=entry.offset)
-    record = open_record(entry.data, keys)
+    record = decode_signed_record(entry.data, keys)
     match record:
         case None:
             return state, Ignored("not a configuration record")
@@ -110,7 +110,7 @@
     return replace(state, read_to=max(state.read_to, gap.horizon - 1), anchored=False)
 
 
-def adopt_snapshot(
+def apply_snapshot(
     state: Configuration, snapshot: Snapshot, keys: OperatorKeys = NO_KEYS
 ) -> Configuration | None:
     """Return the state of a snapshot; None when it is not newer than the own one.
@@ -129,7 +129,7 @@
 ) -> tuple[Configuration, Verdict]:
     if snapshot.read_to != offset - 1:
         return state, Ignored("a snapshot that does not follow directly")
-    adopted = adopt_snapshot(state, snapshot, keys)
+    adopted = apply_snapshot(state, snapshot, keys)
     if adopted is None:
         return state, Ignored("a snapshot of what is known")
     return replace(adopted, read_to=offset), Accepted(adopted.offset)
@@ -179,4 +179,4 @@
     would send callers to a bad version after any unrelated change.
     """
     offered = document.versions.get(version)
-    return offered is not None and offered.stage is Stage.OFFERED
+    return offered is not None and offered.stage is VersionStage.OFFERED
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -8,16 +8,21 @@
 
 import msgspec
 
-from poplarrun.config._fold import Accepted, Verdict, adopt_snapshot, fold_entry, fold_gap
+from poplarrun.config._fold import Accepted, Verdict, apply_snapshot, fold_entry, fold_gap
 from poplarrun.config._publications import CONFIG_STREAM, ConfigRecord, Filler, Snapshot
 from poplarrun.config._sharing import (
     SHARE_KIND,
     RecordCache,
     ShareAnswer,
     ShareRequest,
-    read_answer,
+    decode_share_answer,
+)
+from poplarrun.config._signatures import (
+    NO_KEYS,
+    OperatorKeys,
+    decode_signed_record,
+    sign_system_record,
 )
-from poplarrun.config._signatures import NO_KEYS, OperatorKeys, open_record, sign_system_record
 from poplarrun.config._snapshots import make_snapshot
 from poplarrun.config._state import Configuration
 from poplarrun.hosts import Peers, PeerSilent, StreamPoll
@@ -74,7 +79,7 @@
         keys: OperatorKeys = NO_KEYS,
     ) -> None:
         self.state = Configuration()
-        self.log_answered_at = clock()
+        self.log_read_at = clock()
         self._log = log
         self._peers = peers
         self._metrics = metrics
@@ -132,7 +137,7 @@
         if self._log_failed:
             _notes.info("The log answers again.")
         self._log_failed = False
-        self.log_answered_at = self._clock()
+        self.log_read_at = self._clock()
 
     def _note_end(self) -> None:
         """Watch for a log that ends below what was already read from it."""
@@ -155,7 +160,7 @@
             self.poll.announce()
 
     def _note_snapshot(self, entry: Entry) -> None:
-        match open_record(entry.data, self._keys):
+        match decode_signed_record(entry.data, self._keys):
             case Snapshot(read_to=read_to) as snapshot if read_to == entry.offset - 1:
                 self._snapshot, self._snapshot_at = snapshot, entry.offset
 
@@ -175,7 +180,7 @@
             payload = msgspec.msgpack.encode(request)
             answer = await self._peers.ask(peer.name, SHARE_KIND, payload, ASK_TIMEOUT_S)
             if not isinstance(answer, PeerSilent):
-                self._take_answer(read_answer(answer))
+                self._take_answer(decode_share_answer(answer))
 
     def _take_answer(self, answer: ShareAnswer | None) -> None:
         if answer is None:
@@ -188,7 +193,7 @@
             self._fold(tuple(Entry(offset, data) for offset, data in answer.records))
 
     def _take_snapshot(self, snapshot: Snapshot) -> None:
-        adopted = adopt_snapshot(self.state, snapshot, self._keys)
+        adopted = apply_snapshot(self.state, snapshot, self._keys)
         is_behind = self.state.anchored and snapshot.read_to <= self.state.read_to
         if adopted is None or is_behind:
             self._metrics.count_event("config_snapshot_not_taken")
--- a/poplarrun/config/_reading.py
+++ b/poplarrun/config/_reading.py
@@ -17,7 +17,7 @@
     history: list[tuple[Entry, Verdict]] = field(default_factory=list)
 
 
-def read_stream(log: Log, keys: OperatorKeys = NO_KEYS) -> FoldedStream | ReadFailed:
+def fold_stream(log: Log, keys: OperatorKeys = NO_KEYS) -> FoldedStream | ReadFailed:
     """Fold all that the log still keeps."""
     reader = StreamReader(log, CONFIG_STREAM)
     state = Configuration()
--- a/poplarrun/config/_sharing.py
+++ b/poplarrun/config/_sharing.py
@@ -32,7 +32,7 @@
 _answer_decoder = msgspec.msgpack.Decoder(ShareAnswer)
 
 
-def read_answer(data: bytes) -> ShareAnswer | None:
+def decode_share_answer(data: bytes) -> ShareAnswer | None:
     """Read a peer's answer; None when it is none."""
     try:
         return _answer_decoder.decode(data)
--- a/poplarrun/config/_signatures.py
+++ b/poplarrun/config/_signatures.py
@@ -10,7 +10,7 @@
 from poplarrun.config._publications import ConfigRecord, Publication, decode_record, encode_record
 
 # The key under which the hosts' own records are signed.
-SYSTEM = "system"
+SYSTEM_KEY_NAME = "system"
 
 
 class _Signed(msgspec.Struct, frozen=True, tag="signed"):
@@ -32,7 +32,7 @@
     keys: Mapping[str, tuple[bytes, ...]] = field(default_factory=dict)
 
     @property
-    def required(self) -> bool:
+    def are_required(self) -> bool:
         """Whether records must be signed."""
         return bool(self.keys)
 
@@ -58,11 +58,13 @@
 
 def sign_system_record(record: ConfigRecord, keys: OperatorKeys) -> bytes:
     """Return the bytes of a record of the hosts themselves, signed if keys are in use."""
-    system = keys.keys.get(SYSTEM)
-    return encode_record(record) if not system else sign_record(record, SYSTEM, system[0])
+    system = keys.keys.get(SYSTEM_KEY_NAME)
+    return encode_record(record) if not system else sign_record(record, SYSTEM_KEY_NAME, system[0])
 
 
-def open_record(data: bytes, keys: OperatorKeys = NO_KEYS) -> ConfigRecord | Unsigned | None:
+def decode_signed_record(
+    data: bytes, keys: OperatorKeys = NO_KEYS
+) -> ConfigRecord | Unsigned | None:
     """Read a record, signed or not; None when the bytes are none.
 
     Hosts must hold the same keys: a new key goes to every host before anyone
@@ -73,8 +75,8 @@
         signed = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         record = decode_record(data)
-        return Unsigned("no signature") if record is not None and keys.required else record
-    if keys.required and not _is_genuine(signed, keys):
+        return Unsigned("no signature") if record is not None and keys.are_required else record
+    if keys.are_required and not _is_genuine(signed, keys):
         return Unsigned(f"the signature of {signed.operator[:64]!r} does not fit")
     record = decode_record(signed.record)
     if isinstance(record, Publication) and record.operator != signed.operator:
--- a/poplarrun/config/_snapshots.py
+++ b/poplarrun/config/_snapshots.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from poplarrun.config._publications import Publication, Snapshot
-from poplarrun.config._signatures import OperatorKeys, open_record
+from poplarrun.config._signatures import OperatorKeys, decode_signed_record
 from poplarrun.config._state import Configuration
 from poplarrun.contracts import Document, parse_document
 
@@ -30,7 +30,7 @@
 
 def read_snapshot(snapshot: Snapshot, keys: OperatorKeys) -> Configuration | None:
     """Return the state of a snapshot; None when it is unreadable or not signed."""
-    publication = open_record(snapshot.publication, keys)
+    publication = decode_signed_record(snapshot.publication, keys)
     if not isinstance(publication, Publication):
         return None
     document = parse_document(publication.document)
--- a/poplarrun/config/_state.py
+++ b/poplarrun/config/_state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from poplarrun.contracts import Document, Stage, VersionId
+from poplarrun.contracts import Document, VersionId, VersionStage
 
 NOTHING_ACCEPTED = -1
 
@@ -44,4 +44,6 @@
     def is_withdrawn(self, version: VersionId) -> bool:
         """Tell whether a version may get no new work."""
         offered = self.document.versions.get(version)
-        return offered is None or offered.stage is Stage.WITHDRAWN or version in self.withdrawn
+        return (
+            offered is None or offered.stage is VersionStage.WITHDRAWN or version in self.withdrawn
+        )
--- a/poplarrun/contracts/__init__.py
+++ b/poplarrun/contracts/__init__.py
@@ -1,38 +1,38 @@
 """What operators promise: classes, client accounts, versions and services."""
 
 from poplarrun.contracts._document import (
+    AccountLimitSettings,
     ClientAccount,
     Document,
-    Limits,
+    MissingKeyPolicy,
     Operation,
     Price,
     Service,
-    Stage,
     Targets,
-    Unmet,
+    UnmetTargetsPolicy,
     Version,
     VersionId,
-    WithoutKey,
+    VersionStage,
     WorkClass,
 )
 from poplarrun.contracts._keys import hash_key, matches_key
-from poplarrun.contracts._validation import DocumentProblems, Problem, parse_document
+from poplarrun.contracts._validation import DocumentProblem, DocumentProblems, parse_document
 
 __all__ = [
+    "AccountLimitSettings",
     "ClientAccount",
     "Document",
+    "DocumentProblem",
     "DocumentProblems",
-    "Limits",
+    "MissingKeyPolicy",
     "Operation",
     "Price",
-    "Problem",
     "Service",
-    "Stage",
     "Targets",
-    "Unmet",
+    "UnmetTargetsPolicy",
     "Version",
     "VersionId",
-    "WithoutKey",
+    "VersionStage",
     "WorkClass",
     "hash_key",
     "matches_key",
--- a/poplarrun/contracts/_document.py
+++ b/poplarrun/contracts/_document.py
@@ -35,21 +35,21 @@
         return cls(model, version)
 
 
-class Stage(enum.Enum):
+class VersionStage(enum.Enum):
     """What operators ask for a version; the system runs the roll-out between."""
 
     OFFERED = "offered"
     WITHDRAWN = "withdrawn"
 
 
-class Unmet(enum.Enum):
+class UnmetTargetsPolicy(enum.Enum):
     """What a class wants when no allowed version meets its targets."""
 
     BEST_EFFORT = "best-effort"
     REFUSE = "refuse"
 
 
-class WithoutKey(enum.Enum):
+class MissingKeyPolicy(enum.Enum):
     """What a non-idempotent operation wants when it comes without a key."""
 
     REFUSE = "refuse"
@@ -74,7 +74,7 @@
     """One version of a model, as operators offer it."""
 
     id: VersionId
-    stage: Stage
+    stage: VersionStage
     price: Price
 
 
@@ -106,11 +106,11 @@
     name: str
     importance: int
     targets: Targets
-    unmet: Unmet
+    unmet: UnmetTargetsPolicy
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class AccountLimitSettings:
     """Limits of a client account over all hosts together; None is no limit."""
 
     requests_per_second: float | None = None
@@ -137,7 +137,7 @@
     classes: tuple[str, ...]
     versions: tuple[str, ...]
     services: tuple[str, ...]
-    limits: Limits
+    limits: AccountLimitSettings
 
     def allows_class(self, name: str) -> bool:
         """Tell whether the account may send work of a class."""
@@ -159,7 +159,7 @@
     name: str
     idempotent: bool
     timeout_s: float
-    without_key: WithoutKey
+    without_key: MissingKeyPolicy
     price: float = 0.0
 
 
@@ -201,7 +201,7 @@
         return [
             version
             for version in self.versions.values()
-            if version.stage is Stage.OFFERED and account.allows_version(version.id)
+            if version.stage is VersionStage.OFFERED and account.allows_version(version.id)
         ]
 
 
--- a/poplarrun/contracts/_validation.py
+++ b/poplarrun/contracts/_validation.py
@@ -7,18 +7,18 @@
 from pydantic import BaseModel, ConfigDict, Field, StringConstraints, ValidationError
 
 from poplarrun.contracts._document import (
+    AccountLimitSettings,
     ClientAccount,
     Document,
-    Limits,
+    MissingKeyPolicy,
     Operation,
     Price,
     Service,
-    Stage,
     Targets,
-    Unmet,
+    UnmetTargetsPolicy,
     Version,
     VersionId,
-    WithoutKey,
+    VersionStage,
     WorkClass,
 )
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class DocumentProblem:
     """One fault of a document: where, what was found, what is allowed."""
 
     path: str
@@ -53,7 +53,7 @@
 class DocumentProblems:
     """All faults of a document."""
 
-    problems: tuple[Problem, ...]
+    problems: tuple[DocumentProblem, ...]
 
 
 class _Model(BaseModel):
@@ -149,24 +149,26 @@
 
 
 def _one_problem(found: str, allowed: str) -> DocumentProblems:
-    return DocumentProblems((Problem("document", found, allowed),))
+    return DocumentProblems((DocumentProblem("document", found, allowed),))
 
 
-def _problem(raw: Any, detail: Any) -> Problem:
+def _problem(raw: Any, detail: Any) -> DocumentProblem:
     path = ".".join(str(part) for part in detail["loc"] if part != "[key]")
     last = str(detail["loc"][-1])
     if detail["type"] == "extra_forbidden" and last in ROUTING_FIELDS:
-        return Problem(path, repr(last), "operators set targets and permissions, never routes")
+        return DocumentProblem(
+            path, repr(last), "operators set targets and permissions, never routes"
+        )
     if detail["type"] == "extra_forbidden":
-        return Problem(path, repr(last), "no such field is known here")
+        return DocumentProblem(path, repr(last), "no such field is known here")
     if detail["type"] == "missing":
-        return Problem(path, "nothing", "this field is required")
+        return DocumentProblem(path, "nothing", "this field is required")
     found = detail["input"]
     shown = repr(found) if not isinstance(found, dict | list) else type(found).__name__
-    return Problem(path, shown, detail["msg"])
+    return DocumentProblem(path, shown, detail["msg"])
 
 
-def _find_contradictions(model: _DocumentModel) -> tuple[Problem, ...]:
+def _find_contradictions(model: _DocumentModel) -> tuple[DocumentProblem, ...]:
     """Find an API key that two client accounts share: a request would have two payers."""
     problems = []
     owner_by_hash: dict[str, str] = {}
@@ -176,14 +178,18 @@
             if owner != name:
                 path = f"accounts.{name}.keys.{index}"
                 problems.append(
-                    Problem(path, f"a key of {owner}", "a key belongs to one client account")
+                    DocumentProblem(
+                        path, f"a key of {owner}", "a key belongs to one client account"
+                    )
                 )
     return tuple(problems)
 
 
 def _build_document(model: _DocumentModel) -> Document:
     versions = [
-        Version(VersionId(model_name, name), Stage(item.stage), Price(**item.price.model_dump()))
+        Version(
+            VersionId(model_name, name), VersionStage(item.stage), Price(**item.price.model_dump())
+        )
         for model_name, model_item in model.models.items()
         for name, item in model_item.versions.items()
     ]
@@ -203,7 +209,7 @@
         whole_s=item.targets.whole_s,
         cost_per_request=item.targets.cost_per_request,
     )
-    return WorkClass(name, item.importance, targets, Unmet(item.unmet))
+    return WorkClass(name, item.importance, targets, UnmetTargetsPolicy(item.unmet))
 
 
 def _build_account(name: str, item: _AccountModel) -> ClientAccount:
@@ -213,7 +219,7 @@
         classes=tuple(item.classes),
         versions=tuple(item.versions),
         services=tuple(item.services),
-        limits=Limits(**item.limits.model_dump()),
+        limits=AccountLimitSettings(**item.limits.model_dump()),
     )
 
 
@@ -223,7 +229,7 @@
             name=operation_name,
             idempotent=operation.idempotent,
             timeout_s=operation.timeout_s,
-            without_key=WithoutKey(operation.without_key),
+            without_key=MissingKeyPolicy(operation.without_key),
             price=operation.price,
         )
         for operation_name, operation in item.operations.items()
--- a/poplarrun/dispatch/_dispatch.py
+++ b/poplarrun/dispatch/_dispatch.py
@@ -19,8 +19,8 @@
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.placement import Member, Placement, Seat
 from poplarrun.retries import WindowBudget
-from poplarrun.rollouts import LOADED, Rollouts, Times, VersionChoice, VersionReason
-from poplarrun.routing import Repeat, Request, Service, Work
+from poplarrun.rollouts import UNDER_LOAD, AnswerTimes, Rollouts, VersionChoice, VersionReason
+from poplarrun.routing import InFlightRequest, RepeatPolicy, Request, Service
 from poplarrun.sizes import SizePolicy
 
 # Sends that endpoints refused are no runs, but each costs the caller time: so many
@@ -99,7 +99,7 @@
         self.allowance = allowance
         self.window_s = window_s
         self._budgets: dict[str, WindowBudget] = {}
-        self._open: dict[Attempt, Work] = {}
+        self._open: dict[Attempt, InFlightRequest] = {}
 
     def divide_allowance(self, allowance: float) -> None:
         """Take over this host's part of the allowance, as hosts come and go."""
@@ -107,7 +107,7 @@
         for budget in self._budgets.values():
             budget.most = allowance
 
-    def admit(self, request: Request, now: float) -> Work | Refusal:
+    def admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
         """Find a new request's route, account and service, or refuse it."""
         catalogue = self.knowledge.catalogue
         if catalogue is None:
@@ -128,19 +128,19 @@
                 return Refusal(ErrorKind.UNAUTHENTICATED, "the key is not known")
             if not self.knowledge.may_use_keys(now):
                 return self._refuse(ErrorKind.NOT_READY, "keys are old", RETRY_KNOWLEDGE_S)
-        service = route.pick_service(_point(request.session or request.id))
-        time_s = min(request.time_left_s, route.pace.timeout_s)
-        work = Work(request, route, account, service, now, now + time_s)
+        service = route.choose_service(_point(request.session_id or request.id))
+        time_s = min(request.time_left_s, route.latency.timeout_s)
+        work = InFlightRequest(request, route, account, service, now, now + time_s)
         self.sizes.note_request(work)
         return work
 
-    def recheck(self, work: Work, now: float) -> Refusal | None:
+    def recheck(self, work: InFlightRequest, now: float) -> Refusal | None:
         """Tell why a request may not be sent any more; asked in the step that sends it.
 
         A key may be taken away, or the host suspended, while a request waits for a
         connection. Sent all the same, it would run seconds after its refusal was due.
         """
-        if work.left_s(now) < LEAST_TIME_S:
+        if work.remaining_s(now) < LEAST_TIME_S:
             return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
         if work.account is None:
             return None
@@ -154,7 +154,7 @@
             return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
         return None
 
-    def choose(self, work: Work, now: float) -> Send | Refusal:
+    def choose(self, work: InFlightRequest, now: float) -> Send | Refusal:
         """Choose the endpoint of the next send."""
         refusal = self.recheck(work, now)
         if refusal is not None:
@@ -162,44 +162,52 @@
         service = self._service(work)
         if service is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
-        size = work.size or self.sizes.first(work)
+        size = work.model_size or self.sizes.first(work)
         versions = self._versions(work, now)
-        is_proving = versions.only is not None and any(
-            self.rollouts.is_proving(work.service, version, now) for version in versions.only
+        is_proving = versions.allowed is not None and any(
+            self.rollouts.is_in_shift(work.service, version, now) for version in versions.allowed
         )
         seat = self.placement.choose(
-            work, service, now, size or "", versions.only, versions.avoided, is_proving=is_proving
+            work,
+            service,
+            now,
+            size or "",
+            versions.allowed,
+            versions.excluded,
+            is_proving=is_proving,
         )
         reason = versions.reason
-        if seat is None and versions.only is not None:
+        if seat is None and versions.allowed is not None:
             # Without an endpoint of its version the request rather runs on another.
-            seat = self.placement.choose(work, service, now, size or "", None, versions.avoided)
+            seat = self.placement.choose(work, service, now, size or "", None, versions.excluded)
             reason = VersionReason.NONE_LEFT
         if seat is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
         return Send(seat, size, self._urgency(work), reason)
 
-    def note_sent(self, work: Work, send: Send, now: float) -> Attempt:
+    def note_sent(self, work: InFlightRequest, send: Send, now: float) -> Attempt:
         """Note that the request's bytes went to the socket."""
         member = send.seat.member
         if work.sends == 0:
             self._budget(work.service).note_attempt(now)
         work.sends += 1
-        work.size = send.size
-        work.tried.add(member.listing.lifetime)
-        work.version = member.listing.version
+        work.model_size = send.size
+        work.tried_endpoints.add(member.listing.lifetime)
+        work.session_version = member.listing.version
         member.in_flight += 1
         member.pending_s += send.seat.read_s
         if send.size is not None:
-            member.remember(send.size, work.request.parts, now)
+            member.remember(send.size, work.request.prompt_parts, now)
         attempt = Attempt(send.seat, send.size, now)
         is_past = self.rollouts.is_past_trial(work.service, member.listing.version, now)
         attempt.is_loaded = is_past and send.seat.load >= LOADED_FROM
         self._open[attempt] = work
-        self.rollouts.note_sent(work, member.listing.version, now)
+        self.rollouts.record_send(work, member.listing.version, now)
         return attempt
 
-    def ask_larger(self, work: Work, attempt: Attempt, confidence: float, now: float) -> bool:
+    def ask_larger(
+        self, work: InFlightRequest, attempt: Attempt, confidence: float, now: float
+    ) -> bool:
         """Tell whether a larger model is asked instead; the caller has seen nothing yet.
 
         The dropped answer counts as a run, and the next send takes from the budget of
@@ -209,7 +217,7 @@
         service = self._service(work)
         if largest is None or service is None:
             return False
-        if work.runs + 1 >= work.route.most_attempts or work.last_event is not None:
+        if work.possible_runs + 1 >= work.route.max_attempts or work.last_event_id is not None:
             return False
         budget = self._budget(work.service)
         if budget.left(now) < 1.0 + KEPT_FOR_FAILURES * budget.most:
@@ -224,13 +232,13 @@
         self._leave(attempt)
         attempt.first_at = now
         self._note_evidence(work, attempt, False, attempt.times(now))
-        work.runs += 1
+        work.possible_runs += 1
         work.may_have_run = True
-        work.size = largest
-        work.tried.clear()
+        work.model_size = largest
+        work.tried_endpoints.clear()
         return True
 
-    def note_first(self, work: Work, attempt: Attempt, now: float) -> None:
+    def note_first(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
         """Note that the first event came, or the answer of a plain service."""
         attempt.first_at = now
         seat = attempt.seat
@@ -242,19 +250,24 @@
             speed = self.placement.speed(work.service, attempt.size or "")
             speed.note_first_token(seat.unread_tokens, taken_s)
 
-    def note_end(self, work: Work, attempt: Attempt, now: float) -> None:
+    def note_end(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
         """Note that an answer is whole."""
         self._leave(attempt)
         attempt.seat.member.note_good()
         self._note_evidence(work, attempt, False, attempt.times(now))
-        self.rollouts.note_end(work, attempt.seat.member.listing.version, now)
+        self.rollouts.record_end(work, attempt.seat.member.listing.version, now)
 
     def note_abandoned(self, attempt: Attempt) -> None:
         """Note that an attempt was ended by this side."""
         self._leave(attempt)
 
     def note_failure(
-        self, work: Work, member: Member, attempt: Attempt | None, failure: Failure, now: float
+        self,
+        work: InFlightRequest,
+        member: Member,
+        attempt: Attempt | None,
+        failure: Failure,
+        now: float,
     ) -> Refusal | None:
         """Learn from a failure, and tell whether the request ends with it.
 
@@ -272,55 +285,55 @@
                 member.note_full(now)
             case AnswerFailed():
                 if attempt is not None:
-                    self._note_evidence(work, attempt, True, Times())
+                    self._note_evidence(work, attempt, True, AnswerTimes())
             case NoConnection():
                 work.connect_failures += 1
-                work.tried.add(member.listing.lifetime)
+                work.tried_endpoints.add(member.listing.lifetime)
                 member.note_failure(now)
             case TookTooLong(waited_s) if attempt is not None and _is_awake(member, waited_s, now):
-                self._note_evidence(work, attempt, True, Times())
+                self._note_evidence(work, attempt, True, AnswerTimes())
                 member.note_failure(now)
             case _:
                 if attempt is not None:
                     self._note_broken(work, attempt)
                 member.note_failure(now)
         if may_have_run(failure):
-            work.runs += 1
+            work.possible_runs += 1
             work.failures += 1
             work.may_have_run = True
         return self._may_go_on(work, failure, now)
 
-    def _may_go_on(self, work: Work, failure: Failure, now: float) -> Refusal | None:
+    def _may_go_on(self, work: InFlightRequest, failure: Failure, now: float) -> Refusal | None:
         kind = ErrorKind.ENDPOINT_FAILED if work.may_have_run else ErrorKind.NO_ENDPOINT
-        if may_have_run(failure) and not work.route.may_repeat:
+        if may_have_run(failure) and not work.route.can_repeat:
             return Refusal(kind, "it may have run")
-        if work.runs >= work.route.most_attempts:
-            return Refusal(kind, f"{work.runs} attempts failed")
-        if work.sends >= work.route.most_attempts + REFUSED_SENDS:
+        if work.possible_runs >= work.route.max_attempts:
+            return Refusal(kind, f"{work.possible_runs} attempts failed")
+        if work.sends >= work.route.max_attempts + REFUSED_SENDS:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
         if work.connect_failures >= MOST_CONNECT_FAILURES:
             text = f"{work.connect_failures} connections failed"
             return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
-        if work.left_s(now) < LEAST_TIME_S:
+        if work.remaining_s(now) < LEAST_TIME_S:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
         if work.sends and not self._budget(work.service).take(now):
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
         return None
 
-    def _service(self, work: Work) -> Service | None:
+    def _service(self, work: InFlightRequest) -> Service | None:
         catalogue = self.knowledge.catalogue
         return None if catalogue is None else catalogue.services.get(work.service)
 
-    def _versions(self, work: Work, now: float) -> VersionChoice:
+    def _versions(self, work: InFlightRequest, now: float) -> VersionChoice:
         # A stream goes on in the version that it began in.
-        if work.version is not None and work.last_event is not None:
-            return VersionChoice(frozenset((work.version,)), None, VersionReason.STREAM)
-        return self.rollouts.pick_version(work, now)
-
-    def _urgency(self, work: Work) -> int:
-        match work.route.repeat:
-            case Repeat.STREAM:
-                return FIRST_URGENCY + work.rank
+        if work.session_version is not None and work.last_event_id is not None:
+            return VersionChoice(frozenset((work.session_version,)), None, VersionReason.STREAM)
+        return self.rollouts.choose_version(work, now)
+
+    def _urgency(self, work: InFlightRequest) -> int:
+        match work.route.repeat_policy:
+            case RepeatPolicy.STREAM:
+                return FIRST_URGENCY + work.priority
             case _:
                 return FIRST_URGENCY
 
@@ -335,28 +348,32 @@
                 continue
             kind = _kind_of(work, attempt)
             times = attempt.times(now, is_ended=False)
-            is_slow = self.rollouts.evidence.is_slow(work.service, kind, times)
+            is_slow = self.rollouts.statistics.is_slow(work.service, kind, times)
             if is_slow or attempt.events >= EVENTS_JUDGED:
                 self._note_evidence(work, attempt, False, times)
 
-    def _note_evidence(self, work: Work, attempt: Attempt, is_bad: bool, times: Times) -> None:
+    def _note_evidence(
+        self, work: InFlightRequest, attempt: Attempt, is_bad: bool, times: AnswerTimes
+    ) -> None:
         version = attempt.seat.member.listing.version
         key = (work.service, version, _kind_of(work, attempt))
         if attempt.is_judged:
             if is_bad:
-                self.rollouts.evidence.note_late_failure(key)
+                self.rollouts.statistics.record_failure_of_slow_answer(key)
             return
         attempt.is_judged = True
         if attempt.is_loaded:
-            times = Times()
+            times = AnswerTimes()
         rollout = self.rollouts.find(work.service)
-        is_trial = rollout is not None and rollout.is_open and version == rollout.order.target
-        self.rollouts.evidence.note(key, is_bad, times, is_trial)
+        is_trial = (
+            rollout is not None and rollout.is_in_progress and version == rollout.order.target
+        )
+        self.rollouts.statistics.record_answer(key, is_bad, times, is_trial)
 
-    def _note_broken(self, work: Work, attempt: Attempt) -> None:
+    def _note_broken(self, work: InFlightRequest, attempt: Attempt) -> None:
         listing = attempt.seat.member.listing
         key = (work.service, listing.version, _kind_of(work, attempt))
-        self.rollouts.evidence.note_broken(key, listing.lifetime, attempt.is_judged)
+        self.rollouts.statistics.record_interruption(key, listing.lifetime, attempt.is_judged)
         attempt.is_judged = True
 
     def _leave(self, attempt: Attempt) -> None:
@@ -373,7 +390,7 @@
             self._budgets[service] = budget
         return budget
 
-    def _give_up(self, work: Work, kind: ErrorKind, text: str) -> Refusal:
+    def _give_up(self, work: InFlightRequest, kind: ErrorKind, text: str) -> Refusal:
         """Refuse a request; one that may have run is never said not to have run."""
         if work.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_FAILED, text)
@@ -384,9 +401,9 @@
         return Refusal(kind, text, retry_after_s=retry_after_s)
 
 
-def _kind_of(work: Work, attempt: Attempt) -> str:
+def _kind_of(work: InFlightRequest, attempt: Attempt) -> str:
     if attempt.is_loaded:
-        return LOADED
+        return UNDER_LOAD
     return f"{work.route.name}/{attempt.size or ''}"
 
 
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from poplarrun.placement import Seat
-from poplarrun.rollouts import Times
+from poplarrun.rollouts import AnswerTimes
 
 # Events of which the mean pause tells the pace of an answer.
 FEWEST_PACED = 3
@@ -128,18 +128,18 @@
         self.seat.member.heard_at = now
         self.events += count
 
-    def times(self, now: float, is_ended: bool = True) -> Times:
+    def times(self, now: float, is_ended: bool = True) -> AnswerTimes:
         """Return how long the answer took, or has taken so far.
 
         Prompts that were known to wait before it say nothing of its version. The first
         pause after the start of an answer under way says little of its pace.
         """
         if self.first_at is None:
-            return Times(None if is_ended else self._without_queue(now))
+            return AnswerTimes(None if is_ended else self._without_queue(now))
         pace_s = None
         if self.events >= FEWEST_PACED:
             pace_s = (now - self.first_at) / (self.events - 1 if is_ended else self.events)
-        return Times(self._without_queue(self.first_at), pace_s)
+        return AnswerTimes(self._without_queue(self.first_at), pace_s)
 
     def _without_queue(self, at: float) -> float:
         return max(0.0, at - self.sent_at - self.seat.queue_s)
--- a/poplarrun/dispatch/_patience.py
+++ b/poplarrun/dispatch/_patience.py
@@ -5,7 +5,7 @@
 """
 
 from poplarrun.placement import Seat
-from poplarrun.routing import Repeat, Work
+from poplarrun.routing import InFlightRequest, RepeatPolicy
 
 # So many times the expected time to the first event, and so many seconds at the least:
 # callers leave after four times the time that is in time, eight seconds here.
@@ -18,22 +18,22 @@
 ANSWER_PATIENCE = 2.0
 
 
-def first_patience_s(work: Work, seat: Seat) -> float | None:
+def first_patience_s(work: InFlightRequest, seat: Seat) -> float | None:
     """Return the patience until the first event or the answer, in seconds.
 
     None where nothing else could be asked, so that all the time that is left is given.
     """
-    if not work.route.may_repeat or work.runs + 1 >= work.route.most_attempts:
+    if not work.route.can_repeat or work.possible_runs + 1 >= work.route.max_attempts:
         return None
-    match work.route.repeat:
-        case Repeat.STREAM:
+    match work.route.repeat_policy:
+        case RepeatPolicy.STREAM:
             return max(LEAST_FIRST_PATIENCE_S, FIRST_PATIENCE * seat.first_s)
         case _:
-            return ANSWER_PATIENCE * work.route.pace.target_s
+            return ANSWER_PATIENCE * work.route.latency.target_s
 
 
-def gap_patience_s(work: Work) -> float | None:
+def gap_patience_s(work: InFlightRequest) -> float | None:
     """Return the patience with a pause inside a stream, in seconds; None for no bound."""
-    if not work.route.may_repeat:
+    if not work.route.can_repeat:
         return None
-    return GAP_PATIENCE * work.route.pace.gap_s
+    return GAP_PATIENCE * work.route.latency.event_gap_s
--- a/poplarrun/gateway/_exchange.py
+++ b/poplarrun/gateway/_exchange.py
@@ -22,7 +22,7 @@
 from poplarrun.gateway._records import RequestRecorder
 from poplarrun.gateway._sessions import SessionKeeping
 from poplarrun.platform import EndpointAnswer, decode_answer, encode_send
-from poplarrun.routing import Repeat, Work
+from poplarrun.routing import InFlightRequest, RepeatPolicy
 from poplarrun.transport import (
     Broken,
     CallerConnection,
@@ -87,7 +87,7 @@
         dispatch: Dispatch,
         pool: ConnectionPool,
         caller: CallerConnection,
-        work: Work,
+        work: InFlightRequest,
         recorder: RequestRecorder,
         sessions: SessionKeeping,
     ) -> None:
@@ -106,7 +106,7 @@
         """Answer the caller, by a whole answer, a refusal or a break-off."""
         work = self._work
         try:
-            async with asyncio.timeout(max(0.0, work.left_s(boot_time()))):
+            async with asyncio.timeout(max(0.0, work.remaining_s(boot_time()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
             self._end_attempt(TookTooLong(boot_time() - work.arrived_at))
@@ -141,7 +141,7 @@
 
     async def _try_one(self, step: Send) -> bool:
         """Send once; False when a larger model is to be asked instead."""
-        is_stream = self._work.route.repeat is Repeat.STREAM
+        is_stream = self._work.route.repeat_policy is RepeatPolicy.STREAM
         opened = await self._open(step)
         answer = opened.answer
         if answer.status not in SUCCESS:
@@ -179,8 +179,8 @@
         if refusal is not None:
             raise RefusedError(refusal)
         lifetime = step.seat.member.listing.lifetime
-        is_resumed, work.size = work.last_event is not None, step.size
-        headers = encode_send(work, lifetime, work.left_s(now), step.urgency)
+        is_resumed, work.model_size = work.last_event_id is not None, step.size
+        headers = encode_send(work, lifetime, work.remaining_s(now), step.urgency)
         request = work.request
         is_sent = connection.send(request.method, request.target, headers, request.body)
         if not is_sent:
@@ -189,7 +189,7 @@
         self._attempt = attempt
         # What may run only once is left to end although its caller has gone: whether it
         # ran would stay unknown otherwise.
-        self._caller.is_shielded = not work.route.may_repeat
+        self._caller.is_shielded = not work.route.can_repeat
         self._recorder.sent(work, step, now, is_resumed)
         patience_s = first_patience_s(work, step.seat)
         try:
@@ -206,7 +206,7 @@
 
     async def _connect(self, step: Send) -> ClientConnection:
         listing = step.seat.member.listing
-        if self._work.route.may_repeat:
+        if self._work.route.can_repeat:
             idle = self._pool.take_idle(listing.address, listing.lifetime)
             if idle is not None:
                 return idle
@@ -305,12 +305,12 @@
             if event.id is None:
                 due.append(event)
                 continue
-            before = work.last_event
+            before = work.last_event_id
             if before is not None and event.id <= before:
                 continue
             if before is not None and event.id > before + 1:
                 raise AttemptError(Garbled(f"event {event.id} follows {before}"))
-            work.last_event = event.id
+            work.last_event_id = event.id
             due.append(event)
         return due
 
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -194,7 +194,7 @@
                 self.take_config(entry.value)
             elif entry.key.startswith(ROLLOUT_PREFIX):
                 order = decode_order(entry.value, entry.offset)
-                if self._rollouts.take_order(order, now):
+                if self._rollouts.apply_order(order, now):
                     write_event(
                         events.RolloutOrdered(
                             order.service, order.target, order.duration_s, "store", 0.0
@@ -411,6 +411,6 @@
             except Malformed as error:
                 write_event(events.DocumentIgnored(entry.key, str(error)))
                 continue
-            self._rollouts.take_status(status)
+            self._rollouts.apply_status(status)
         self.offset = answer.end
         return True
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -31,7 +31,7 @@
     load_node_settings,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.routing import Request, Work
+from poplarrun.routing import InFlightRequest, Request
 from poplarrun.sizes import SizePolicy
 from poplarrun.transport import (
     CallerConnection,
@@ -204,7 +204,7 @@
         finally:
             self._open -= 1
 
-    def _admit(self, request: Request, now: float) -> Work | Refusal:
+    def _admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
         if self._open >= self._capacity.requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
         if self._is_closed:
@@ -287,8 +287,8 @@
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
         self._knowledge.key_bound_s = loaded.key_bound_s
-        self._rollouts.session_s = loaded.session_s
-        self._rollouts.exposure = loaded.exposure
+        self._rollouts.session_timeout_s = loaded.session_s
+        self._rollouts.exposure_limit = loaded.exposure
         self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
         self._callers.most_connections = self._capacity.callers
         self._store.address = loaded.store
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -6,7 +6,7 @@
 from poplarrun.errors import Refusal, answer_for
 from poplarrun.logs import events, write_event
 from poplarrun.metrics import Metrics
-from poplarrun.routing import Request, Work
+from poplarrun.routing import InFlightRequest, Request
 from poplarrun.transport import boot_time
 
 
@@ -26,7 +26,7 @@
         self.config_version = -1
         self.config_age_s = 0.0
 
-    def admitted(self, work: Work, now: float) -> None:
+    def admitted(self, work: InFlightRequest, now: float) -> None:
         """Note that a request may run."""
         self._metrics.count_request(work.route.name)
         account = "" if work.account is None else work.account.name
@@ -36,17 +36,17 @@
                 work.route.name,
                 account,
                 work.service,
-                work.left_s(now),
+                work.remaining_s(now),
                 self.config_version,
                 self.config_age_s,
             )
         )
 
-    def chosen(self, work: Work, seconds: float) -> None:
+    def chosen(self, work: InFlightRequest, seconds: float) -> None:
         """Note how long the choice of an endpoint took."""
         self._metrics.record_latency("choice", work.service, seconds)
 
-    def sent(self, work: Work, send: Send, now: float, is_resumed: bool) -> None:
+    def sent(self, work: InFlightRequest, send: Send, now: float, is_resumed: bool) -> None:
         """Note a send."""
         if work.sends > 1:
             self._metrics.count_event("resumed" if is_resumed else "sent_again")
@@ -62,10 +62,10 @@
                 send.seat.first_s,
                 member.load,
                 member.queue_s,
-                work.left_s(now),
+                work.remaining_s(now),
                 is_resumed,
                 send.reason.value,
-                "" if work.request.session is None else f"{work.request.session_number:08x}",
+                "" if work.request.session_id is None else f"{work.request.session_hash:08x}",
             )
         )
 
@@ -73,7 +73,7 @@
         """Note that no host said in time whether a session stays on its version."""
         self._metrics.count_event("session_unanswered")
 
-    def failed(self, work: Work, send: Send, failure: Failure, is_last: bool) -> None:
+    def failed(self, work: InFlightRequest, send: Send, failure: Failure, is_last: bool) -> None:
         """Note a failed send; it counts as a retry unless the request ends with it."""
         reason = reason_of(failure)
         self._metrics.count_event(f"send_failed_{reason}")
@@ -89,18 +89,18 @@
             )
         )
 
-    def dropped(self, work: Work, confidence: float) -> None:
+    def dropped(self, work: InFlightRequest, confidence: float) -> None:
         """Note that a larger model is asked in place of an answer."""
         self._metrics.count_retry("larger_model")
-        write_event(events.LargerModelAsked(work.request.id, confidence, work.size or ""))
+        write_event(events.LargerModelAsked(work.request.id, confidence, work.model_size or ""))
 
-    def first(self, work: Work, attempt: Attempt) -> None:
+    def first(self, work: InFlightRequest, attempt: Attempt) -> None:
         """Note the first event, or the answer of a plain service."""
         if attempt.first_at is not None:
             taken_s = attempt.first_at - work.arrived_at
             self._metrics.record_latency("first", work.route.name, taken_s)
 
-    def answered(self, work: Work, status: int, attempt: Attempt | None = None) -> None:
+    def answered(self, work: InFlightRequest, status: int, attempt: Attempt | None = None) -> None:
         """Note an answer that went to the caller.
 
         Parameters
@@ -116,8 +116,8 @@
                 event,
                 first_s=attempt.first_at - work.arrived_at,
                 pause_s=attempt.pause_s,
-                target_s=work.route.pace.target_s,
-                most_pause_s=work.route.pace.gap_s,
+                target_s=work.route.latency.target_s,
+                most_pause_s=work.route.latency.event_gap_s,
                 model=attempt.size or "",
                 confidence=attempt.confidence,
             )
@@ -127,7 +127,7 @@
         """Note a refusal before admission."""
         self._refuse(request.id, "", refusal, 0, 0.0)
 
-    def refused(self, work: Work, refusal: Refusal, is_started: bool) -> None:
+    def refused(self, work: InFlightRequest, refusal: Refusal, is_started: bool) -> None:
         """Note a refusal, or an answer that was broken off."""
         took_s = boot_time() - work.arrived_at
         if not is_started:
@@ -142,11 +142,11 @@
                 refusal.message,
                 work.sends,
                 took_s,
-                work.last_event or 0,
+                work.last_event_id or 0,
             )
         )
 
-    def left(self, work: Work) -> None:
+    def left(self, work: InFlightRequest) -> None:
         """Note that the caller closed its connection."""
         self._metrics.count_event("caller_left")
         took_s = boot_time() - work.arrived_at
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -8,8 +8,8 @@
 
 from poplarrun.links import Links
 from poplarrun.peers import HeldSessions, PeerBook, SessionAnswer, SessionAsk, encode_message
-from poplarrun.rollouts import HeldSession, Rollouts, SessionKey
-from poplarrun.routing import Work
+from poplarrun.rollouts import PinnedSession, Rollouts, SessionKey
+from poplarrun.routing import InFlightRequest
 from poplarrun.transport import boot_time
 
 # Answers of keepers that are waited for, and for how long in seconds: one keeper may be
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _Question:
-    held: HeldSession
+    held: PinnedSession
     missing: int
     answer: asyncio.Future[bool]
 
@@ -42,9 +42,9 @@
     def tell(self) -> None:
         """Tell the keepers of the sessions that this host found to be held."""
         told: dict[tuple[str, str, int], list[int]] = defaultdict(list)
-        for held in self._rollouts.sessions.take_untold():
+        for held in self._rollouts.sessions.drain_unpublished():
             for keeper in self._keepers(held.key):
-                told[keeper, held.key.service, held.offset].append(held.key.number)
+                told[keeper, held.key.service, held.order_offset].append(held.key.session_hash)
         for (keeper, service, offset), numbers in told.items():
             self._links.send(keeper, encode_message(HeldSessions(service, offset, numbers)))
 
@@ -52,12 +52,12 @@
         """Take in sessions that another host told of."""
         for number in message.numbers:
             key = SessionKey(message.service, number)
-            self._rollouts.sessions.take(HeldSession(key, message.offset))
+            self._rollouts.sessions.apply_pin(PinnedSession(key, message.offset))
 
     def answer(self, ask: SessionAsk) -> None:
         """Answer a host that asks."""
-        held = HeldSession(SessionKey(ask.service, ask.number), ask.offset)
-        is_held = self._rollouts.sessions.is_held(held)
+        held = PinnedSession(SessionKey(ask.service, ask.number), ask.offset)
+        is_held = self._rollouts.sessions.is_pinned(held)
         self._links.send(ask.address, encode_message(SessionAnswer(ask.question, is_held)))
 
     def take_answer(self, answer: SessionAnswer) -> None:
@@ -67,16 +67,16 @@
             return
         question.missing -= 1
         if answer.is_held:
-            self._rollouts.sessions.take(question.held)
+            self._rollouts.sessions.apply_pin(question.held)
         if answer.is_held or question.missing <= 0:
             question.answer.set_result(answer.is_held)
 
-    async def learn(self, work: Work) -> bool:
+    async def learn(self, work: InFlightRequest) -> bool:
         """Find out whether a request's session is held; False when nobody said so in time.
 
         Only sessions that the trial would take are asked for.
         """
-        held = self._rollouts.find_unknown(work, boot_time())
+        held = self._rollouts.find_session_to_query(work, boot_time())
         if held is None:
             return True
         keepers = self._keepers(held.key)
@@ -86,8 +86,10 @@
         number = next(self._numbers)
         question = _Question(held, needed, asyncio.get_running_loop().create_future())
         self._questions[number] = question
-        service, session = held.key.service, held.key.number
-        ask = encode_message(SessionAsk(self._book.address, number, service, held.offset, session))
+        service, session = held.key.service, held.key.session_hash
+        ask = encode_message(
+            SessionAsk(self._book.address, number, service, held.order_offset, session)
+        )
         try:
             for keeper in keepers:
                 self._links.send(keeper, ask)
@@ -100,5 +102,5 @@
 
     def _keepers(self, key: SessionKey) -> list[str]:
         """Return the other hosts that keep a session."""
-        keepers = self._book.keepers(f"{key.service}/{key.number}")
+        keepers = self._book.keepers(f"{key.service}/{key.session_hash}")
         return [keeper for keeper in keepers if keeper != self._book.address]
--- a/poplarrun/gateway/_sharing.py
+++ b/poplarrun/gateway/_sharing.py
@@ -123,12 +123,14 @@
             )
             for news in others.tallies
         }
-        self._rollouts.evidence.take(OTHERS, tallies)
+        self._rollouts.statistics.apply_host_tallies(OTHERS, tallies)
 
     def rollout_states(self) -> list[RolloutState]:
         """Return how far the roll-outs under way are."""
         return [
-            RolloutState(rollout.order.offset, rollout.recorded, rollout.shifted_at is not None)
+            RolloutState(
+                rollout.order.offset, rollout.recorded_phase, rollout.shift_decided_at is not None
+            )
             for rollout in self._rollouts.active()
         ]
 
@@ -140,9 +142,9 @@
                 rollout.order.target,
                 rollout.order.duration_s,
                 rollout.order.offset,
-                now - rollout.begun_at,
-                rollout.recorded,
-                None if rollout.shifted_at is None else now - rollout.shifted_at,
+                now - rollout.started_at,
+                rollout.recorded_phase,
+                None if rollout.shift_decided_at is None else now - rollout.shift_decided_at,
             )
             for rollout in self._rollouts.recent(now)
         ]
@@ -161,21 +163,21 @@
         return [
             TallyNews(
                 *key,
-                tally.ended,
+                tally.answers,
                 tally.failures,
                 tally.slow,
-                tally.paced,
-                round(tally.log_pace, 2),
-                sorted(tally.broken),
+                tally.paced_answers,
+                round(tally.log_pace_sum, 2),
+                sorted(tally.interrupting_endpoints),
             )
-            for key, tally in self._rollouts.evidence.own.items()
+            for key, tally in self._rollouts.statistics.local.items()
             if key[0] in active
         ]
 
     def _take_rollouts(self, digest: Digest, now: float) -> None:
         for news in digest.rollouts:
             order = RolloutOrder(news.service, news.target, news.duration_s, news.offset)
-            if self._rollouts.take_order(order, now, news.age_s):
+            if self._rollouts.apply_order(order, now, news.age_s):
                 write_event(
                     events.RolloutOrdered(
                         order.service, order.target, order.duration_s, digest.address, news.age_s
@@ -185,12 +187,12 @@
             if rollout is None or rollout.order.offset != news.offset:
                 continue
             shifted_age_s = news.shifted_age_s
-            if shifted_age_s is not None and rollout.shift(now - shifted_age_s):
+            if shifted_age_s is not None and rollout.record_shift(now - shifted_age_s):
                 write_event(
                     events.RolloutShifted(
-                        order.service, order.target, digest.address, now - rollout.begun_at
+                        order.service, order.target, digest.address, now - rollout.started_at
                     )
                 )
             if news.phase is not None:
                 status = RolloutStatus(news.service, news.target, news.phase)
-                self._rollouts.take_status(status)
+                self._rollouts.apply_status(status)
--- a/poplarrun/gateway/_steward.py
+++ b/poplarrun/gateway/_steward.py
@@ -13,7 +13,7 @@
     StoreClient,
     encode_status,
 )
-from poplarrun.rollouts import Rollout, Rollouts, Verdict
+from poplarrun.rollouts import Rollout, Rollouts, RolloutVerdict
 from poplarrun.routing import RolloutPhase, RolloutStatus
 from poplarrun.transport import boot_time
 
@@ -31,9 +31,9 @@
 TURN_S = 1.2
 
 PHASES = {
-    Verdict.ACTIVE: RolloutPhase.ACTIVE,
-    Verdict.COMPLETED: RolloutPhase.COMPLETED,
-    Verdict.ROLLED_BACK: RolloutPhase.ROLLED_BACK,
+    RolloutVerdict.ACTIVE: RolloutPhase.ACTIVE,
+    RolloutVerdict.COMPLETED: RolloutPhase.COMPLETED,
+    RolloutVerdict.ROLLED_BACK: RolloutPhase.ROLLED_BACK,
 }
 
 
@@ -64,7 +64,7 @@
         self._turn = turn
         self._judge_open = judge_open
         self._follower = StatusFollower(store, rollouts)
-        self._wanted: dict[tuple[str, Verdict], float] = {}
+        self._wanted: dict[tuple[str, RolloutVerdict], float] = {}
         self._read_at = float("-inf")
 
     async def run(self) -> None:
@@ -86,20 +86,20 @@
                 return
             if rollout not in self._rollouts.active():
                 return
-        was_shifted = rollout.shifted_at is not None
-        verdict = self._rollouts.judge(rollout, now)
-        if rollout.shifted_at is not None and not was_shifted:
+        was_shifted = rollout.shift_decided_at is not None
+        verdict = self._rollouts.compute_verdict(rollout, now)
+        if rollout.shift_decided_at is not None and not was_shifted:
             order = rollout.order
-            age_s = now - rollout.begun_at
+            age_s = now - rollout.started_at
             write_event(events.RolloutShifted(order.service, order.target, "own", age_s))
-        if verdict is Verdict.NOTHING:
+        if verdict is RolloutVerdict.NOTHING:
             return
         wanted_since = self._wanted.setdefault((rollout.order.target, verdict), now)
         if now - wanted_since < TURN_S * turn:
             return
         await self._record(rollout, verdict)
 
-    async def _record(self, rollout: Rollout, verdict: Verdict) -> None:
+    async def _record(self, rollout: Rollout, verdict: RolloutVerdict) -> None:
         if not await self._follower.read() or rollout not in self._rollouts.active():
             return
         order = rollout.order
@@ -109,16 +109,16 @@
         answer = await self._store.append(STATUS_TOPIC, [(key, value)], self._follower.offset)
         match answer:
             case Appended():
-                self._rollouts.take_status(status)
+                self._rollouts.apply_status(status)
             case Moved():
                 self._read_at = float("-inf")
-        tally = self._rollouts.evidence.of_version(order.service, order.target)
+        tally = self._rollouts.statistics.merge_version_tallies(order.service, order.target)
         write_event(
             events.RolloutJudged(
                 order.service,
                 order.target,
                 status.phase.value,
-                tally.ended,
+                tally.answers,
                 tally.bad,
                 tally.slow,
                 type(answer).__name__,
--- a/poplarrun/limits/_account.py
+++ b/poplarrun/limits/_account.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from poplarrun.contracts import Limits
+from poplarrun.contracts import AccountLimitSettings
 from poplarrun.limits._buckets import Bucket, Spend, Streams
 from poplarrun.limits._loans import LENT_PART, LOW_PART, Loan
 from poplarrun.limits._shares import Share
@@ -21,7 +21,7 @@
 class Account:
     """One account's limits at this host."""
 
-    limits: Limits
+    limits: AccountLimitSettings
     shares: dict[LimitKind, Share] = field(default_factory=dict)
     requests: Bucket = field(default_factory=Bucket)
     tokens: Bucket = field(default_factory=lambda: Bucket(burst_s=TOKENS_BURST_S))
@@ -138,7 +138,7 @@
         return share.part if share else 0.0
 
 
-def kinds_of(limits: Limits) -> list[LimitKind]:
+def kinds_of(limits: AccountLimitSettings) -> list[LimitKind]:
     """Return the kinds of limits that an account has."""
     values = (
         limits.requests_per_second,
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.errors import ErrorKind
 from poplarrun.hosts import Gathered, Peers
 from poplarrun.limits._account import Account, kinds_of
@@ -112,7 +112,7 @@
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
     ) -> Limited | None:
         """Let a request through, and count it, or say when to come back."""
-        if account.limits == Limits():
+        if account.limits == AccountLimitSettings():
             return None
         state = self._state(account)
         state.requests.offered += 1
@@ -218,7 +218,11 @@
             return
         silent, is_current = self._hear_zones(gathered)
         summary: Summary = {}
-        limited = {account.name: account for account in accounts if account.limits != Limits()}
+        limited = {
+            account.name: account
+            for account in accounts
+            if account.limits != AccountLimitSettings()
+        }
         for name in self._accounts.keys() - limited.keys():
             del self._accounts[name]
         for name, account in limited.items():
@@ -263,7 +267,7 @@
     def _state(self, account: ClientAccount) -> Account:
         state = self._accounts.get(account.name)
         if state is None:
-            state = self._accounts[account.name] = Account(Limits())
+            state = self._accounts[account.name] = Account(AccountLimitSettings())
         if state.limits is not account.limits:
             state.limits = account.limits
             new = [kind for kind in kinds_of(account.limits) if kind not in state.shares]
--- a/poplarrun/placement/_placement.py
+++ b/poplarrun/placement/_placement.py
@@ -12,7 +12,7 @@
 from poplarrun.placement._directory import Listing
 from poplarrun.placement._members import Member
 from poplarrun.rendezvous import Ranking, home_of, salt_of
-from poplarrun.routing import Service, Work
+from poplarrun.routing import InFlightRequest, Service
 from poplarrun.speeds import PoolSpeed
 
 # Time that a full batch adds to the first event, in seconds.
@@ -133,7 +133,7 @@
 
     def choose(
         self,
-        work: Work,
+        work: InFlightRequest,
         service: Service,
         now: float,
         size: str = "",
@@ -165,7 +165,7 @@
             and member.listing.version != avoided_version
         ]
         free = [member for member in usable if not member.is_paused(now)]
-        tried = set() if is_new else work.tried
+        tried = set() if is_new else work.tried_endpoints
         fresh = [member for member in free if member.listing.lifetime not in tried]
         candidates = fresh or free or usable
         if not candidates:
@@ -187,9 +187,9 @@
         return [first] if first.load < PROVING_LOAD else candidates
 
     @staticmethod
-    def _home(candidates: list[Member], work: Work, size: str) -> str | None:
+    def _home(candidates: list[Member], work: InFlightRequest, size: str) -> str | None:
         """Return the member that prompts with the same beginning usually go to."""
-        parts = work.request.parts
+        parts = work.request.prompt_parts
         shared = parts[-2:-1] or parts[-1:]
         if not shared:
             return None
@@ -213,14 +213,19 @@
         start = self._random.randrange(len(candidates))
         return candidates[start:] + candidates[:start]
 
-    def _pick(self, seats: list[Seat], work: Work) -> Seat:
+    def _pick(self, seats: list[Seat], work: InFlightRequest) -> Seat:
         far_s = FAR_S + FAR_BYTE_S * len(work.request.body)
         return min(seats, key=lambda seat: seat.first_s + self._distance_s(seat.member, far_s))
 
     def _seat_engines(
-        self, candidates: list[Member], home: str | None, work: Work, size: str, now: float
+        self,
+        candidates: list[Member],
+        home: str | None,
+        work: InFlightRequest,
+        size: str,
+        now: float,
     ) -> list[Seat]:
-        parts = work.request.parts
+        parts = work.request.prompt_parts
         shared_tokens = sum(part.tokens for part in parts[:-1])
         speed = self.speed(work.service, size)
         prompt = max(work.request.prompt_tokens, sum(part.tokens for part in parts))
--- a/poplarrun/platform/_documents.py
+++ b/poplarrun/platform/_documents.py
@@ -10,22 +10,22 @@
     Account,
     CallerLimits,
     Catalogue,
-    Pace,
-    Repeat,
+    LatencyTargets,
+    ModelSize,
+    RepeatPolicy,
     RolloutOrder,
     RolloutPhase,
     RolloutStatus,
     Route,
     Service,
-    Share,
-    Size,
+    ServiceWeight,
 )
 
 MILLISECONDS = 1000.0
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.ONCE,
-    "streaming": Repeat.STREAM,
+    "idempotent": RepeatPolicy.IDEMPOTENT,
+    "non_idempotent": RepeatPolicy.ONCE,
+    "streaming": RepeatPolicy.STREAM,
 }
 DEFAULT_GAP_MS = 1000.0
 
@@ -180,24 +180,24 @@
 def _route(route: _Route) -> Route:
     if route.type not in REPEATS:
         raise Malformed(f"routes.{route.name}.type: {route.type!r} is not known")
-    shares = tuple(Share(split.service, split.weight) for split in route.split)
+    shares = tuple(ServiceWeight(split.service, split.weight) for split in route.split)
     if not shares and route.service is not None:
-        shares = (Share(route.service, 1.0),)
+        shares = (ServiceWeight(route.service, 1.0),)
     if not shares:
         raise Malformed(f"routes.{route.name}.service: is missing")
     return Route(
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        repeat=REPEATS[route.type],
-        pace=Pace(
+        repeat_policy=REPEATS[route.type],
+        latency=LatencyTargets(
             route.timeout_ms / MILLISECONDS,
             route.target_latency_ms / MILLISECONDS,
             (route.gap_goal_ms or DEFAULT_GAP_MS) / MILLISECONDS,
         ),
-        rank=route.priority,
-        shares=shares,
-        most_attempts=route.max_attempts,
+        priority=route.priority,
+        service_weights=shares,
+        max_attempts=route.max_attempts,
         is_public=route.public,
         is_resumable=route.resumable,
         sizes=route.sizes,
@@ -208,7 +208,7 @@
     engine = service.engine
     if engine is None:
         return Service(service.name, service.max_conns)
-    sizes = tuple(Size(model.name, model.cost) for model in engine.models)
+    sizes = tuple(ModelSize(model.name, model.cost) for model in engine.models)
     return Service(service.name, service.max_conns, engine.slots, engine.kv_capacity, sizes)
 
 
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from poplarrun.platform import _names as names
-from poplarrun.routing import PromptPart, Request, Work
+from poplarrun.routing import InFlightRequest, PromptPart, Request
 
 BEARER = "bearer "
 MILLISECONDS = 1000.0
@@ -92,18 +92,18 @@
         body=body,
         time_left_s=time_left_s,
         api_key=_decode_key(known.get(names.AUTHORIZATION.lower())),
-        parts=_decode_parts(known.get(names.PARTS.lower(), "")),
+        prompt_parts=_decode_parts(known.get(names.PARTS.lower(), "")),
         prompt_tokens=prompt_tokens,
-        most_tokens=most_tokens,
+        max_tokens=most_tokens,
         hinted_tokens=_decode_number(known.get(names.LENGTH_HINT.lower())),
         model=known.get(names.MODEL.lower()),
-        session=known.get(names.SESSION.lower()),
+        session_id=known.get(names.SESSION.lower()),
         resume_after=_decode_number(known.get(names.RESUME_AFTER.lower())),
     )
 
 
 def encode_send(
-    work: Work, lifetime: str, time_left_s: float, urgency: int
+    work: InFlightRequest, lifetime: str, time_left_s: float, urgency: int
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of one send to an endpoint.
 
@@ -115,19 +115,19 @@
         0 to 9, 0 first.
     """
     request = work.request
-    replaced = {names.RESUME_AFTER.lower().encode()} if work.last_event is not None else set()
-    if work.size is not None:
+    replaced = {names.RESUME_AFTER.lower().encode()} if work.last_event_id is not None else set()
+    if work.model_size is not None:
         replaced.add(names.MODEL.lower().encode())
     headers = [item for item in request.headers if item[0].lower() not in replaced]
     _add(headers, names.EXPECTED_LIFETIME, lifetime)
     _add(headers, names.TIME_LEFT, str(max(1, int(time_left_s * MILLISECONDS))))
     if work.account is not None:
         _add(headers, names.ACCOUNT, work.account.name)
-    if work.size is not None:
-        _add(headers, names.MODEL, work.size)
+    if work.model_size is not None:
+        _add(headers, names.MODEL, work.model_size)
         _add(headers, names.PRIORITY, str(min(LEAST_URGENT, max(0, urgency))))
-    if work.last_event is not None:
-        _add(headers, names.RESUME_AFTER, str(work.last_event))
+    if work.last_event_id is not None:
+        _add(headers, names.RESUME_AFTER, str(work.last_event_id))
     return headers
 
 
--- a/poplarrun/rollouts/__init__.py
+++ b/poplarrun/rollouts/__init__.py
@@ -1,21 +1,33 @@
 """Roll-outs of endpoint versions that operators order and the system carries out."""
 
-from poplarrun.rollouts._evidence import LOADED, Evidence, Stage, Tally, Times
-from poplarrun.rollouts._rollouts import Rollout, Rollouts, Verdict, VersionChoice, VersionReason
-from poplarrun.rollouts._sessions import HeldSession, SessionKey, Sessions
+from poplarrun.rollouts._evidence import (
+    UNDER_LOAD,
+    AnswerStatistics,
+    AnswerTimes,
+    ComparisonStage,
+    Tally,
+)
+from poplarrun.rollouts._rollouts import (
+    Rollout,
+    Rollouts,
+    RolloutVerdict,
+    VersionChoice,
+    VersionReason,
+)
+from poplarrun.rollouts._sessions import PinnedSession, SessionKey, SessionPins
 
 __all__ = [
-    "LOADED",
-    "Evidence",
-    "HeldSession",
+    "UNDER_LOAD",
+    "AnswerStatistics",
+    "AnswerTimes",
+    "ComparisonStage",
+    "PinnedSession",
     "Rollout",
+    "RolloutVerdict",
     "Rollouts",
     "SessionKey",
-    "Sessions",
-    "Stage",
+    "SessionPins",
     "Tally",
-    "Times",
-    "Verdict",
     "VersionChoice",
     "VersionReason",
 ]
--- a/poplarrun/rollouts/_evidence.py
+++ b/poplarrun/rollouts/_evidence.py
@@ -31,7 +31,7 @@
 LEAST_TIME_S = 0.001
 # The kind of work of answers of a version under load after its trial. Only their failures
 # count: a full batch makes each answer slower, of good versions too.
-LOADED = "loaded"
+UNDER_LOAD = "loaded"
 # Share of slow answers that a good version may have while it is on trial, and once traffic
 # moves to its endpoints: cold ones begin a sixth of their answers late.
 MOST_SLOW_SHARE = 0.12
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class AnswerTimes:
     """How long an answer took.
 
     Attributes
@@ -50,8 +50,8 @@
         Mean time from one event to the next, in seconds.
     """
 
-    first_s: float | None = None
-    pace_s: float | None = None
+    first_event_s: float | None = None
+    event_interval_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -67,30 +67,30 @@
     _log_first: float = 0.0
     _log_pace: float = 0.0
 
-    def learn(self, times: Times) -> None:
+    def learn(self, times: AnswerTimes) -> None:
         """Take in the times of an answer."""
-        if times.first_s is not None:
+        if times.first_event_s is not None:
             self.count += 1
             weight = max(USUAL_WEIGHT, 1.0 / self.count)
-            self._log_first += weight * (_log(times.first_s) - self._log_first)
-        if times.pace_s is not None:
+            self._log_first += weight * (_log(times.first_event_s) - self._log_first)
+        if times.event_interval_s is not None:
             self.paced += 1
             weight = max(USUAL_WEIGHT, 1.0 / self.paced)
-            self._log_pace += weight * (_log(times.pace_s) - self._log_pace)
+            self._log_pace += weight * (_log(times.event_interval_s) - self._log_pace)
 
-    def log_pace_ratio(self, times: Times) -> float | None:
+    def log_pace_ratio(self, times: AnswerTimes) -> float | None:
         """Return the logarithm of an answer's pace in units of the usual one."""
-        if times.pace_s is None or self.paced < FEWEST_TIMES:
+        if times.event_interval_s is None or self.paced < FEWEST_TIMES:
             return None
-        return _log(times.pace_s) - self._log_pace
+        return _log(times.event_interval_s) - self._log_pace
 
-    def is_slow(self, times: Times) -> bool:
+    def is_slow(self, times: AnswerTimes) -> bool:
         """Tell whether an answer takes much longer than usual."""
         is_first_slow = is_pace_slow = False
-        if times.first_s is not None and self.count >= FEWEST_TIMES:
-            is_first_slow = times.first_s > SLOW_FIRST_TIMES * math.exp(self._log_first)
-        if times.pace_s is not None and self.paced >= FEWEST_TIMES:
-            is_pace_slow = times.pace_s > SLOW_PACE_TIMES * math.exp(self._log_pace)
+        if times.first_event_s is not None and self.count >= FEWEST_TIMES:
+            is_first_slow = times.first_event_s > SLOW_FIRST_TIMES * math.exp(self._log_first)
+        if times.event_interval_s is not None and self.paced >= FEWEST_TIMES:
+            is_pace_slow = times.event_interval_s > SLOW_PACE_TIMES * math.exp(self._log_pace)
         return is_first_slow or is_pace_slow
 
 
@@ -114,12 +114,12 @@
         Endpoints that broke answers off.
     """
 
-    ended: int = 0
+    answers: int = 0
     failures: int = 0
     slow: int = 0
-    paced: int = 0
-    log_pace: float = 0.0
-    broken: set[str] = field(default_factory=set)
+    paced_answers: int = 0
+    log_pace_sum: float = 0.0
+    interrupting_endpoints: set[str] = field(default_factory=set)
 
     @property
     def bad(self) -> int:
@@ -129,24 +129,24 @@
         one it would look like a version that fails often, and good versions were taken
         back for it.
         """
-        return self.failures + len(self.broken)
+        return self.failures + len(self.interrupting_endpoints)
 
     def add(self, other: "Tally") -> None:
         """Add another host's tally."""
-        self.ended += other.ended
+        self.answers += other.answers
         self.failures += other.failures
-        self.broken |= other.broken
+        self.interrupting_endpoints |= other.interrupting_endpoints
         self.slow += other.slow
-        self.paced += other.paced
-        self.log_pace += other.log_pace
+        self.paced_answers += other.paced_answers
+        self.log_pace_sum += other.log_pace_sum
 
     @property
     def mean_log_pace(self) -> float:
         """Mean logarithm of the paces in units of the usual one; 0 for too few."""
-        return self.log_pace / self.paced if self.paced >= FEWEST_PACES else 0.0
+        return self.log_pace_sum / self.paced_answers if self.paced_answers >= FEWEST_PACES else 0.0
 
 
-class Stage(enum.Enum):
+class ComparisonStage(enum.Enum):
     """How much a new version can be compared with the old one.
 
     ``TRIAL``: few sessions try it. ``SHIFT``: traffic moves to its endpoints, which have
@@ -162,7 +162,7 @@
 
 
 @dataclass
-class Evidence:
+class AnswerStatistics:
     """Tallies by service, version and kind of work: this host's own, and the others'.
 
     A kind of work is a route and a model size: a small model's times say nothing of a
@@ -174,11 +174,13 @@
         What this host saw.
     """
 
-    own: dict[TallyKey, Tally] = field(default_factory=dict)
+    local: dict[TallyKey, Tally] = field(default_factory=dict)
     _others: dict[str, dict[TallyKey, Tally]] = field(default_factory=dict)
     _usual: dict[tuple[str, str], Usual] = field(default_factory=dict)
 
-    def note(self, key: TallyKey, is_bad: bool, times: Times, is_trial: bool) -> None:
+    def record_answer(
+        self, key: TallyKey, is_bad: bool, times: AnswerTimes, is_trial: bool
+    ) -> None:
         """Take in the end of an answer.
 
         Parameters
@@ -188,22 +190,22 @@
         """
         service, _, kind = key
         usual = self._usual.setdefault((service, kind), Usual())
-        tally = self.own.setdefault(key, Tally())
-        tally.ended += 1
+        tally = self.local.setdefault(key, Tally())
+        tally.answers += 1
         tally.failures += is_bad
         tally.slow += usual.is_slow(times)
         ratio = usual.log_pace_ratio(times)
         if ratio is not None:
-            tally.paced += 1
-            tally.log_pace += ratio
+            tally.paced_answers += 1
+            tally.log_pace_sum += ratio
         if not is_trial:
             usual.learn(times)
 
-    def note_late_failure(self, key: TallyKey) -> None:
+    def record_failure_of_slow_answer(self, key: TallyKey) -> None:
         """Take in that an answer failed that counted already, by its time."""
-        self.own.setdefault(key, Tally()).failures += 1
+        self.local.setdefault(key, Tally()).failures += 1
 
-    def note_broken(self, key: TallyKey, endpoint: str, is_counted: bool) -> None:
+    def record_interruption(self, key: TallyKey, endpoint: str, is_counted: bool) -> None:
         """Take in that an endpoint broke an answer off.
 
         Parameters
@@ -211,37 +213,39 @@
         is_counted : bool
             Whether the answer counts already, by its pace.
         """
-        tally = self.own.setdefault(key, Tally())
-        tally.ended += not is_counted
-        tally.broken.add(endpoint)
+        tally = self.local.setdefault(key, Tally())
+        tally.answers += not is_counted
+        tally.interrupting_endpoints.add(endpoint)
 
-    def is_slow(self, service: str, kind: str, times: Times) -> bool:
+    def is_slow(self, service: str, kind: str, times: AnswerTimes) -> bool:
         """Tell whether an answer that has taken so long is slow already."""
         usual = self._usual.get((service, kind))
         return usual is not None and usual.is_slow(times)
 
-    def take(self, host: str, tallies: dict[TallyKey, Tally]) -> None:
+    def apply_host_tallies(self, host: str, tallies: dict[TallyKey, Tally]) -> None:
         """Take over another host's tallies in place of its last ones."""
         self._others[host] = tallies
 
     def forget(self, service: str) -> None:
         """Drop what was seen of a service, before a new roll-out of it."""
-        for tallies in (self.own, *self._others.values()):
+        for tallies in (self.local, *self._others.values()):
             for key in [key for key in tallies if key[0] == service]:
                 del tallies[key]
 
-    def merged(self, service: str) -> dict[tuple[str, str], Tally]:
+    def merge_tallies(self, service: str) -> dict[tuple[str, str], Tally]:
         """Return the tallies of all hosts by version and route."""
         merged: dict[tuple[str, str], Tally] = {}
-        for tallies in (self.own, *self._others.values()):
+        for tallies in (self.local, *self._others.values()):
             for (of, version, route), tally in tallies.items():
                 if of == service:
                     merged.setdefault((version, route), Tally()).add(tally)
         return merged
 
-    def is_bad(self, service: str, target: str, stage: Stage = Stage.TRIAL) -> bool:
+    def is_bad(
+        self, service: str, target: str, stage: ComparisonStage = ComparisonStage.TRIAL
+    ) -> bool:
         """Tell whether a version is worse than the others, as a whole or in one kind."""
-        merged = self.merged(service)
+        merged = self.merge_tallies(service)
         kinds = {kind for version, kind in merged if version == target}
         if self._is_worse_in(merged, target, None, stage):
             return True
@@ -249,37 +253,37 @@
 
     @staticmethod
     def _is_worse_in(
-        merged: dict[tuple[str, str], Tally], target: str, kind: str | None, stage: Stage
+        merged: dict[tuple[str, str], Tally], target: str, kind: str | None, stage: ComparisonStage
     ) -> bool:
         new, old = Tally(), Tally()
         for (version, of), tally in merged.items():
             # Nothing of the old version counts as under load, so all of it is compared.
-            is_old_of_all = version != target and kind == LOADED
+            is_old_of_all = version != target and kind == UNDER_LOAD
             if kind is None or of == kind or is_old_of_all:
                 (new if version == target else old).add(tally)
-        if _is_worse(new.bad, new.ended, old.bad, old.ended, LEAST_OLD_SHARE):
+        if _is_worse(new.bad, new.answers, old.bad, old.answers, LEAST_OLD_SHARE):
             return True
         if _is_slower(new, old, stage):
             return True
-        most_slow = MOST_SLOW_SHARE if stage is Stage.TRIAL else MOST_COLD_SLOW_SHARE
-        return _is_worse(new.slow, new.ended, old.slow, old.ended, most_slow)
+        most_slow = MOST_SLOW_SHARE if stage is ComparisonStage.TRIAL else MOST_COLD_SLOW_SHARE
+        return _is_worse(new.slow, new.answers, old.slow, old.answers, most_slow)
 
-    def all_ended(self, service: str) -> int:
+    def count_answers(self, service: str) -> int:
         """Return how many answers of all versions all hosts saw."""
-        return sum(tally.ended for tally in self.merged(service).values())
+        return sum(tally.answers for tally in self.merge_tallies(service).values())
 
-    def of_version(self, service: str, target: str) -> Tally:
+    def merge_version_tallies(self, service: str, target: str) -> Tally:
         """Return what all hosts saw of a version."""
         whole = Tally()
-        for (version, _), tally in self.merged(service).items():
+        for (version, _), tally in self.merge_tallies(service).items():
             if version == target:
                 whole.add(tally)
         return whole
 
 
-def _is_slower(new: Tally, old: Tally, stage: Stage) -> bool:
+def _is_slower(new: Tally, old: Tally, stage: ComparisonStage) -> bool:
     """Tell whether the mean pace is far from that of the old version, or the usual one."""
-    times = SLOW_MEAN_TIMES_ALONE if stage is Stage.ALONE else SLOW_MEAN_TIMES
+    times = SLOW_MEAN_TIMES_ALONE if stage is ComparisonStage.ALONE else SLOW_MEAN_TIMES
     return new.mean_log_pace - max(0.0, old.mean_log_pace) > math.log(times)
 
 
--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -3,9 +3,9 @@
 import enum
 from dataclasses import dataclass, field
 
-from poplarrun.rollouts._evidence import Evidence, Stage
-from poplarrun.rollouts._sessions import HeldSession, SessionKey, Sessions
-from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus, Work
+from poplarrun.rollouts._evidence import AnswerStatistics, ComparisonStage
+from poplarrun.rollouts._sessions import PinnedSession, SessionKey, SessionPins
+from poplarrun.routing import InFlightRequest, RolloutOrder, RolloutPhase, RolloutStatus
 
 # Part of the operators' bound on the share of requests that a bad version may get which
 # the trial uses; the rest is for the shift, in which a version that is bad only under
@@ -69,12 +69,12 @@
         The one that may not.
     """
 
-    only: frozenset[str] | None
-    avoided: str | None
+    allowed: frozenset[str] | None
+    excluded: str | None
     reason: VersionReason
 
 
-class Verdict(enum.Enum):
+class RolloutVerdict(enum.Enum):
     """What should be recorded of a roll-out now."""
 
     NOTHING = "nothing"
@@ -100,62 +100,64 @@
     """
 
     order: RolloutOrder
-    begun_at: float
-    exposure: float
-    recorded: RolloutPhase | None = None
-    shifted_at: float | None = None
+    started_at: float
+    exposure_limit: float
+    recorded_phase: RolloutPhase | None = None
+    shift_decided_at: float | None = None
 
-    def shift(self, at: float) -> bool:
+    def record_shift(self, at: float) -> bool:
         """Let sessions change to the new version; True where that was not known."""
-        was_known = self.shifted_at is not None
-        self.shifted_at = at if self.shifted_at is None else min(self.shifted_at, at)
+        was_known = self.shift_decided_at is not None
+        self.shift_decided_at = (
+            at if self.shift_decided_at is None else min(self.shift_decided_at, at)
+        )
         return not was_known
 
-    def is_shifted(self, now: float) -> bool:
+    def has_shift_begun(self, now: float) -> bool:
         """Tell whether sessions may change to the new version now."""
-        return self.shifted_at is not None and now - self.shifted_at >= SHIFT_DELAY_S
+        return self.shift_decided_at is not None and now - self.shift_decided_at >= SHIFT_DELAY_S
 
     def is_settling(self, now: float) -> bool:
         """Tell whether hosts may not know yet which sessions are on the old version."""
-        return now - self.begun_at < TRIAL_DELAY_S
+        return now - self.started_at < TRIAL_DELAY_S
 
     @property
-    def trial_share(self) -> float:
+    def trial_fraction(self) -> float:
         """Share of the sessions that the trial may take."""
-        return TRIAL_OF_BOUND * self.exposure
+        return TRIAL_OF_BOUND * self.exposure_limit
 
-    def share(self, now: float) -> float:
+    def session_fraction(self, now: float) -> float:
         """Return the share of the sessions that the new version gets."""
-        if not self.is_shifted(now):
-            return self.trial_share
-        if self.has_all(now):
+        if not self.has_shift_begun(now):
+            return self.trial_fraction
+        if self.has_all_sessions(now):
             return 1.0
-        return min(MOST_SHIFT_SHARE, SHIFT_OF_BOUND * self.exposure)
+        return min(MOST_SHIFT_SHARE, SHIFT_OF_BOUND * self.exposure_limit)
 
-    def has_all(self, now: float) -> bool:
+    def has_all_sessions(self, now: float) -> bool:
         """Tell whether the new version gets all sessions."""
-        if self.shifted_at is None or not self.is_shifted(now):
+        if self.shift_decided_at is None or not self.has_shift_begun(now):
             return False
-        return now - self.shifted_at >= SHIFT_PART * self.order.duration_s
+        return now - self.shift_decided_at >= SHIFT_PART * self.order.duration_s
 
-    def stage(self, now: float) -> Stage:
+    def stage(self, now: float) -> ComparisonStage:
         """Return how much the new version can be compared with the old one."""
-        if self.has_all(now):
-            return Stage.ALONE
-        return Stage.SHIFT if self.is_shifted(now) else Stage.TRIAL
+        if self.has_all_sessions(now):
+            return ComparisonStage.ALONE
+        return ComparisonStage.SHIFT if self.has_shift_begun(now) else ComparisonStage.TRIAL
 
     @property
-    def is_open(self) -> bool:
+    def is_in_progress(self) -> bool:
         """Whether it is under way."""
-        return self.recorded is None or not self.recorded.is_final
+        return self.recorded_phase is None or not self.recorded_phase.is_final
 
-    def part(self, now: float) -> float:
+    def elapsed_fraction(self, now: float) -> float:
         """Return how much of its time is over, 1 at its end."""
-        return (now - self.begun_at) / self.order.duration_s
+        return (now - self.started_at) / self.order.duration_s
 
-    def may_shift(self, now: float) -> bool:
+    def is_shift_due(self, now: float) -> bool:
         """Tell whether sessions may change to the new version."""
-        return now - self.begun_at > TRIAL_PART * self.order.duration_s + HALF_MARGIN_S
+        return now - self.started_at > TRIAL_PART * self.order.duration_s + HALF_MARGIN_S
 
 
 @dataclass
@@ -170,11 +172,11 @@
         Share of a service's requests that a bad version may get.
     """
 
-    session_s: float = 5.0
-    exposure: float = USUAL_EXPOSURE
-    evidence: Evidence = field(default_factory=Evidence)
+    session_timeout_s: float = 5.0
+    exposure_limit: float = USUAL_EXPOSURE
+    statistics: AnswerStatistics = field(default_factory=AnswerStatistics)
     _rollouts: dict[str, Rollout] = field(default_factory=dict)
-    sessions: Sessions = field(default_factory=Sessions)
+    sessions: SessionPins = field(default_factory=SessionPins)
 
     def find(self, service: str) -> Rollout | None:
         """Return the last roll-out of a service."""
@@ -182,17 +184,17 @@
 
     def active(self) -> list[Rollout]:
         """Return the roll-outs that are under way."""
-        return [rollout for rollout in self._rollouts.values() if rollout.is_open]
+        return [rollout for rollout in self._rollouts.values() if rollout.is_in_progress]
 
     def recent(self, now: float) -> list[Rollout]:
         """Return the roll-outs that are under way, or ended not long ago."""
         return [
             rollout
             for rollout in self._rollouts.values()
-            if now - rollout.begun_at < rollout.order.duration_s + TOLD_S
+            if now - rollout.started_at < rollout.order.duration_s + TOLD_S
         ]
 
-    def take_order(self, order: RolloutOrder, now: float, age_s: float = 0.0) -> bool:
+    def apply_order(self, order: RolloutOrder, now: float, age_s: float = 0.0) -> bool:
         """Take in an order; True when it is new.
 
         Parameters
@@ -205,22 +207,22 @@
             # Hosts that the store turns away still tell of the order before. Its age taken
             # for this one's would end the trial at once, and a bad version had all traffic.
             if known.order.offset == order.offset:
-                known.begun_at = min(known.begun_at, now - age_s)
+                known.started_at = min(known.started_at, now - age_s)
             return False
         if known is not None:
-            self.evidence.forget(order.service)
-        rollout = Rollout(order, now - age_s, self.exposure)
+            self.statistics.forget(order.service)
+        rollout = Rollout(order, now - age_s, self.exposure_limit)
         self._rollouts[order.service] = rollout
         self.sessions.forget(order.service, order.offset)
-        self.sessions.hold_recent(
+        self.sessions.pin_recent(
             order.service,
             order.offset,
-            now - self.session_s,
-            lambda number: _point(number) < rollout.trial_share,
+            now - self.session_timeout_s,
+            lambda number: _point(number) < rollout.trial_fraction,
         )
         return True
 
-    def take_status(self, status: RolloutStatus) -> bool:
+    def apply_status(self, status: RolloutStatus) -> bool:
         """Take in what is recorded; True when that is news.
 
         A final phase stays: a record of a host that was paused meanwhile can't
@@ -229,14 +231,14 @@
         rollout = self._rollouts.get(status.service)
         if rollout is None or rollout.order.target != status.target:
             return False
-        if rollout.recorded is status.phase:
+        if rollout.recorded_phase is status.phase:
             return False
-        if not rollout.is_open:
+        if not rollout.is_in_progress:
             return False
-        rollout.recorded = status.phase
+        rollout.recorded_phase = status.phase
         return True
 
-    def pick_version(self, work: Work, now: float) -> VersionChoice:
+    def choose_version(self, work: InFlightRequest, now: float) -> VersionChoice:
         """Return the versions that may answer a request.
 
         A session that was on the old version stays there until the shift. All others go by
@@ -246,104 +248,108 @@
         if rollout is None:
             return VersionChoice(None, None, VersionReason.NO_ROLLOUT)
         target = rollout.order.target
-        match rollout.recorded:
+        match rollout.recorded_phase:
             case RolloutPhase.COMPLETED:
                 return VersionChoice(frozenset((target,)), None, VersionReason.RECORDED)
             case RolloutPhase.ROLLED_BACK:
                 return VersionChoice(None, target, VersionReason.RECORDED)
-        is_shifted = rollout.is_shifted(now)
-        if work.failures and not is_shifted and work.last_event is None:
+        is_shifted = rollout.has_shift_begun(now)
+        if work.failures and not is_shifted and work.last_event_id is None:
             # What failed while a version is on trial is not tried there once more.
             return VersionChoice(None, target, VersionReason.FAILED_BEFORE)
         key = _key_of(work)
-        if _point(key.number) >= rollout.share(now):
+        if _point(key.session_hash) >= rollout.session_fraction(now):
             return VersionChoice(None, target, VersionReason.HASH)
         if not is_shifted:
             if rollout.is_settling(now):
                 return VersionChoice(None, target, VersionReason.SETTLING)
-            if self.sessions.is_held(HeldSession(key, rollout.order.offset)):
+            if self.sessions.is_pinned(PinnedSession(key, rollout.order.offset)):
                 return VersionChoice(None, target, VersionReason.HELD)
         return VersionChoice(frozenset((target,)), None, VersionReason.HASH)
 
-    def find_unknown(self, work: Work, now: float) -> HeldSession | None:
+    def find_session_to_query(self, work: InFlightRequest, now: float) -> PinnedSession | None:
         """Return what other hosts must be asked before a version is picked, if anything."""
         rollout = self._rollouts.get(work.service)
-        if rollout is None or not rollout.is_open or work.request.session is None:
+        if rollout is None or not rollout.is_in_progress or work.request.session_id is None:
             return None
         if rollout.is_settling(now) or not self._is_tried(rollout, work, now):
             return None
-        held = HeldSession(_key_of(work), rollout.order.offset)
-        return None if self.sessions.is_held(held) else held
+        held = PinnedSession(_key_of(work), rollout.order.offset)
+        return None if self.sessions.is_pinned(held) else held
 
-    def _is_tried(self, rollout: Rollout, work: Work, now: float) -> bool:
+    def _is_tried(self, rollout: Rollout, work: InFlightRequest, now: float) -> bool:
         """Tell whether a request's session is one of those that the trial may take."""
-        if rollout.is_shifted(now):
+        if rollout.has_shift_begun(now):
             return False
-        return _point(_key_of(work).number) < rollout.trial_share
+        return _point(_key_of(work).session_hash) < rollout.trial_fraction
 
-    def is_proving(self, service: str, version: str, now: float) -> bool:
+    def is_in_shift(self, service: str, version: str, now: float) -> bool:
         """Tell whether a version that passed its trial has more traffic now, but not all.
 
         That is enough to load one of its endpoints as much as any will ever be.
         """
-        return self._stage(service, version, now) is Stage.SHIFT
+        return self._stage(service, version, now) is ComparisonStage.SHIFT
 
     def is_past_trial(self, service: str, version: str, now: float) -> bool:
         """Tell whether a version passed its trial, and may still be taken back."""
-        return self._stage(service, version, now) in (Stage.SHIFT, Stage.ALONE)
+        return self._stage(service, version, now) in (ComparisonStage.SHIFT, ComparisonStage.ALONE)
 
-    def _stage(self, service: str, version: str, now: float) -> Stage | None:
+    def _stage(self, service: str, version: str, now: float) -> ComparisonStage | None:
         rollout = self._rollouts.get(service)
-        if rollout is None or not rollout.is_open or rollout.order.target != version:
+        if rollout is None or not rollout.is_in_progress or rollout.order.target != version:
             return None
         return rollout.stage(now)
 
-    def note_sent(self, work: Work, version: str, now: float) -> None:
+    def record_send(self, work: InFlightRequest, version: str, now: float) -> None:
         """Note that a request of a session runs on a version."""
-        if work.request.session is None:
+        if work.request.session_id is None:
             return
-        self.sessions.note_sent(_key_of(work), work.give_up_at)
+        self.sessions.record_send(_key_of(work), work.deadline_at)
         self._hold_old(work, version, now)
 
-    def note_end(self, work: Work, version: str, now: float) -> None:
+    def record_end(self, work: InFlightRequest, version: str, now: float) -> None:
         """Note that a request of a session has ended."""
-        if work.request.session is None:
+        if work.request.session_id is None:
             return
-        self.sessions.note_end(_key_of(work), work.give_up_at, now)
+        self.sessions.record_end(_key_of(work), work.deadline_at, now)
         self._hold_old(work, version, now)
 
-    def _hold_old(self, work: Work, version: str, now: float) -> None:
+    def _hold_old(self, work: InFlightRequest, version: str, now: float) -> None:
         rollout = self._rollouts.get(work.service)
-        if rollout is None or not rollout.is_open or version == rollout.order.target:
+        if rollout is None or not rollout.is_in_progress or version == rollout.order.target:
             return
         if self._is_tried(rollout, work, now):
-            self.sessions.hold(HeldSession(_key_of(work), rollout.order.offset))
+            self.sessions.pin(PinnedSession(_key_of(work), rollout.order.offset))
 
-    def judge(self, rollout: Rollout, now: float) -> Verdict:
+    def compute_verdict(self, rollout: Rollout, now: float) -> RolloutVerdict:
         """Decide what should be recorded of a roll-out now.
 
         The old endpoints are stopped at once when it is recorded as completed. So that
         their last answers end before, all traffic moves well ahead of that.
         """
         order = rollout.order
-        if not rollout.is_open:
-            return Verdict.NOTHING
-        if self.evidence.is_bad(order.service, order.target, rollout.stage(now)):
-            return Verdict.ROLLED_BACK
-        all_ended = self.evidence.all_ended(order.service)
+        if not rollout.is_in_progress:
+            return RolloutVerdict.NOTHING
+        if self.statistics.is_bad(order.service, order.target, rollout.stage(now)):
+            return RolloutVerdict.ROLLED_BACK
+        all_ended = self.statistics.count_answers(order.service)
         needed = max(1.0, min(FEWEST_SEEN, FEWEST_SEEN_PART * all_ended))
-        enough = self.evidence.of_version(order.service, order.target).ended >= needed
-        if rollout.may_shift(now) and enough:
-            rollout.shift(now)
-        if rollout.shifted_at is not None and rollout.part(now) >= LATEST_PART:
-            return Verdict.COMPLETED
-        if rollout.part(now) >= 1.0:
-            return Verdict.ROLLED_BACK
-        return Verdict.NOTHING if rollout.recorded is not None else Verdict.ACTIVE
-
-
-def _key_of(work: Work) -> SessionKey:
-    return SessionKey(work.service, work.request.session_number)
+        enough = (
+            self.statistics.merge_version_tallies(order.service, order.target).answers >= needed
+        )
+        if rollout.is_shift_due(now) and enough:
+            rollout.record_shift(now)
+        if rollout.shift_decided_at is not None and rollout.elapsed_fraction(now) >= LATEST_PART:
+            return RolloutVerdict.COMPLETED
+        if rollout.elapsed_fraction(now) >= 1.0:
+            return RolloutVerdict.ROLLED_BACK
+        return (
+            RolloutVerdict.NOTHING if rollout.recorded_phase is not None else RolloutVerdict.ACTIVE
+        )
+
+
+def _key_of(work: InFlightRequest) -> SessionKey:
+    return SessionKey(work.service, work.request.session_hash)
 
 
 def _point(number: int) -> float:
--- a/poplarrun/rollouts/_sessions.py
+++ b/poplarrun/rollouts/_sessions.py
@@ -19,11 +19,11 @@
     """
 
     service: str
-    number: int
+    session_hash: int
 
 
 @dataclass(frozen=True, slots=True)
-class HeldSession:
+class PinnedSession:
     """A session that stays on the old version until the roll-out of an order shifts.
 
     Attributes
@@ -33,11 +33,11 @@
     """
 
     key: SessionKey
-    offset: int
+    order_offset: int
 
 
 @dataclass
-class Sessions:
+class SessionPins:
     """The sessions that this host knows of.
 
     A session that ran on the old version is held there. What this host finds out itself is
@@ -46,27 +46,27 @@
 
     _busy_until: OrderedDict[SessionKey, float] = field(default_factory=OrderedDict)
     _held: dict[tuple[str, int], OrderedDict[int, None]] = field(default_factory=dict)
-    _untold: list[HeldSession] = field(default_factory=list)
+    _untold: list[PinnedSession] = field(default_factory=list)
 
-    def note_sent(self, key: SessionKey, give_up_at: float) -> None:
+    def record_send(self, key: SessionKey, give_up_at: float) -> None:
         """Note a request that may be under way until its caller gives up."""
         self._busy_until[key] = max(self._busy_until.get(key, 0.0), give_up_at)
         self._busy_until.move_to_end(key)
         if len(self._busy_until) > KEPT_SESSIONS:
             self._busy_until.popitem(last=False)
 
-    def note_end(self, key: SessionKey, give_up_at: float, now: float) -> None:
+    def record_end(self, key: SessionKey, give_up_at: float, now: float) -> None:
         """Note the end of a request; another one may still be under way."""
         if self._busy_until.get(key, 0.0) <= give_up_at:
             self._busy_until[key] = now
 
-    def hold(self, held: HeldSession) -> None:
+    def pin(self, held: PinnedSession) -> None:
         """Hold a session, and remember to tell others of it."""
-        if not self.is_held(held):
-            self.take(held)
+        if not self.is_pinned(held):
+            self.apply_pin(held)
             self._untold.append(held)
 
-    def hold_recent(
+    def pin_recent(
         self, service: str, offset: int, since: float, is_tried: Callable[[int], bool]
     ) -> None:
         """Hold the sessions that had a request under way after a time.
@@ -77,26 +77,26 @@
             Tells of a session's number whether the trial may take it.
         """
         for key, busy_until in self._busy_until.items():
-            if key.service == service and busy_until > since and is_tried(key.number):
-                self.hold(HeldSession(key, offset))
+            if key.service == service and busy_until > since and is_tried(key.session_hash):
+                self.pin(PinnedSession(key, offset))
 
-    def take(self, held: HeldSession) -> None:
+    def apply_pin(self, held: PinnedSession) -> None:
         """Take in a held session that another host told of."""
-        numbers = self._held.setdefault((held.key.service, held.offset), OrderedDict())
-        numbers[held.key.number] = None
+        numbers = self._held.setdefault((held.key.service, held.order_offset), OrderedDict())
+        numbers[held.key.session_hash] = None
         if len(numbers) > KEPT_SESSIONS:
             numbers.popitem(last=False)
 
-    def is_held(self, held: HeldSession) -> bool:
+    def is_pinned(self, held: PinnedSession) -> bool:
         """Tell whether a session is known to be held."""
-        return held.key.number in self._held.get((held.key.service, held.offset), ())
+        return held.key.session_hash in self._held.get((held.key.service, held.order_offset), ())
 
     def forget(self, service: str, before: int) -> None:
         """Forget the sessions held for a service's earlier orders."""
         for known in [key for key in self._held if key[0] == service and key[1] < before]:
             del self._held[known]
 
-    def take_untold(self) -> list[HeldSession]:
+    def drain_unpublished(self) -> list[PinnedSession]:
         """Return the sessions to tell other hosts of, each once."""
         untold, self._untold = self._untold, []
         return untold
--- a/poplarrun/router/_chat_versions.py
+++ b/poplarrun/router/_chat_versions.py
@@ -7,17 +7,17 @@
 from poplarrun.router._context import RouterContext
 from poplarrun.router._messages import BeginChat, EndChat, Explanation
 from poplarrun.versions import (
-    AnswerSeen,
+    AnswerObservation,
     CellKey,
     ChoiceRequest,
-    Chosen,
+    ChosenVersion,
     ConfidenceJudge,
     Escalation,
     Judge,
     JudgedAnswer,
-    NothingAffordable,
-    NothingAllowed,
-    NothingMeets,
+    NoVersionAffordable,
+    NoVersionAllowed,
+    NoVersionMeetsTargets,
     SampledAnswer,
 )
 
@@ -95,26 +95,28 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                in_session=request.session is not None,
-                spend_left=self._context.spend_left(account),
+                opens_session=request.session is not None,
+                remaining_spend=self._context.spend_left(account),
             )
         )
         match choice:
-            case Chosen(version=version, why=why, considered=considered, escalation=escalation):
+            case ChosenVersion(
+                version=version, reason=why, considered=considered, escalation=escalation
+            ):
                 explanation.considered = considered
                 explanation.considered.append(f"chosen: {version.id}, {why}")
                 self._context.metrics.count_event(f"choice_{why.replace('-', '_')}")
                 pick = self._make_pick(version, work_class, why, now)
                 pick.escalation = escalation
                 return pick
-            case NothingAllowed():
+            case NoVersionAllowed():
                 message = f"client account {account.name} has no offered version"
                 return self._context.refuse(ErrorKind.VERSION_NOT_ALLOWED, message, "model")
-            case NothingAffordable(considered=considered):
+            case NoVersionAffordable(considered=considered):
                 explanation.considered = considered
                 message = f"client account {account.name} can't pay for this request today"
                 return self._context.refuse(ErrorKind.SPEND_EXHAUSTED, message)
-            case NothingMeets(considered=considered):
+            case NoVersionMeetsTargets(considered=considered):
                 explanation.considered = considered
                 message = f"no allowed version meets the targets of class {work_class.name}"
                 return self._context.refuse(ErrorKind.TARGET_UNREACHABLE, message, "model")
@@ -140,12 +142,12 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                without=frozenset({without}),
+                excluded_versions=frozenset({without}),
             )
         )
-        if not isinstance(choice, Chosen):
+        if not isinstance(choice, ChosenVersion):
             return None
-        return self._make_pick(choice.version, work_class, choice.why, now)
+        return self._make_pick(choice.version, work_class, choice.reason, now)
 
     def note_end(
         self, pick: VersionPick, work_class: WorkClass, end: EndChat, took_s: float
@@ -156,15 +158,15 @@
             return
         tokens = end.usage.output_tokens
         late, score = _is_late(pick, work_class, tokens, took_s), self._score(end)
-        seen = AnswerSeen(failed, late, tokens, took_s, score)
+        seen = AnswerObservation(failed, late, tokens, took_s, score)
         versions = self._context.versions
         key = CellKey(work_class.name, pick.version.id)
-        versions.note_answer(key.as_second if pick.is_second else key, seen)
+        versions.record_answer(key.as_second_step if pick.is_second else key, seen)
         if end.text is not None:
             step = "2" if pick.is_second else "1"
             sample_id = f"{end.request_id}.{step}"
             sample = SampledAnswer(sample_id, key, end.text, score, pick.is_second)
-            versions.keep_sample(sample)
+            versions.enqueue_sample(sample)
 
     def escalate(
         self,
@@ -183,13 +185,13 @@
             return None
         second = pick.escalation.version
         score = self._score(end)
-        is_accepted = score is None or score >= pick.escalation.least_score
+        is_accepted = score is None or score >= pick.escalation.min_score
         allowed = self._context.may_use(account.name, second.id)
         if is_accepted or not allowed or self._context.configuration.is_withdrawn(second.id):
             return None
         self._context.metrics.count_event("cascade_escalated")
-        key = CellKey(work_class.name, second.id).as_second
-        sampled = self._context.versions.wants_rating(key, "cascade", now)
+        key = CellKey(work_class.name, second.id).as_second_step
+        sampled = self._context.versions.should_rate(key, "cascade", now)
         return VersionPick(second, sampled, "cascade", is_second=True)
 
     def _score(self, end: EndChat) -> float | None:
@@ -211,7 +213,7 @@
         self, version: Version, work_class: WorkClass, why: str, now: float
     ) -> VersionPick:
         key = CellKey(work_class.name, version.id)
-        sampled = self._context.versions.wants_rating(key, why, now)
+        sampled = self._context.versions.should_rate(key, why, now)
         return VersionPick(version, sampled, why)
 
 
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -5,7 +5,7 @@
 from poplarrun.admission import Held, Refused
 from poplarrun.billing import Bill
 from poplarrun.clients import Usage
-from poplarrun.contracts import ClientAccount, Unmet, Version, WorkClass
+from poplarrun.contracts import ClientAccount, UnmetTargetsPolicy, Version, WorkClass
 from poplarrun.endpoints import Demand, Endpoint
 from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
 from poplarrun.orders import OpenWork
@@ -364,7 +364,7 @@
 ) -> Job:
     targets = work_class.targets
     wait_s = targets.first_token_s
-    if work_class.unmet is Unmet.BEST_EFFORT:
+    if work_class.unmet is UnmetTargetsPolicy.BEST_EFFORT:
         wait_s = max(wait_s, min(targets.whole_s, BEST_EFFORT_WAIT_S))
     return Job(
         request_id=request.request_id,
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -21,7 +21,7 @@
 )
 from poplarrun.router._explanations import Explanations
 from poplarrun.router._messages import Explanation
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 
 @dataclass
@@ -59,7 +59,7 @@
 
     endpoints: EndpointTable
     metrics: Metrics
-    versions: Versions
+    versions: VersionManager
     configuration: Configuration = field(default_factory=Configuration)
     bills: list[Bill] = field(default_factory=list)
     opened: list[Bill] = field(default_factory=list)
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -24,7 +24,7 @@
     make_ran,
     read_outcome,
 )
-from poplarrun.contracts import ClientAccount, Operation, WithoutKey
+from poplarrun.contracts import ClientAccount, MissingKeyPolicy, Operation
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.hosts import Peers
 from poplarrun.retries import BudgetKey, FailedAttempt, GiveUp, RetryAfter
@@ -203,7 +203,7 @@
         if not account.allows_operation(request.service, request.operation):
             message = f"client account {account.name} may not call it"
             return self._context.refuse(ErrorKind.SERVICE_NOT_ALLOWED, message)
-        needs_key = not operation.idempotent and operation.without_key is WithoutKey.REFUSE
+        needs_key = not operation.idempotent and operation.without_key is MissingKeyPolicy.REFUSE
         if needs_key and not request.idempotency_key:
             message = f"{request.service}/{request.operation} needs an Idempotency-Key header"
             return self._context.refuse(ErrorKind.IDEMPOTENCY_KEY_REQUIRED, message)
--- a/poplarrun/router/_router.py
+++ b/poplarrun/router/_router.py
@@ -9,7 +9,7 @@
 from poplarrun.router._dispatch import Dispatch
 from poplarrun.router._operations import OperationRouter
 from poplarrun.router._sessions import SessionRouter
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 DEFAULT_QUEUE_BOUND = 64
 
@@ -33,7 +33,7 @@
         self,
         endpoints: EndpointTable,
         metrics: Metrics,
-        versions: Versions,
+        versions: VersionManager,
         queue_bound: int = DEFAULT_QUEUE_BOUND,
         source: random.Random | None = None,
     ) -> None:
--- a/poplarrun/router/_sessions.py
+++ b/poplarrun/router/_sessions.py
@@ -8,10 +8,10 @@
 from poplarrun.router._messages import BeginChat
 from poplarrun.versions import (
     ChoiceRequest,
-    Chosen,
-    SessionKeeper,
-    read_session,
-    sign_session,
+    ChosenVersion,
+    SessionRegistry,
+    sign_session_token,
+    verify_session_token,
 )
 
 TOKEN_PARAM = "X-Poplarrun-Session"
@@ -22,7 +22,7 @@
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
-        self.keeper: SessionKeeper | None = None
+        self.keeper: SessionRegistry | None = None
 
     async def pin(self, request: BeginChat) -> BeginChat | Refusal:
         """Return the request with its session's version; unchanged without a session."""
@@ -35,7 +35,7 @@
         return await self._pin_by_id(request, request.session, account)
 
     def _pin_by_token(self, request: BeginChat, account: ClientAccount) -> BeginChat | Refusal:
-        read = read_session(account, request.session_token or "")
+        read = verify_session_token(account, request.session_token or "")
         if read is None or request.session not in (None, read[0]):
             message = "the session token was not given out to this client account and session"
             return self._context.refuse(ErrorKind.SESSION_TOKEN_INVALID, message, TOKEN_PARAM)
@@ -53,10 +53,10 @@
             if proposal is None:
                 return request
             pinned = await self.keeper.open(account.name, session, proposal.version.id)
-        token = sign_session(account, session, pinned)
+        token = sign_session_token(account, session, pinned)
         return replace(request, pinned=pinned, session_token=token)
 
-    def _propose(self, request: BeginChat) -> Chosen | None:
+    def _propose(self, request: BeginChat) -> ChosenVersion | None:
         """Choose for a new session; None where the request will be refused anyway.
 
         The homes were asked meanwhile: the account as it was before would open the
@@ -73,8 +73,8 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                in_session=True,
-                spend_left=self._context.spend_left(account),
+                opens_session=True,
+                remaining_spend=self._context.spend_left(account),
             )
         )
-        return choice if isinstance(choice, Chosen) else None
+        return choice if isinstance(choice, ChosenVersion) else None
--- a/poplarrun/routing/__init__.py
+++ b/poplarrun/routing/__init__.py
@@ -4,30 +4,30 @@
     Account,
     CallerLimits,
     Catalogue,
-    Pace,
-    Repeat,
+    LatencyTargets,
+    ModelSize,
+    RepeatPolicy,
     Route,
     Service,
-    Share,
-    Size,
+    ServiceWeight,
 )
-from poplarrun.routing._requests import PromptPart, Request, Work
+from poplarrun.routing._requests import InFlightRequest, PromptPart, Request
 from poplarrun.routing._rollouts import RolloutOrder, RolloutPhase, RolloutStatus
 
 __all__ = [
     "Account",
     "CallerLimits",
     "Catalogue",
-    "Pace",
+    "InFlightRequest",
+    "LatencyTargets",
+    "ModelSize",
     "PromptPart",
-    "Repeat",
+    "RepeatPolicy",
     "Request",
     "RolloutOrder",
     "RolloutPhase",
     "RolloutStatus",
     "Route",
     "Service",
-    "Share",
-    "Size",
-    "Work",
+    "ServiceWeight",
 ]
--- a/poplarrun/routing/_catalogue.py
+++ b/poplarrun/routing/_catalogue.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """What may be sent to an endpoint more than once.
 
     ``STREAM`` is an answer in events; whether it may go on elsewhere stands in
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class ModelSize:
     """One model of a service.
 
     Attributes
@@ -47,14 +47,14 @@
     """
 
     name: str
-    most_connections: int
-    places: int = 0
+    max_connections: int
+    slots: int = 0
     cache_tokens: int = 0
-    sizes: tuple[Size, ...] = ()
+    sizes: tuple[ModelSize, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ServiceWeight:
     """A service's part of a route, as a weight among the others."""
 
     service: str
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class LatencyTargets:
     """The times that an answer should keep, in seconds.
 
     Attributes
@@ -77,7 +77,7 @@
 
     timeout_s: float
     target_s: float
-    gap_s: float = 1.0
+    event_gap_s: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,35 +95,35 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
-    pace: Pace
-    rank: int
-    shares: tuple[Share, ...]
-    most_attempts: int
+    repeat_policy: RepeatPolicy
+    latency: LatencyTargets
+    priority: int
+    service_weights: tuple[ServiceWeight, ...]
+    max_attempts: int
     is_public: bool = False
     is_resumable: bool = False
     sizes: tuple[str, ...] = ()
 
     @property
-    def may_repeat(self) -> bool:
+    def can_repeat(self) -> bool:
         """Whether a request that may have run can be sent once more."""
-        match self.repeat:
-            case Repeat.IDEMPOTENT:
+        match self.repeat_policy:
+            case RepeatPolicy.IDEMPOTENT:
                 return True
-            case Repeat.STREAM:
+            case RepeatPolicy.STREAM:
                 return self.is_resumable
-            case Repeat.ONCE:
+            case RepeatPolicy.ONCE:
                 return False
 
-    def pick_service(self, point: float) -> str:
+    def choose_service(self, point: float) -> str:
         """Return the service at a point from 0 to 1 of the shares laid end to end."""
-        whole = sum(share.weight for share in self.shares)
+        whole = sum(share.weight for share in self.service_weights)
         left = point * whole
-        for share in self.shares:
+        for share in self.service_weights:
             left -= share.weight
             if left < 0.0:
                 return share.service
-        return self.shares[-1].service
+        return self.service_weights[-1].service
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     """
 
     name: str
-    rank: int | None = None
+    priority: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/poplarrun/routing/_requests.py
+++ b/poplarrun/routing/_requests.py
@@ -60,29 +60,29 @@
     body: bytes
     time_left_s: float
     api_key: str | None = None
-    parts: tuple[PromptPart, ...] = ()
+    prompt_parts: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     model: str | None = None
-    session: str | None = None
+    session_id: str | None = None
     resume_after: int | None = None
     hinted_tokens: int | None = None
 
     @property
-    def session_number(self) -> int:
+    def session_hash(self) -> int:
         """Hash of the session's id, the same on all hosts; of the request's without one."""
-        return zlib.crc32((self.session or self.id).encode())
+        return zlib.crc32((self.session_id or self.id).encode())
 
     @property
     def expected_tokens(self) -> int:
         """Length of the answer as far as anybody can tell, in tokens."""
         if self.hinted_tokens is None:
-            return self.most_tokens
-        return min(self.hinted_tokens, self.most_tokens or self.hinted_tokens)
+            return self.max_tokens
+        return min(self.hinted_tokens, self.max_tokens or self.hinted_tokens)
 
 
 @dataclass(slots=True)
-class Work:
+class InFlightRequest:
     """An admitted request on its way; changed by the decisions only.
 
     Attributes
@@ -110,24 +110,24 @@
     account: Account | None
     service: str
     arrived_at: float
-    give_up_at: float
+    deadline_at: float
     sends: int = 0
-    runs: int = 0
+    possible_runs: int = 0
     failures: int = 0
     connect_failures: int = 0
     may_have_run: bool = False
-    tried: set[str] = field(default_factory=set)
-    last_event: int | None = None
-    version: str | None = None
-    size: str | None = None
+    tried_endpoints: set[str] = field(default_factory=set)
+    last_event_id: int | None = None
+    session_version: str | None = None
+    model_size: str | None = None
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """Importance; 0 is the highest."""
-        if self.account is not None and self.account.rank is not None:
-            return self.account.rank
-        return self.route.rank
+        if self.account is not None and self.account.priority is not None:
+            return self.account.priority
+        return self.route.priority
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the seconds until the caller must have an answer."""
-        return self.give_up_at - now
+        return self.deadline_at - now
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -66,7 +66,7 @@
 from poplarrun.server._tasks import Tasks
 from poplarrun.server._version_tasks import VersionTasks
 from poplarrun.settings import HostSettings
-from poplarrun.versions import SessionKeeper, Versions
+from poplarrun.versions import SessionRegistry, VersionManager
 
 HOST_LIST_POLL_S = 0.5
 LOAD_POLL_S = 0.25
@@ -143,7 +143,7 @@
         self.billing = BillKeeper(self.peers, awaited_log, clock, time.time, count)
         self._bill_snapshots = BillSnapshots(self.peers, awaited_log, clock, time.time, count)
         bias = settings.platform.ratings_bias
-        versions = Versions(self.peers.me, random.Random(settings.name), bias)
+        versions = VersionManager(self.peers.me, random.Random(settings.name), bias)
         self.leases = LeaseKeeper(
             awaited_log,
             self.peers,
@@ -156,7 +156,7 @@
         self.router.context.limits = self._limits
         self.router.operations.keeper = self.claims
         self.router.operations.peers = self.peers
-        self.router.sessions.keeper = SessionKeeper(self.peers)
+        self.router.sessions.keeper = SessionRegistry(self.peers)
         self._version_tasks = VersionTasks(
             versions,
             self.peers,
@@ -396,7 +396,7 @@
             region=self.settings.region,
             ready=self.readiness.is_ready,
             offset=configuration.offset,
-            log_age_s=round(now - self.config.log_answered_at, 3),
+            log_age_s=round(now - self.config.log_read_at, 3),
             open_requests=self.router.open_requests,
             endpoints=tuple(read_endpoint(e, now) for e in self._endpoints.all()),
             withdrawn=tuple(sorted(configuration.withdrawn)),
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -19,9 +19,9 @@
 from poplarrun.server._messages import RolloutStatus
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
+    RolloutSnapshot,
     SampledAnswer,
-    Snapshot,
-    Versions,
+    VersionManager,
     decode_rollout,
     encode_rollout,
 )
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        versions: Versions,
+        versions: VersionManager,
         peers: Peers,
         log: Log,
         ratings: Ratings | None,
@@ -132,7 +132,7 @@
                 await self._ask_peers()
             case entries:
                 for entry in entries:
-                    self._versions.fold(entry)
+                    self._versions.fold_entry(entry)
                 if entries:
                     self._poll.announce()
                 self._caught_up = self._reader.next_offset >= self._reader.end
@@ -142,7 +142,7 @@
 
     async def wait(self) -> None:
         """Wait for the next round of ``follow_rollouts``."""
-        await self._poll.wait(not self.is_known or not self._versions.rollouts.is_whole)
+        await self._poll.wait(not self.is_known or not self._versions.rollouts.is_complete)
 
     async def _ask_peers(self) -> None:
         """Ask another host for the roll-outs that the log does not tell.
@@ -153,8 +153,8 @@
         for name in self._other_hosts():
             answer = await self._peers.ask(name, ROLLOUTS_MESSAGE, b"", ASK_TIMEOUT_S)
             snapshot = decode_rollout(answer) if isinstance(answer, bytes) else None
-            if isinstance(snapshot, Snapshot):
-                self._versions.adopt_rollouts(snapshot)
+            if isinstance(snapshot, RolloutSnapshot):
+                self._versions.apply_rollout_snapshot(snapshot)
                 self.is_known = True
                 return
 
@@ -162,13 +162,17 @@
         for name in self._other_hosts():
             answer = await self._peers.ask(name, ESTIMATES_MESSAGE, b"", ASK_TIMEOUT_S)
             if isinstance(answer, bytes) and answer:
-                self._versions.estimates.adopt(answer)
+                self._versions.estimates.apply_aged_evidence(answer)
                 self._adopt_until = -math.inf
                 return
 
     async def _tell_estimates(self, _: str, __: bytes) -> bytes:
         # A host that still asks has nothing to tell.
-        return b"" if self._clock() < self._adopt_until else self._versions.estimates.encode_known()
+        return (
+            b""
+            if self._clock() < self._adopt_until
+            else self._versions.estimates.encode_aged_evidence()
+        )
 
     def _other_hosts(self) -> list[str]:
         others = [peer.name for peer in self._peers.live() if peer.name != self._peers.me.name]
@@ -176,22 +180,22 @@
 
     async def _tell_rollouts(self, _: str, __: bytes) -> bytes:
         rollouts = self._versions.rollouts
-        if not self.is_known or not rollouts.is_whole:
+        if not self.is_known or not rollouts.is_complete:
             return b""
         return encode_rollout(rollouts.snapshot("told"))
 
     async def exchange_evidence(self) -> None:
         """Share this host's counters and take in the others'."""
-        if self._clock() < self._adopt_until and self._versions.has_document:
+        if self._clock() < self._adopt_until and self._versions.has_configuration:
             await self._adopt_estimates()
-        self._versions.exchange(self._peers, self._clock())
+        self._versions.exchange_evidence(self._peers, self._clock())
 
     async def run_steward(self) -> None:
         """Append the records that are due; the fold drops what another host did first."""
         if not self._caught_up:
             return
         now = self._clock()
-        due = [*self._versions.decide(self._peers, now), *self._due_snapshot(now)]
+        due = [*self._versions.decide_rollouts(self._peers, now), *self._due_snapshot(now)]
         for record in due:
             if isinstance(record, Withdrawal):
                 stream, data = CONFIG_STREAM, sign_system_record(record, self._keys)
@@ -206,23 +210,23 @@
         # else it would append the same once more.
         self._caught_up = False
 
-    def _due_snapshot(self, now: float) -> list[Snapshot]:
+    def _due_snapshot(self, now: float) -> list[RolloutSnapshot]:
         """Return the snapshot that is due, so that it outlives the log's retention.
 
         Where no host has the whole state, as after a long stop of all of them,
         what is left counts as the whole after a while.
         """
         rollouts, me = self._versions.rollouts, self._peers.me
-        if rollouts.snapshot_at != self._snapshot_seen:
-            self._snapshot_seen = rollouts.snapshot_at
+        if rollouts.snapshot_offset != self._snapshot_seen:
+            self._snapshot_seen = rollouts.snapshot_offset
             self._snapshot_due_at = now + SNAPSHOT_PERIOD_S
-        if rollouts.is_whole:
+        if rollouts.is_complete:
             self._incomplete_since = None
         elif self._incomplete_since is None:
             self._incomplete_since = now
         since = now if self._incomplete_since is None else self._incomplete_since
         is_lost = now - since >= INCOMPLETE_S
-        is_due = rollouts.is_whole and bool(rollouts.states) and now >= self._snapshot_due_at
+        is_due = rollouts.is_complete and bool(rollouts.states) and now >= self._snapshot_due_at
         names = [peer.name for peer in self._peers.live()]
         if not (is_lost or is_due) or rank_hosts("rollouts/snapshot", names)[0] != me.name:
             return []
@@ -232,7 +236,7 @@
         """Hand in the queued answers, and collect the ratings that are ready."""
         if self._ratings is None:
             return
-        batch = self._versions.take_samples(SUBMITTED_AT_ONCE)
+        batch = self._versions.dequeue_samples(SUBMITTED_AT_ONCE)
         await asyncio.gather(*(self._submit(answer) for answer in batch))
         asked = list(itertools.islice(self._awaited, ASKED_AT_ONCE))
         if asked:
@@ -256,8 +260,8 @@
                 for rating in rated:
                     answer = self._awaited.pop(rating.request_id, None)
                     if answer is not None:
-                        key = answer.key.as_second if answer.is_second else answer.key
-                        self._versions.note_rating(key, rating.quality, answer.score)
+                        key = answer.key.as_second_step if answer.is_second else answer.key
+                        self._versions.record_rating(key, rating.quality, answer.score)
                 # Those still awaited go to the end, so that lost ones don't block the rest.
                 for request_id in asked:
                     if request_id in self._awaited:
--- a/poplarrun/sizes/_sizes.py
+++ b/poplarrun/sizes/_sizes.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from poplarrun.placement import Seat
-from poplarrun.routing import Request, Service, Work
+from poplarrun.routing import InFlightRequest, Request, Service
 
 # The confidence with which an answer is as often good as poor, and the steps from there
 # in which the odds change by a factor of e: confidence is a steep sign, so answers well
@@ -86,7 +86,7 @@
     def __init__(self) -> None:
         self._usual: dict[str, UsualRequest] = {}
 
-    def note_request(self, work: Work) -> None:
+    def note_request(self, work: InFlightRequest) -> None:
         """Learn how long and dear the requests of a route are."""
         request = work.request
         usual = self._usual.get(work.route.name)
@@ -95,22 +95,22 @@
         else:
             usual.note(request)
 
-    def first(self, work: Work) -> str | None:
+    def first(self, work: InFlightRequest) -> str | None:
         """Return the model that a new request goes to; None where the caller names one."""
         sizes = work.route.sizes
         if not sizes or work.request.model != "*":
             return None
         return sizes[0]
 
-    def largest(self, work: Work) -> str | None:
+    def largest(self, work: InFlightRequest) -> str | None:
         """Return the model to ask after a doubtful answer; None where there is none."""
         sizes = work.route.sizes
-        if not sizes or work.size is None or work.size == sizes[-1]:
+        if not sizes or work.model_size is None or work.model_size == sizes[-1]:
             return None
         return sizes[-1]
 
     def is_worth_more(
-        self, work: Work, confidence: float, seat: Seat, service: Service, now: float
+        self, work: InFlightRequest, confidence: float, seat: Seat, service: Service, now: float
     ) -> bool:
         """Tell whether the largest model's answer gains more than it costs.
 
@@ -123,14 +123,14 @@
         """
         good = chance_good(confidence)
         at_hand = good + (1.0 - good) * POOR_WORTH
-        in_time = work.arrived_at + work.route.pace.target_s
+        in_time = work.arrived_at + work.route.latency.target_s
         is_late = now + seat.first_s / TIME_PART > in_time
         larger = LARGEST_QUALITY * (LATE_WORTH if is_late else 1.0)
         gain = larger - at_hand - self._cost(work, service)
-        queue_part = min(1.0, seat.member.queue_s / work.route.pace.target_s)
+        queue_part = min(1.0, seat.member.queue_s / work.route.latency.target_s)
         return gain > LEAST_GAIN + QUEUE_GAIN * queue_part
 
-    def _cost(self, work: Work, service: Service) -> float:
+    def _cost(self, work: InFlightRequest, service: Service) -> float:
         """Return the largest model's cost as a share of what a good answer is worth."""
         prices = {size.name: size.cost for size in service.sizes}
         dearest = max(prices.values(), default=0.0)
@@ -139,7 +139,7 @@
         model_part = prices.get(work.route.sizes[-1], 0.0) / dearest
         return PRICE_PART * model_part * self._price_to_worth(work)
 
-    def _price_to_worth(self, work: Work) -> float:
+    def _price_to_worth(self, work: InFlightRequest) -> float:
         """Return how dear a request is for its worth, 1 for the usual one of its route."""
         request = work.request
         usual = self._usual.get(work.route.name)
--- a/poplarrun/versions/_cascades.py
+++ b/poplarrun/versions/_cascades.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from poplarrun.versions._evidence import JUDGE_BINS, JudgedBin, read_bins
-from poplarrun.versions._tests import radius_of
+from poplarrun.versions._sequential_tests import radius_of
 
 # Rated answers with a judge's score that a cascade is built on.
 LEAST_JUDGED = 40.0
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class ScoreCutoff:
     """What comes of accepting a first answer from one score on.
 
     Attributes
@@ -36,14 +36,14 @@
         Variance of the accepted ones' ratings.
     """
 
-    score: float
-    accepted: float
+    min_score: float
+    accepted_fraction: float
     quality: float
     drop: float
     variance: float
 
 
-def make_cuts(judged: Sequence[float], alpha: float) -> tuple[Cut, ...]:
+def make_cutoffs(judged: Sequence[float], alpha: float) -> tuple[ScoreCutoff, ...]:
     """Return the cuts that rated and judged answers of a version allow.
 
     The relation between a judge's score and the rating is learnt here, so the
@@ -63,16 +63,16 @@
 
 def _make_cut(
     bins: Sequence[JudgedBin], first: int, mean: float, answers: float, alpha: float
-) -> Cut | None:
+) -> ScoreCutoff | None:
     taken, left = bins[first:], bins[:first]
     rated, rejected = sum(b.rated for b in taken), sum(b.rated for b in left)
     if rated < LEAST_JUDGED / 2 or rejected <= 0.0:
         return None
     quality = sum(b.quality for b in taken) / rated
     spread = max(0.0, sum(b.squares for b in taken) - rated * quality * quality)
-    return Cut(
-        score=first / JUDGE_BINS,
-        accepted=sum(b.answers for b in taken) / answers,
+    return ScoreCutoff(
+        min_score=first / JUDGE_BINS,
+        accepted_fraction=sum(b.answers for b in taken) / answers,
         quality=quality - radius_of(rated, spread, alpha),
         drop=max(0.0, mean - sum(b.quality for b in left) / rejected),
         variance=spread / rated,
@@ -98,22 +98,22 @@
     cost: float
 
 
-def find_cut(
-    cuts: Sequence[Cut], first_cost: float, second: SecondStep, target: float
-) -> tuple[Cut, float] | None:
+def find_cutoff(
+    cuts: Sequence[ScoreCutoff], first_cost: float, second: SecondStep, target: float
+) -> tuple[ScoreCutoff, float] | None:
     """Return the cheapest cut that meets a target, with its expected cost.
 
     The accepted answers must meet the target by themselves: a judge that tells
     nothing could else pass poor answers as long as the second version is good.
     """
-    found: tuple[Cut, float] | None = None
+    found: tuple[ScoreCutoff, float] | None = None
     lowest = math.inf
     for cut in cuts:
         escalated = second.escalated_lower
         if escalated is None:
             escalated = second.lower - SHARED_HARDNESS * cut.drop
-        quality = cut.accepted * cut.quality + (1.0 - cut.accepted) * escalated
-        cost = first_cost + (1.0 - cut.accepted) * second.cost
+        quality = cut.accepted_fraction * cut.quality + (1.0 - cut.accepted_fraction) * escalated
+        cost = first_cost + (1.0 - cut.accepted_fraction) * second.cost
         margin = WINDOW_SIGMAS * math.sqrt(cut.variance / WINDOW_ANSWERS)
         if min(quality - margin, cut.quality) >= target and cost < lowest:
             found, lowest = (cut, cost), cost
--- a/poplarrun/versions/_cells.py
+++ b/poplarrun/versions/_cells.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from poplarrun.versions._cascades import Cut, make_cuts
-from poplarrun.versions._cut_watch import CutWatch
+from poplarrun.versions._cascades import ScoreCutoff, make_cutoffs
+from poplarrun.versions._cutoff_detector import CutWatch
 from poplarrun.versions._evidence import GRID, MILLI, AgedEvidence, Evidence
-from poplarrun.versions._tests import (
+from poplarrun.versions._sequential_tests import (
     ChangeDetector,
     bets_above,
     bets_below,
@@ -26,9 +26,9 @@
 UNCERTAINTY = 0.05
 SHOWN = math.log(1.0 / UNCERTAINTY)
 # Capital at which a version on trial is taken out: one wrongly in 200.
-TRIAL_BAR = math.log(200)
+TRIAL_LOG_CAPITAL_LIMIT = math.log(200)
 # Capital at which a version in service is: one wrongly in a million observations.
-SERVICE_BAR = math.log(1e6)
+SERVICE_LOG_CAPITAL_LIMIT = math.log(1e6)
 PRIOR_TOKENS = 256.0
 # Ratings of a version from which on its judge is known well enough.
 MOST_JUDGED = 100.0
@@ -161,31 +161,31 @@
     """
 
     standing: Standing = Standing.UNDECIDED
-    rated: float = 0.0
+    rating_weight: float = 0.0
     mean_quality: float | None = None
-    radius: float = math.inf
-    awaited: float = 0.0
-    growth_log: float = 0.0
-    slow: bool = False
+    confidence_radius: float = math.inf
+    pending_ratings: float = 0.0
+    trial_pass_log_capital: float = 0.0
+    is_slow: bool = False
     late_answers: int = 0
     output_tokens: float | None = None
-    whole_s: float | None = None
-    is_judged: bool = False
-    cuts: tuple[Cut, ...] = ()
-    cut_doubt: float = 0.0
+    answer_time_s: float | None = None
+    has_judge: bool = False
+    cutoffs: tuple[ScoreCutoff, ...] = ()
+    cutoff_log_capital: float = 0.0
     first_step: FirstStep = NO_FIRST_STEP
-    trial: Capitals = NO_CAPITALS
-    watch: Capitals = NO_CAPITALS
+    trial_capitals: Capitals = NO_CAPITALS
+    change_capitals: Capitals = NO_CAPITALS
 
     @property
-    def watch_in_service(self) -> Capitals:
+    def service_capitals(self) -> Capitals:
         """The bets that count against a version in service.
 
         What it is worth alone doesn't count while its judge makes it useful as a
         cascade's first step: a cheap version whose answers are half poor is so
         from the start, and would be out after some hundred ratings.
         """
-        step, watch = self.first_step, self.watch
+        step, watch = self.first_step, self.change_capitals
         return Capitals(
             0.0 if step.in_class else watch.quality,
             0.0 if step.anywhere else watch.usefulness,
@@ -194,20 +194,26 @@
         )
 
     @property
-    def is_prompt(self) -> bool:
+    def is_on_time(self) -> bool:
         """Whether what was seen leans towards its answers being in time."""
-        return self.output_tokens is not None and self.trial.latency <= 0.0
+        return self.output_tokens is not None and self.trial_capitals.latency <= 0.0
 
     @property
     def is_poor(self) -> bool:
         """Whether the version is shown too poor to answer alone."""
-        return self.standing is Standing.POOR or self.watch.quality >= SERVICE_BAR
+        return (
+            self.standing is Standing.POOR
+            or self.change_capitals.quality >= SERVICE_LOG_CAPITAL_LIMIT
+        )
 
     def is_bad(self, in_service: bool) -> bool:
         """Tell whether the version is shown bad, in service or on trial."""
         if in_service:
-            return self.watch_in_service.highest >= SERVICE_BAR
-        return self.watch.highest >= SERVICE_BAR or self.trial.highest >= TRIAL_BAR
+            return self.service_capitals.highest >= SERVICE_LOG_CAPITAL_LIMIT
+        return (
+            self.change_capitals.highest >= SERVICE_LOG_CAPITAL_LIMIT
+            or self.trial_capitals.highest >= TRIAL_LOG_CAPITAL_LIMIT
+        )
 
 
 NOTHING_KNOWN = Estimate()
@@ -243,31 +249,31 @@
         lateness = log_capital(_yes_no(aged.requests, aged.late), bets_above(LATE_ALLOWED))
         mean = aged.mean_quality
         radius = confidence_radius(aged.ratings, UNCERTAINTY)
-        cuts = make_cuts(aged.judged, UNCERTAINTY)
-        doubts = {cut: self._accepted.log_capital(cut.score) for cut in cuts}
-        trusted = tuple(cut for cut in cuts if doubts[cut] < SERVICE_BAR)
+        cuts = make_cutoffs(aged.judged, UNCERTAINTY)
+        doubts = {cut: self._accepted.log_capital(cut.min_score) for cut in cuts}
+        trusted = tuple(cut for cut in cuts if doubts[cut] < SERVICE_LOG_CAPITAL_LIMIT)
         return Estimate(
             standing=_stand(mean, radius, self.thresholds.wanted),
-            rated=aged.rated,
+            rating_weight=aged.rated,
             mean_quality=mean,
-            radius=radius,
-            awaited=aged.awaited,
-            growth_log=log_capital(aged.ratings, bets_above(allowed)),
-            slow=lateness >= SHOWN,
+            confidence_radius=radius,
+            pending_ratings=aged.awaited,
+            trial_pass_log_capital=log_capital(aged.ratings, bets_above(allowed)),
+            is_slow=lateness >= SHOWN,
             late_answers=self._late_answers,
-            whole_s=aged.whole_ms / MILLI / aged.requests if aged.requests > 1.0 else None,
-            is_judged=bool(aged.judged),
-            cuts=trusted,
-            cut_doubt=max((doubts[cut] for cut in trusted), default=0.0),
+            answer_time_s=aged.whole_ms / MILLI / aged.requests if aged.requests > 1.0 else None,
+            has_judge=bool(aged.judged),
+            cutoffs=trusted,
+            cutoff_log_capital=max((doubts[cut] for cut in trusted), default=0.0),
             first_step=self._find_first_step(trusted),
             output_tokens=aged.output_tokens / aged.requests if aged.requests > 1.0 else None,
-            trial=Capitals(
+            trial_capitals=Capitals(
                 log_capital(aged.ratings, self._bad.bets),
                 log_capital(aged.ratings, self._useless.bets),
                 log_capital(_yes_no(aged.requests, aged.failures), self._failing.bets),
                 lateness,
             ),
-            watch=Capitals(
+            change_capitals=Capitals(
                 self._bad.log_capital,
                 self._useless.log_capital,
                 self._failing.log_capital,
@@ -275,10 +281,10 @@
             ),
         )
 
-    def _find_first_step(self, cuts: Sequence[Cut]) -> FirstStep:
+    def _find_first_step(self, cuts: Sequence[ScoreCutoff]) -> FirstStep:
         in_class = self._is_learning(self.thresholds.wanted)
         anywhere = self._is_learning(self.thresholds.lowest)
-        useful = [cut.quality for cut in cuts if cut.accepted >= LEAST_ACCEPTED]
+        useful = [cut.quality for cut in cuts if cut.accepted_fraction >= LEAST_ACCEPTED]
         best = max(useful, default=0.0)
         return FirstStep(
             not in_class,
