--- a/poplarrun/versions/_choice.py
+++ b/poplarrun/versions/_choice.py
@@ -5,11 +5,18 @@
 from dataclasses import dataclass, field, replace
 
 from poplarrun.config import Configuration
-from poplarrun.contracts import ClientAccount, Targets, Unmet, Version, VersionId, WorkClass
+from poplarrun.contracts import (
+    ClientAccount,
+    Targets,
+    UnmetTargetsPolicy,
+    Version,
+    VersionId,
+    WorkClass,
+)
 from poplarrun.versions._cells import PRIOR_TOKENS, Estimate, Standing
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import CellKey
-from poplarrun.versions._exposure import Exposure
+from poplarrun.versions._exposure import ExposureBudget
 from poplarrun.versions._plans import (
     Cascade,
     Mixture,
@@ -23,7 +30,7 @@
     is_quick,
     lower_end,
 )
-from poplarrun.versions._rollouts import Rollouts
+from poplarrun.versions._rollouts import RolloutTable
 
 # Ratings of a class up to which exploration stays at its most.
 EXPLORED_RATINGS = 600.0
@@ -58,9 +65,9 @@
     work_class: WorkClass
     prompt_tokens: int
     max_tokens: int
-    in_session: bool = False
-    spend_left: float | None = None
-    without: frozenset[VersionId] = frozenset()
+    opens_session: bool = False
+    remaining_spend: float | None = None
+    excluded_versions: frozenset[VersionId] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,11 +83,11 @@
     """
 
     version: Version
-    least_score: float
+    min_score: float
 
 
 @dataclass(frozen=True, slots=True)
-class Chosen:
+class ChosenVersion:
     """The version for a request.
 
     Attributes
@@ -96,32 +103,32 @@
     """
 
     version: Version
-    why: str
+    reason: str
     cost: float
     considered: list[str]
     escalation: Escalation | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class NothingAllowed:
+class NoVersionAllowed:
     """The client account has no offered version."""
 
 
 @dataclass(frozen=True, slots=True)
-class NothingMeets:
+class NoVersionMeetsTargets:
     """No allowed version meets the targets, and the class wants a refusal then."""
 
     considered: list[str]
 
 
 @dataclass(frozen=True, slots=True)
-class NothingAffordable:
+class NoVersionAffordable:
     """Every version that could answer costs more than the account may still spend."""
 
     considered: list[str]
 
 
-Choice = Chosen | NothingAllowed | NothingMeets | NothingAffordable
+Choice = ChosenVersion | NoVersionAllowed | NoVersionMeetsTargets | NoVersionAffordable
 
 
 @dataclass
@@ -129,12 +136,12 @@
     """What is known of the options by account and class, until something changes."""
 
     configuration: Configuration | None = None
-    rollouts: Rollouts | None = None
+    rollouts: RolloutTable | None = None
     revision: int = -1
     options: dict[tuple[str, tuple[str, ...], str], list[Option]] = field(default_factory=dict)
 
 
-class Selector:
+class VersionSelector:
     """Chooses versions at one host.
 
     Parameters
@@ -147,8 +154,10 @@
         Random source of the exploration.
     """
 
-    def __init__(self, estimates: Estimates, exposure: Exposure, source: random.Random) -> None:
-        self.rollouts = Rollouts()
+    def __init__(
+        self, estimates: Estimates, exposure: ExposureBudget, source: random.Random
+    ) -> None:
+        self.rollouts = RolloutTable()
         self._estimates = estimates
         self._exposure = exposure
         self._random = source
@@ -158,13 +167,13 @@
         """Choose a version, and count it when it uses a share of a roll-out."""
         options = self._list_options(request, configuration)
         if not options:
-            return NothingAllowed()
+            return NoVersionAllowed()
         payable = [o for o in options if _is_payable(o, request)]
         if not payable:
-            return NothingAffordable(describe(options))
+            return NoVersionAffordable(describe(options))
         new = self._find_rollout(request, payable)
         if new is not None:
-            self._exposure.use(new.key)
+            self._exposure.consume(new.key)
             return _chosen(new, "roll-out", options)
         targets = request.work_class.targets
         bound = targets.cost_per_request
@@ -172,7 +181,7 @@
         if not usable:
             return self._settle_for_less(request, payable)
         judged = [o for o in payable if _is_to_be_judged(o, targets)]
-        rated = sum(option.estimate.rated for option in options)
+        rated = sum(option.estimate.rating_weight for option in options)
         tried = self._find_try(request, usable, judged, rated)
         if tried is not None:
             return _chosen(tried, "exploration", options)
@@ -185,7 +194,7 @@
         if not good:
             return Single(_most_promising(usable, targets.quality), "learning")
         plans: list[Plan] = [Single(min(good, key=by_cost), "cheapest")]
-        if not request.in_session:
+        if not request.opens_session:
             plans += find_mixtures(usable, good, targets.quality)
             plans += find_cascades(payable, good, targets, self._find_escalated)
         return min(plans, key=lambda plan: plan.cost)
@@ -193,13 +202,13 @@
     def _want(self, request: ChoiceRequest) -> Targets:
         """Return the targets, with the rating that stands for the quality."""
         targets = request.work_class.targets
-        wanted = self._estimates.want(targets.quality)
+        wanted = self._estimates.compute_required_rating(targets.quality)
         return targets if wanted == targets.quality else replace(targets, quality=wanted)
 
     def _find_escalated(self, second: Option) -> Estimate:
-        return self._estimates.find(second.key.as_second)
+        return self._estimates.find(second.key.as_second_step)
 
-    def _draw(self, plan: Plan, options: list[Option]) -> Chosen:
+    def _draw(self, plan: Plan, options: list[Option]) -> ChosenVersion:
         match plan:
             case Single(option=option, why=why):
                 return _chosen(option, why, options)
@@ -209,11 +218,11 @@
             case Cascade(first=first, second=second, cut=cut, cost=cost):
                 considered = describe(options)
                 considered.append(
-                    f"cascade {first.version.id}, from score {cut.score:.3f} on, "
+                    f"cascade {first.version.id}, from score {cut.min_score:.3f} on, "
                     f"else {second.version.id}: cost={cost:.6f}"
                 )
-                escalation = Escalation(second.version, cut.score)
-                return Chosen(first.version, "cascade", cost, considered, escalation)
+                escalation = Escalation(second.version, cut.min_score)
+                return ChosenVersion(first.version, "cascade", cost, considered, escalation)
 
     def _find_try(
         self,
@@ -226,7 +235,7 @@
         target = self._want(request).quality
         good = [o for o in usable if o.estimate.standing is Standing.GOOD]
         best = min(good, key=by_cost) if good else _most_promising(usable, target)
-        if request.in_session or self._random.random() >= _exploration(rated, best, target):
+        if request.opens_session or self._random.random() >= _exploration(rated, best, target):
             return None
         unknown = [o for o in usable if o.estimate.standing is Standing.UNDECIDED]
         tries = [o for o in (*unknown, *judged) if _is_worth_a_try(o, best)]
@@ -255,8 +264,10 @@
         for option in options:
             tokens = min(request.max_tokens, option.tokens)
             option.cost = option.version.price.cost(request.prompt_tokens, tokens)
-        if request.without:
-            return [option for option in options if option.version.id not in request.without]
+        if request.excluded_versions:
+            return [
+                option for option in options if option.version.id not in request.excluded_versions
+            ]
         return options
 
     def _make_options(self, request: ChoiceRequest, configuration: Configuration) -> list[Option]:
@@ -293,7 +304,7 @@
             return "roll-out"
         if estimate.is_poor:
             return "quality"
-        return "latency" if estimate.slow else ""
+        return "latency" if estimate.is_slow else ""
 
     def _find_rollout(self, request: ChoiceRequest, options: list[Option]) -> Option | None:
         """Return a version in roll-out of which this host has requests left.
@@ -301,10 +312,10 @@
         A session would keep the version and use up more than the one request,
         so sessions open only on versions that are fully rolled out.
         """
-        if request.in_session:
+        if request.opens_session:
             return None
         for option in options:
-            if option.ruled_out == "roll-out" and self._exposure.left(option.key) > 0:
+            if option.ruled_out == "roll-out" and self._exposure.remaining(option.key) > 0:
                 return option
         return None
 
@@ -317,12 +328,12 @@
         considered = describe(options)
         left = [o for o in options if o.ruled_out in ("", "latency", "quality", "bad")]
         if not left:
-            return NothingMeets(considered)
+            return NoVersionMeetsTargets(considered)
         slow = [o for o in left if o.ruled_out == "latency"]
         if slow:
             return _chosen(min(slow, key=by_cost), "best-effort", options)
-        if request.work_class.unmet is Unmet.REFUSE:
-            return NothingMeets(considered)
+        if request.work_class.unmet is UnmetTargetsPolicy.REFUSE:
+            return NoVersionMeetsTargets(considered)
         best = max(left, key=lambda o: (o.estimate.mean_quality or 0.0, -o.cost))
         return _chosen(best, "best-effort", options)
 
@@ -349,7 +360,7 @@
 
     Nothing being known, the dearest comes first: prices say something of quality.
     """
-    rated = option.estimate.rated
+    rated = option.estimate.rating_weight
     seen = rated * (option.estimate.mean_quality or 0.0)
     return (seen + PRIOR_RATINGS * target) / (rated + PRIOR_RATINGS), option.cost
 
@@ -368,7 +379,7 @@
 
 
 def _is_payable(option: Option, request: ChoiceRequest) -> bool:
-    return request.spend_left is None or option.cost <= request.spend_left
+    return request.remaining_spend is None or option.cost <= request.remaining_spend
 
 
 def _is_to_be_judged(option: Option, targets: Targets) -> bool:
@@ -379,7 +390,7 @@
 
 
 def _is_worth_a_try(option: Option, best: Option) -> bool:
-    return option.cost < best.cost and option.estimate.awaited < MOST_AWAITED
+    return option.cost < best.cost and option.estimate.pending_ratings < MOST_AWAITED
 
 
 def _hope(option: Option, best: Option, target: float) -> float:
@@ -389,9 +400,9 @@
     if known.mean_quality is None:
         return saving
     # From 0 (all but shown poor) over 1 (just at the target) to 2 (all but shown good).
-    nearness = 1.0 + (known.mean_quality - target) / known.radius
+    nearness = 1.0 + (known.mean_quality - target) / known.confidence_radius
     return saving * max(0.01, nearness) ** 3
 
 
-def _chosen(option: Option, why: str, options: list[Option]) -> Chosen:
-    return Chosen(option.version, why, option.cost, describe(options))
+def _chosen(option: Option, why: str, options: list[Option]) -> ChosenVersion:
+    return ChosenVersion(option.version, why, option.cost, describe(options))
--- a/poplarrun/versions/_steward.py
+++ b/poplarrun/versions/_controller.py
@@ -6,20 +6,26 @@
 from dataclasses import dataclass
 
 from poplarrun.config import Configuration, Withdrawal
-from poplarrun.contracts import Stage
+from poplarrun.contracts import VersionStage
 from poplarrun.hosts import Peer
 from poplarrun.rendezvous import rank_hosts
-from poplarrun.versions._cells import SERVICE_BAR, SHOWN, TRIAL_BAR, Capitals, Estimate
+from poplarrun.versions._cells import (
+    SERVICE_LOG_CAPITAL_LIMIT,
+    SHOWN,
+    TRIAL_LOG_CAPITAL_LIMIT,
+    Capitals,
+    Estimate,
+)
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import CellKey
 from poplarrun.versions._rollouts import (
-    Closed,
-    Granted,
+    BudgetGrant,
+    RolloutClosure,
     RolloutRecord,
-    Rollouts,
+    RolloutResult,
     RolloutState,
-    Settled,
-    name_holder,
+    RolloutTable,
+    format_process_name,
 )
 
 # A stage is left unfinished for so long before its unused requests are granted anew.
@@ -35,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutStage:
+class ExposureStage:
     """One step of a roll-out.
 
     Attributes
@@ -54,16 +60,16 @@
 
 
 STAGES = (
-    RolloutStage(24, 0.0),
-    RolloutStage(48, 1.0),
-    RolloutStage(200, 4.0),
-    RolloutStage(1000, 20.0),
+    ExposureStage(24, 0.0),
+    ExposureStage(48, 1.0),
+    ExposureStage(200, 4.0),
+    ExposureStage(1000, 20.0),
 )
 FULL_CAPITAL = 100.0
 
 
 @dataclass(frozen=True, slots=True)
-class StewardView:
+class ControllerView:
     """What a steward decides from.
 
     Attributes
@@ -77,14 +83,14 @@
     """
 
     configuration: Configuration
-    rollouts: Rollouts
-    live: Sequence[Peer]
+    rollouts: RolloutTable
+    live_hosts: Sequence[Peer]
 
 
 DueRecord = RolloutRecord | Withdrawal
 
 
-class Steward:
+class VersionRolloutController:
     """Decides for the classes of which this host is the usual owner.
 
     Parameters
@@ -106,13 +112,13 @@
         self._ranked: tuple[str, ...] = ()
         self._owners: dict[str, str] = {}
 
-    def decide(self, view: StewardView, now: float) -> list[DueRecord]:
+    def decide_records(self, view: ControllerView, now: float) -> list[DueRecord]:
         """Return the records that are due now, for the log."""
         due: list[DueRecord] = []
-        if not view.rollouts.is_whole:
+        if not view.rollouts.is_complete:
             return due
         for class_name in view.configuration.document.classes:
-            if self._owns(class_name, view.live):
+            if self._owns(class_name, view.live_hosts):
                 due += self._decide_class(class_name, view, now)
         return due
 
@@ -127,7 +133,7 @@
             owner = self._owners[class_name] = rank_hosts(f"rollouts/{class_name}", names)[0]
         return owner == self._host
 
-    def _decide_class(self, class_name: str, view: StewardView, now: float) -> list[DueRecord]:
+    def _decide_class(self, class_name: str, view: ControllerView, now: float) -> list[DueRecord]:
         due: list[DueRecord | None] = []
         has_incumbent = _has_incumbent(class_name, view)
         for version, offered in view.configuration.document.versions.items():
@@ -135,9 +141,9 @@
             state = view.rollouts.find(key)
             # Where nothing serves yet all versions do, also before that is in the log.
             is_serving = state.serves or not has_incumbent
-            if offered.stage is Stage.WITHDRAWN:
+            if offered.stage is VersionStage.WITHDRAWN:
                 known = key in view.rollouts.states
-                due.append(Closed(next(self._ids), str(version)) if known else None)
+                due.append(RolloutClosure(next(self._ids), str(version)) if known else None)
             elif not view.configuration.is_withdrawn(version) and not state.rejected:
                 due.append(
                     self._withdraw(key, is_serving, view)
@@ -147,7 +153,7 @@
                 )
         return [record for record in due if record is not None]
 
-    def _withdraw(self, key: CellKey, is_serving: bool, view: StewardView) -> Withdrawal | None:
+    def _withdraw(self, key: CellKey, is_serving: bool, view: ControllerView) -> Withdrawal | None:
         """Withdraw a version that fails, or that not even the least demanding class wants."""
         known = self._estimates.find(key)
         capitals, bar = _capitals(known, is_serving)
@@ -156,7 +162,7 @@
         reason = "quality" if capitals.usefulness >= bar else "failures"
         evidence = {
             "log_capital": round(max(capitals.usefulness, capitals.reliability), 3),
-            "rated": round(known.rated, 3),
+            "rated": round(known.rating_weight, 3),
             "mean_quality": round(known.mean_quality or 0.0, 4),
         }
         # Each class's steward writes the same id, so that the fold keeps one.
@@ -164,7 +170,7 @@
         text = f"{reason} in class {key.class_name}"
         return Withdrawal(record_id, str(key.version), text, evidence)
 
-    def _reject(self, key: CellKey, is_serving: bool) -> Settled | None:
+    def _reject(self, key: CellKey, is_serving: bool) -> RolloutResult | None:
         known = self._estimates.find(key)
         capitals, bar = _capitals(known, is_serving)
         if capitals.quality < bar:
@@ -172,8 +178,8 @@
         return self._settle(key, False, f"quality {known.mean_quality or 0.0:.2f}")
 
     def _reject_slow(
-        self, key: CellKey, is_serving: bool, view: StewardView, now: float
-    ) -> Settled | None:
+        self, key: CellKey, is_serving: bool, view: ControllerView, now: float
+    ) -> RolloutResult | None:
         """Reject a version whose answers are late while another one's are in time."""
         known = self._estimates.find(key)
         capitals, bar = _capitals(known, is_serving)
@@ -196,35 +202,42 @@
             self._lagging[key] = (since, known.late_answers)
         return known.late_answers - late_answers >= LATE_AGAIN and now - since >= LASTING_S
 
-    def _has_prompt_other(self, key: CellKey, view: StewardView) -> bool:
+    def _has_prompt_other(self, key: CellKey, view: ControllerView) -> bool:
         """Tell whether another version serves the class in time; under overload none does."""
         return any(
             version != key.version
             and not view.configuration.is_withdrawn(version)
             and view.rollouts.find(CellKey(key.class_name, version)).serves
-            and self._estimates.find(CellKey(key.class_name, version)).is_prompt
+            and self._estimates.find(CellKey(key.class_name, version)).is_on_time
             for version in view.configuration.document.versions
         )
 
     def _advance(
-        self, key: CellKey, state: RolloutState, view: StewardView, has_incumbent: bool, now: float
+        self,
+        key: CellKey,
+        state: RolloutState,
+        view: ControllerView,
+        has_incumbent: bool,
+        now: float,
     ) -> DueRecord | None:
         if state.serves:
             return None
         if not has_incumbent:
             return self._settle(key, True, "no other version serves the class")
         known = self._estimates.find(key)
-        capital = math.exp(min(known.growth_log, HIGHEST_LOG)) if known.rated else 0.0
+        capital = (
+            math.exp(min(known.trial_pass_log_capital, HIGHEST_LOG)) if known.rating_weight else 0.0
+        )
         if state.stage + 1 == len(STAGES) and capital >= FULL_CAPITAL:
             return self._settle(key, True, "no worse than the class allows")
         if state.stage + 1 < len(STAGES) and capital >= STAGES[state.stage + 1].capital:
             budget = max(1, STAGES[state.stage + 1].budget - state.budget)
-            return self._grant(key, state, state.stage + 1, budget, view.live)
+            return self._grant(key, state, state.stage + 1, budget, view.live_hosts)
         return self._go_on(key, state, capital, view, now)
 
     def _go_on(
-        self, key: CellKey, state: RolloutState, capital: float, view: StewardView, now: float
-    ) -> Granted | Settled | None:
+        self, key: CellKey, state: RolloutState, capital: float, view: ControllerView, now: float
+    ) -> BudgetGrant | RolloutResult | None:
         """Grant a stage's budget a second time when its shares seem to lie idle.
 
         A share lies idle at a host that died or has no such requests. It can't
@@ -239,17 +252,17 @@
         if now - since < STALL_S:
             return None
         if capital >= stage.capital and left > 0:
-            return self._grant(key, state, state.stage, min(left, stage.budget), view.live)
+            return self._grant(key, state, state.stage, min(left, stage.budget), view.live_hosts)
         return self._give_up(key, state)
 
-    def _give_up(self, key: CellKey, state: RolloutState) -> Settled | None:
+    def _give_up(self, key: CellKey, state: RolloutState) -> RolloutResult | None:
         """Reject a version that has used up its requests, where its ratings lean against it.
 
         Nothing would decide it otherwise: without requests no rating comes. This is
         looked at once all of them are rated, so one chance in 20 is not taken often.
         """
         known = self._estimates.find(key)
-        if known.rated < RATED_SHARE * state.budget or known.trial.quality < SHOWN:
+        if known.rating_weight < RATED_SHARE * state.budget or known.trial_capitals.quality < SHOWN:
             return None
         return self._settle(key, False, f"quality {known.mean_quality or 0.0:.2f}")
 
@@ -260,29 +273,29 @@
         stage: int,
         budget: int,
         live: Sequence[Peer],
-    ) -> Granted:
+    ) -> BudgetGrant:
         record_id = next(self._ids)
-        holders = {peer.name: name_holder(peer.name, peer.incarnation) for peer in live}
+        holders = {peer.name: format_process_name(peer.name, peer.incarnation) for peer in live}
         ranked = rank_hosts(record_id, holders)
         shares: dict[str, int] = {}
         for name, _ in zip(itertools.cycle(ranked), range(budget), strict=False):
             shares[holders[name]] = shares.get(holders[name], 0) + 1
-        return Granted(record_id, key.class_name, str(key.version), state.grants, stage, shares)
+        return BudgetGrant(record_id, key.class_name, str(key.version), state.grants, stage, shares)
 
-    def _settle(self, key: CellKey, serves: bool, reason: str) -> Settled:
-        return Settled(next(self._ids), key.class_name, str(key.version), serves, reason)
+    def _settle(self, key: CellKey, serves: bool, reason: str) -> RolloutResult:
+        return RolloutResult(next(self._ids), key.class_name, str(key.version), serves, reason)
 
 
 def _capitals(known: Estimate, is_serving: bool) -> tuple[Capitals, float]:
     """Return the bets that count at this stage, and their bar."""
     if is_serving:
-        return known.watch_in_service, SERVICE_BAR
-    if known.watch.highest >= SERVICE_BAR:
-        return known.watch, SERVICE_BAR
-    return known.trial, TRIAL_BAR
+        return known.service_capitals, SERVICE_LOG_CAPITAL_LIMIT
+    if known.change_capitals.highest >= SERVICE_LOG_CAPITAL_LIMIT:
+        return known.change_capitals, SERVICE_LOG_CAPITAL_LIMIT
+    return known.trial_capitals, TRIAL_LOG_CAPITAL_LIMIT
 
 
-def _has_incumbent(class_name: str, view: StewardView) -> bool:
+def _has_incumbent(class_name: str, view: ControllerView) -> bool:
     """Tell whether some version serves the class, so that a new one can wait."""
     return any(
         view.rollouts.find(CellKey(class_name, version)).serves
--- a/poplarrun/versions/_cut_watch.py
+++ b/poplarrun/versions/_cutoff_detector.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from poplarrun.versions._evidence import JUDGE_BINS, JudgedBin, read_bins
-from poplarrun.versions._tests import HIGHEST_MEAN, LOWEST_MEAN, STAKE_SHARES, mix_logs
+from poplarrun.versions._sequential_tests import HIGHEST_MEAN, LOWEST_MEAN, STAKE_SHARES, mix_logs
 
 # For a stake of this share, what the square of a deviation costs (Fan et al.).
 SQUARE_COSTS = tuple(math.log1p(-share) + share for share in STAKE_SHARES)
--- a/poplarrun/versions/_estimates.py
+++ b/poplarrun/versions/_estimates.py
@@ -12,7 +12,7 @@
 from poplarrun.versions._evidence import (
     GRID,
     AgedEvidence,
-    AnswerSeen,
+    AnswerObservation,
     CellKey,
     Evidence,
     EvidenceSummary,
@@ -84,14 +84,16 @@
         targets = {name: item.targets.quality for name, item in document.classes.items()}
         lowest = min(targets.values(), default=0.0)
         keys = [CellKey(c, v) for c in targets for v in document.versions]
-        self._numbers = {key: key.number for key in keys}
-        self._numbers |= {key.as_second: key.as_second.number for key in keys}
+        self._numbers = {key: key.hash for key in keys}
+        self._numbers |= {key.as_second_step: key.as_second_step.hash for key in keys}
         self._thresholds = {
             self._numbers[cell]: Thresholds(
-                targets[key.class_name], lowest, self.want(targets[key.class_name])
+                targets[key.class_name],
+                lowest,
+                self.compute_required_rating(targets[key.class_name]),
             )
             for key in keys
-            for cell in (key, key.as_second)
+            for cell in (key, key.as_second_step)
         }
         self._cells = {
             number: cell
@@ -101,23 +103,23 @@
         self._known = {number: cell.estimate() for number, cell in self._cells.items()}
         self.revision += 1
 
-    def note_answer(self, key: CellKey, seen: AnswerSeen) -> None:
+    def record_answer(self, key: CellKey, seen: AnswerObservation) -> None:
         """Count an answer that this host gave."""
         delta = Evidence()
         delta.add_answer(seen)
         self._add_own(key, delta)
 
-    def note_sampled(self, key: CellKey) -> None:
+    def record_sampled(self, key: CellKey) -> None:
         """Count an answer that is handed to the rating service."""
         self._add_own(key, Evidence(sampled=1))
 
-    def note_rating(self, key: CellKey, quality: float, score: float | None = None) -> None:
+    def record_rating(self, key: CellKey, quality: float, score: float | None = None) -> None:
         """Count a rating of an answer that this host gave."""
         delta = Evidence()
         delta.add_rating(quality, self._random, score)
         self._add_own(key, delta)
 
-    def want(self, target: float) -> float:
+    def compute_required_rating(self, target: float) -> float:
         """Return the mean rating that stands for a quality target."""
         return min(1.0, max(0.0, target + self._bias))
 
@@ -141,20 +143,20 @@
 
     def forget(self, key: CellKey) -> None:
         """Begin a version's tests anew, as when it is offered again after a withdrawal."""
-        number = key.number
+        number = key.hash
         self._cells.pop(number, None)
         self._known.pop(number, None)
         self.revision += 1
 
-    def encode_own(self) -> bytes:
+    def encode_local(self) -> bytes:
         """Return this host's summary, for ``EVIDENCE_TOPIC``."""
         return encode_summary(self._members, self._own)
 
-    def encode_known(self) -> bytes:
+    def encode_aged_evidence(self) -> bytes:
         """Return the aged evidence of all cells, for a host that starts."""
         return _known_encoder.encode({number: cell.aged for number, cell in self._cells.items()})
 
-    def adopt(self, data: bytes) -> None:
+    def apply_aged_evidence(self, data: bytes) -> None:
         """Take over another host's aged evidence where it knows more.
 
         Counters tell only what comes after a host's start. Without this a host
@@ -169,7 +171,7 @@
                 cell.aged = told
                 self._changed.add(number)
 
-    def take(self, gathered: Gathered) -> None:
+    def apply_summaries(self, gathered: Gathered) -> None:
         """Add what other hosts and zones counted since the last time."""
         sources = {f"host {name}": data for name, data in gathered.own_zone.items()}
         sources.pop(f"host {self._host}", None)
--- a/poplarrun/versions/_evidence.py
+++ b/poplarrun/versions/_evidence.py
@@ -31,19 +31,19 @@
     version: VersionId
 
     @property
-    def as_second(self) -> "CellKey":
+    def as_second_step(self) -> "CellKey":
         """The same version where it answers what a cascade's first step could not."""
         return CellKey(self.class_name + SECOND_STEP, self.version)
 
     @property
-    def number(self) -> int:
+    def hash(self) -> int:
         """The key on the wire: 4 bytes instead of two names."""
         text = f"{self.class_name}\0{self.version}".encode()
         return int.from_bytes(hashlib.blake2b(text, digest_size=4).digest(), "big")
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerSeen:
+class AnswerObservation:
     """What a host saw of one answer.
 
     Attributes
@@ -63,8 +63,8 @@
     failed: bool
     late: bool
     output_tokens: int
-    whole_s: float = 0.0
-    score: float | None = None
+    duration_s: float = 0.0
+    judge_score: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,15 +118,15 @@
     ratings: list[int] = msgspec.field(default_factory=lambda: [0] * len(GRID))
     judged: list[int] = msgspec.field(default_factory=list)
 
-    def add_answer(self, seen: AnswerSeen) -> None:
+    def add_answer(self, seen: AnswerObservation) -> None:
         """Count one answer."""
         self.requests += 1
         self.failures += seen.failed
         self.late += seen.late
         self.output_tokens += seen.output_tokens
-        self.whole_ms += int(seen.whole_s * MILLI)
-        if seen.score is not None:
-            self._add_judged(seen.score, [1, 0, 0, 0])
+        self.whole_ms += int(seen.duration_s * MILLI)
+        if seen.judge_score is not None:
+            self._add_judged(seen.judge_score, [1, 0, 0, 0])
 
     def add_rating(self, quality: float, source: random.Random, score: float | None = None) -> None:
         """Count one rating, rounded at random to a neighbouring grid point.
--- a/poplarrun/versions/_plans.py
+++ b/poplarrun/versions/_plans.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from poplarrun.contracts import Targets, Version, VersionId
-from poplarrun.versions._cascades import Cut, SecondStep, find_cut
+from poplarrun.versions._cascades import ScoreCutoff, SecondStep, find_cutoff
 from poplarrun.versions._cells import Estimate, Standing
 from poplarrun.versions._evidence import CellKey
 
@@ -74,7 +74,7 @@
 
     first: Option
     second: Option
-    cut: Cut
+    cut: ScoreCutoff
     cost: float
 
 
@@ -92,7 +92,7 @@
     """
     for option in usable:
         known = option.estimate
-        if known.standing is not Standing.UNDECIDED or known.radius > LARGEST_RADIUS:
+        if known.standing is not Standing.UNDECIDED or known.confidence_radius > LARGEST_RADIUS:
             continue
         doubt = target - lower_end(option)
         for cover in good:
@@ -113,7 +113,7 @@
     sees two. A class whose first token may not wait so long gets none.
     """
     for first in options:
-        if first.ruled_out not in ("", "quality") or not first.estimate.cuts:
+        if first.ruled_out not in ("", "quality") or not first.estimate.cutoffs:
             continue
         if not is_quick(first.estimate, targets):
             continue
@@ -122,7 +122,7 @@
                 continue
             escalated = _escalated_lower(find_escalated(second))
             step = SecondStep(lower_end(second), escalated, second.cost)
-            found = find_cut(first.estimate.cuts, first.cost, step, targets.quality)
+            found = find_cutoff(first.estimate.cutoffs, first.cost, step, targets.quality)
             if found is not None:
                 yield Cascade(first, second, *found)
 
@@ -130,7 +130,7 @@
 def lower_end(option: Option) -> float:
     """Return the lower end of a version's mean quality."""
     mean = option.estimate.mean_quality
-    return 0.0 if mean is None else mean - option.estimate.radius
+    return 0.0 if mean is None else mean - option.estimate.confidence_radius
 
 
 def by_cost(option: Option) -> tuple[float, VersionId]:
@@ -145,11 +145,11 @@
 
 def is_quick(known: Estimate, targets: Targets) -> bool:
     """Tell whether a whole first answer can be awaited before the caller's first token."""
-    slowest_s = None if known.whole_s is None else known.whole_s * SLOWEST_TO_MEAN
+    slowest_s = None if known.answer_time_s is None else known.answer_time_s * SLOWEST_TO_MEAN
     return slowest_s is not None and slowest_s <= targets.first_token_s
 
 
 def _escalated_lower(known: Estimate) -> float | None:
-    if known.rated < LEAST_ESCALATED or known.mean_quality is None:
+    if known.rating_weight < LEAST_ESCALATED or known.mean_quality is None:
         return None
-    return known.mean_quality - known.radius
+    return known.mean_quality - known.confidence_radius
--- a/poplarrun/versions/_rollouts.py
+++ b/poplarrun/versions/_rollouts.py
@@ -12,7 +12,7 @@
 ROLLOUTS_STREAM = "rollouts"
 
 
-class Granted(msgspec.Struct, frozen=True, tag="granted"):
+class BudgetGrant(msgspec.Struct, frozen=True, tag="granted"):
     """More requests of a class may run on a version that is being rolled out.
 
     Attributes
@@ -40,7 +40,7 @@
     shares: dict[str, int]
 
 
-class Settled(msgspec.Struct, frozen=True, tag="settled"):
+class RolloutResult(msgspec.Struct, frozen=True, tag="settled"):
     """A roll-out ended: the version serves its class, or never will.
 
     Attributes
@@ -58,14 +58,14 @@
     reason: str
 
 
-class Closed(msgspec.Struct, frozen=True, tag="closed"):
+class RolloutClosure(msgspec.Struct, frozen=True, tag="closed"):
     """The version is no longer offered; offered anew it is rolled out anew."""
 
     id: str
     version: str
 
 
-class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
+class RolloutSnapshot(msgspec.Struct, frozen=True, tag="snapshot"):
     """The whole state, written again before old records are dropped.
 
     Attributes
@@ -113,11 +113,11 @@
         return sum(self.shares.values())
 
 
-RolloutRecord = Granted | Settled | Closed | Snapshot
+RolloutRecord = BudgetGrant | RolloutResult | RolloutClosure | RolloutSnapshot
 
 _encoder = msgspec.json.Encoder()
 _decoder: msgspec.json.Decoder[RolloutRecord] = msgspec.json.Decoder(
-    Granted | Settled | Closed | Snapshot
+    BudgetGrant | RolloutResult | RolloutClosure | RolloutSnapshot
 )
 UNKNOWN = RolloutState()
 
@@ -135,7 +135,7 @@
         return None
 
 
-def name_holder(host: str, incarnation: int) -> str:
+def format_process_name(host: str, incarnation: int) -> str:
     """Return the name under which a host holds a share.
 
     A restarted host has forgotten what it used of its share. With the
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rollouts:
+class RolloutTable:
     """The state of the fold.
 
     Attributes
@@ -162,54 +162,58 @@
     """
 
     read_to: int = -1
-    is_whole: bool = True
-    snapshot_at: int = -1
+    is_complete: bool = True
+    snapshot_offset: int = -1
     states: Mapping[CellKey, RolloutState] = field(default_factory=dict)
 
     def find(self, key: CellKey) -> RolloutState:
         """Return where a version stands in a class."""
         return self.states.get(key, UNKNOWN)
 
-    def snapshot(self, record_id: str) -> Snapshot:
+    def snapshot(self, record_id: str) -> RolloutSnapshot:
         """Return the record that repeats this state."""
         cells = [(k.class_name, str(k.version), s) for k, s in self.states.items()]
-        return Snapshot(record_id, self.read_to, cells)
+        return RolloutSnapshot(record_id, self.read_to, cells)
 
-    def adopt(self, snapshot: Snapshot) -> "Rollouts":
+    def apply_snapshot(self, snapshot: RolloutSnapshot) -> "RolloutTable":
         """Return the state that a snapshot tells, unless this one is as new."""
-        if self.is_whole and snapshot.read_to <= self.read_to:
+        if self.is_complete and snapshot.read_to <= self.read_to:
             return self
         states = {CellKey(c, VersionId.parse(v)): s for c, v, s in snapshot.cells}
-        return Rollouts(snapshot.read_to, True, self.snapshot_at, states)
+        return RolloutTable(snapshot.read_to, True, self.snapshot_offset, states)
 
-    def skip_to(self, horizon: int) -> "Rollouts":
+    def skip_to(self, horizon: int) -> "RolloutTable":
         """Return the state after records below an offset were missed."""
-        return Rollouts(horizon - 1, False)
+        return RolloutTable(horizon - 1, False)
 
 
-def fold_rollout(state: Rollouts, entry: Entry) -> Rollouts:
+def fold_rollout(state: RolloutTable, entry: Entry) -> RolloutTable:
     """Apply one record of the stream; repeats change nothing."""
     if entry.offset <= state.read_to:
         return state
     before, state = state, replace(state, read_to=entry.offset)
     match decode_rollout(entry.data):
-        case Snapshot() as snapshot if snapshot.read_to == before.read_to:
-            whole = state if state.is_whole else replace(before, is_whole=False).adopt(snapshot)
-            return replace(whole, read_to=entry.offset, snapshot_at=entry.offset)
-        case _ if not state.is_whole:
+        case RolloutSnapshot() as snapshot if snapshot.read_to == before.read_to:
+            whole = (
+                state
+                if state.is_complete
+                else replace(before, is_complete=False).apply_snapshot(snapshot)
+            )
+            return replace(whole, read_to=entry.offset, snapshot_offset=entry.offset)
+        case _ if not state.is_complete:
             return state
-        case Granted() as record:
+        case BudgetGrant() as record:
             return _fold_grant(state, record)
-        case Settled() as record:
+        case RolloutResult() as record:
             return _fold_settled(state, record)
-        case Closed(version=version):
+        case RolloutClosure(version=version):
             kept = {k: s for k, s in state.states.items() if str(k.version) != version}
             return replace(state, states=kept)
-        case Snapshot() | None:
+        case RolloutSnapshot() | None:
             return state
 
 
-def _fold_grant(state: Rollouts, record: Granted) -> Rollouts:
+def _fold_grant(state: RolloutTable, record: BudgetGrant) -> RolloutTable:
     key = CellKey(record.work_class, VersionId.parse(record.version))
     known = state.find(key)
     if known.rejected or known.serves or record.number != known.grants:
@@ -221,7 +225,7 @@
     return replace(state, states={**state.states, key: after})
 
 
-def _fold_settled(state: Rollouts, record: Settled) -> Rollouts:
+def _fold_settled(state: RolloutTable, record: RolloutResult) -> RolloutTable:
     """End a roll-out; a rejection holds against a later success.
 
     A steward that was cut off may report success on old evidence after another
--- a/poplarrun/versions/_sampling.py
+++ b/poplarrun/versions/_sampling.py
@@ -69,7 +69,7 @@
         self._tokens = BURST
         self._filled_at: float | None = None
 
-    def choose(self, key: CellKey, estimate: Estimate, why: str, now: float) -> bool:
+    def should_rate(self, key: CellKey, estimate: Estimate, why: str, now: float) -> bool:
         """Tell whether an answer is to be rated."""
         elapsed_s = 0.0 if self._filled_at is None else now - self._filled_at
         self._filled_at = now
@@ -92,12 +92,12 @@
     if why in ("roll-out", "exploration") or _is_suspected(estimate):
         return 1.0
     if estimate.standing is Standing.UNDECIDED or why == CASCADE:
-        return max(SETTLED_SHARE, min(1.0, WANTED_RATINGS / max(1.0, estimate.rated)) / 2)
+        return max(SETTLED_SHARE, min(1.0, WANTED_RATINGS / max(1.0, estimate.rating_weight)) / 2)
     return SETTLED_SHARE
 
 
 def _is_suspected(estimate: Estimate) -> bool:
     """Tell whether a version may be turning bad in what it still does, alone or as a first step."""
-    watch = estimate.watch_in_service
-    alone = 0.0 if estimate.is_poor else estimate.watch.highest
-    return max(alone, watch.highest, estimate.cut_doubt) >= SUSPICION
+    watch = estimate.service_capitals
+    alone = 0.0 if estimate.is_poor else estimate.change_capitals.highest
+    return max(alone, watch.highest, estimate.cutoff_log_capital) >= SUSPICION
--- a/poplarrun/versions/_sessions.py
+++ b/poplarrun/versions/_sessions.py
@@ -45,7 +45,7 @@
 _message_decoder = msgspec.msgpack.Decoder(_HomeMessage)
 
 
-def sign_session(account: ClientAccount, session: str, version: VersionId) -> str:
+def sign_session_token(account: ClientAccount, session: str, version: VersionId) -> str:
     """Return the token that names a session's version.
 
     It is signed with the hash of a key of the account, which every host has
@@ -57,7 +57,7 @@
     return base64.urlsafe_b64encode(_mac(account.key_hashes[0], body) + body).decode()
 
 
-def read_session(account: ClientAccount, token: str) -> tuple[str, VersionId] | None:
+def verify_session_token(account: ClientAccount, token: str) -> tuple[str, VersionId] | None:
     """Return a token's session and version; None when no key of the account signed it."""
     try:
         data = base64.urlsafe_b64decode(token)
@@ -74,7 +74,7 @@
     return hmac.digest(key_hash.encode(), body, hashlib.sha256)[:MAC_BYTES]
 
 
-def choose_homes(account: str, session: str, live: Iterable[Peer]) -> list[str]:
+def choose_session_replicas(account: str, session: str, live: Iterable[Peer]) -> list[str]:
     """Return the hosts that keep a session's version: in as many zones as there are.
 
     One zone's loss then leaves a copy in another.
@@ -109,7 +109,7 @@
         return held
 
 
-class SessionKeeper:
+class SessionRegistry:
     """Finds and fixes the versions of sessions whose ids callers choose.
 
     Parameters
@@ -130,7 +130,7 @@
         held = self._store.find(account, session)
         if held:
             return VersionId.parse(held)
-        homes = choose_homes(account, session, self._peers.live())
+        homes = choose_session_replicas(account, session, self._peers.live())
         message = _HomeMessage(account, session)
         answers = await self._ask_all(homes, message)
         known = next((answer for answer in answers if answer), "")
@@ -147,7 +147,7 @@
         home, which takes the first proposal and tells it to the other.
         """
         held = str(proposal)
-        homes = choose_homes(account, session, self._peers.live())
+        homes = choose_session_replicas(account, session, self._peers.live())
         for home in homes:
             answer = await self._ask(home, _HomeMessage(account, session, held))
             held = answer or held
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -19,7 +19,7 @@
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
 from poplarrun.server._host import EntryHost
 from poplarrun.settings import HostSettings, PlatformAddresses
-from poplarrun.versions import Choice, ChoiceRequest, Chosen, Escalation
+from poplarrun.versions import Choice, ChoiceRequest, ChosenVersion, Escalation
 from standins.histories._chat_config import CLASS
 from standins.histories._chat_engines import Engines, SimEngine
 from standins.histories._chat_events import (
@@ -183,13 +183,15 @@
         """Choose by the product's code, among some of the versions where it can."""
         document = self._host.router.context.configuration.document
         some = [v.id for v in document.versions.values() if self._source.random() < 0.5]
-        choice = self._choose(replace(request, without=request.without | frozenset(some)))
-        if not isinstance(choice, Chosen):
+        choice = self._choose(
+            replace(request, excluded_versions=request.excluded_versions | frozenset(some))
+        )
+        if not isinstance(choice, ChosenVersion):
             choice = self._choose(request)
         others = document.allowed_versions(request.account)
-        if isinstance(choice, Chosen):
+        if isinstance(choice, ChosenVersion):
             choice = replace(choice, escalation=None)
-            if not request.in_session and self._source.random() < CASCADES:
+            if not request.opens_session and self._source.random() < CASCADES:
                 second = self._source.choice(others)
                 choice = replace(choice, escalation=Escalation(second, ANY_SCORE))
         return choice
--- a/standins/histories/_chat_world.py
+++ b/standins/histories/_chat_world.py
@@ -16,7 +16,7 @@
     ReadFailed,
     ReadOutcome,
 )
-from poplarrun.versions import choose_homes
+from poplarrun.versions import choose_session_replicas
 from standins.histories._chat_engines import LISTED
 from standins.histories._chat_events import ChatHistory, Disturbed
 from standins.histories._loop import Process, spawn
@@ -111,12 +111,16 @@
     def note_homes(self, account: str, session: str) -> None:
         """Write down that this host doesn't hear all homes of a session."""
         place = f"{account}/{session}"
-        if choose_homes(account, session, self.live()) != self.list_homes(account, session):
+        if choose_session_replicas(account, session, self.live()) != self.list_homes(
+            account, session
+        ):
             self._history.disturbed.append(Disturbed(now(), place, "out of sight"))
 
     def list_homes(self, account: str, session: str) -> list[str]:
         """Return the homes that a session has while every host is heard."""
-        return choose_homes(account, session, [m.me for m in self._world.members.values()])
+        return choose_session_replicas(
+            account, session, [m.me for m in self._world.members.values()]
+        )
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
         """Tell every host at once; what is lost on the way the log tells later."""
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -23,7 +23,7 @@
     Router,
     SendOperation,
 )
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 from standins.histories._events import Answer, AnswerKind
 from standins.histories._loop import Process, spawn
 from standins.histories._world import Keep, SimCall, SimLog, SimPeers, SimService, World, now
@@ -81,7 +81,7 @@
         endpoints.apply_list(ENDPOINTS)
         # Without a source of its own the router's back-off would differ from run to run.
         source = random.Random(f"router {name}{incarnation}")
-        versions = Versions(me, random.Random(name))
+        versions = VersionManager(me, random.Random(name))
         self._router = Router(endpoints, Metrics(), versions, source=source)
         self._router.context.configuration = Configuration(offset=0, document=_document())
         self._operations = self._router.operations
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -14,7 +14,7 @@
     MemoryWeightStore,
 )
 from poplarrun.config import Configuration
-from poplarrun.contracts import Document, Price, Stage, Version, VersionId
+from poplarrun.contracts import Document, Price, Version, VersionId, VersionStage
 from poplarrun.endpoints import EndpointTable
 from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
 from poplarrun.leases import LeaseKeeper
@@ -23,7 +23,7 @@
 from poplarrun.orders import OpenWork
 from poplarrun.router import RouterContext
 from poplarrun.server._order_tasks import OrderTasks
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 LEASES_S = 0.5
 REPORTS_S = 0.5
@@ -74,7 +74,9 @@
         self.leases = LeaseKeeper(self.way, self.peers, self.metrics, source, clock)
         self.table = EndpointTable(self.zone, source)
         self.table.apply_list(world.listed)
-        self.context = RouterContext(self.table, self.metrics, Versions(self.peers.me, source))
+        self.context = RouterContext(
+            self.table, self.metrics, VersionManager(self.peers.me, source)
+        )
         self.tasks = OrderTasks(
             self.context, self, self.peers, self.leases, world.orders, world.store,
             self.metrics, self._in_thread, clock,
@@ -157,7 +159,7 @@
     def offer(self, versions: list[str]) -> None:
         """Put a configuration in force everywhere that offers just these versions."""
         ids = [VersionId.parse(version) for version in versions]
-        offered = {v: Version(v, Stage.OFFERED, Price(1.0, 1.0)) for v in ids}
+        offered = {v: Version(v, VersionStage.OFFERED, Price(1.0, 1.0)) for v in ids}
         for host in self.hosts.values():
             host.context.configuration = Configuration(
                 offset=1, document=Document(versions=offered)
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -25,15 +25,15 @@
 from poplarrun.rollouts import Rollouts
 from poplarrun.routing import (
     Catalogue,
-    Pace,
-    Repeat,
+    InFlightRequest,
+    LatencyTargets,
+    ModelSize,
+    RepeatPolicy,
     Request,
     RolloutOrder,
     Route,
     Service,
-    Share,
-    Size,
-    Work,
+    ServiceWeight,
 )
 from poplarrun.sizes import SizePolicy
 from standins.virtual_time import run_virtual
@@ -50,21 +50,21 @@
 FIRST_S = 0.15
 # Pause between two looks of a host at a roll-out, in seconds.
 JUDGE_PERIOD_S = 0.25
-PACE = Pace(timeout_s=12.0, target_s=2.0, gap_s=1.2)
+PACE = LatencyTargets(timeout_s=12.0, target_s=2.0, event_gap_s=1.2)
 ROUTE = Route(
     "draft",
     "shop",
     "/",
-    Repeat.STREAM,
+    RepeatPolicy.STREAM,
     PACE,
     1,
-    (Share(SERVICE, 1.0),),
+    (ServiceWeight(SERVICE, 1.0),),
     3,
     is_public=True,
     is_resumable=True,
     sizes=("small",),
 )
-ENGINES = Service(SERVICE, PLACES, PLACES, 600_000, (Size("small", 1.0),))
+ENGINES = Service(SERVICE, PLACES, PLACES, 600_000, (ModelSize("small", 1.0),))
 CATALOGUE = Catalogue(1, {"shop": (ROUTE,)}, {SERVICE: ENGINES}, None)
 
 
@@ -129,14 +129,14 @@
         await asyncio.sleep(begin_after_s)
         while True:
             for rollout in self.rollouts.active():
-                self.rollouts.judge(rollout, clock())
+                self.rollouts.compute_verdict(rollout, clock())
             await asyncio.sleep(JUDGE_PERIOD_S)
 
     async def serve(self, session: str, number: int, took_s: float) -> Run:
         """Answer one request; return what ran."""
         clock = asyncio.get_running_loop().time
         work = self.dispatch.admit(_make_request(session, number), clock())
-        assert isinstance(work, Work), work
+        assert isinstance(work, InFlightRequest), work
         await self.peering.sessions.learn(work)
         step = self.dispatch.choose(work, clock())
         assert isinstance(step, Send), step
@@ -188,14 +188,14 @@
         now = asyncio.get_running_loop().time()
         order = RolloutOrder(SERVICE, NEW, duration_s, 7)
         for host in self.hosts[:3]:
-            host.rollouts.take_order(order, now)
+            host.rollouts.apply_order(order, now)
         return order
 
     async def start_anew(self, order: RolloutOrder) -> RolloutHost:
         """Start a host that reads an order from the store; return it once callers may come."""
         clock = asyncio.get_running_loop().time
         host = RolloutHost(self._network, "a99", "a", self.random.getrandbits(32))
-        host.rollouts.take_order(order, clock())
+        host.rollouts.apply_order(order, clock())
         self._start(host.peering.run(self._seeds))
         await asyncio.sleep(0)
         while not host.peering.is_informed(clock()):
@@ -288,7 +288,7 @@
         b"",
         12.0,
         prompt_tokens=10,
-        most_tokens=100,
+        max_tokens=100,
         model="*",
-        session=session,
+        session_id=session,
     )
--- a/standins/version_world.py
+++ b/standins/version_world.py
@@ -22,11 +22,11 @@
 from poplarrun.log import MemoryLog
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
-    AnswerSeen,
+    AnswerObservation,
     CellKey,
     ChoiceRequest,
-    Chosen,
-    Versions,
+    ChosenVersion,
+    VersionManager,
     encode_rollout,
 )
 
@@ -205,7 +205,7 @@
     """One host of the world."""
 
     peers: WorldPeers
-    versions: Versions
+    versions: VersionManager
     configuration: Configuration = field(default_factory=Configuration)
 
     @property
@@ -268,7 +268,7 @@
         """Start a host, or start one anew."""
         peers = WorldPeers(self.network, Peer(name, zone, "r", incarnation))
         source = random.Random(self.random.random())
-        versions = Versions(peers.me, source, self.ratings.told_bias)
+        versions = VersionManager(peers.me, source, self.ratings.told_bias)
         self.hosts[name] = WorldHost(peers, versions)
         return self.hosts[name]
 
@@ -302,7 +302,7 @@
         """Run each host's periodic tasks once."""
         self._deliver_ratings()
         for host in self.hosts.values():
-            host.versions.exchange(host.peers, self.now)
+            host.versions.exchange_evidence(host.peers, self.now)
         for host in self.hosts.values():
             if not self.is_cut(host):
                 self._follow_log(host)
@@ -344,9 +344,9 @@
         request = ChoiceRequest(account, work_class, prompt_tokens, 1000)
         hardness = self.random.uniform(-HARDNESS, HARDNESS)
         match host.versions.choose(request):
-            case Chosen(version=version, why=why, escalation=escalation):
+            case ChosenVersion(version=version, reason=why, escalation=escalation):
                 served = self.answer(host, class_name, version, why, prompt_tokens, hardness)
-                if escalation is not None and served.score < escalation.least_score:
+                if escalation is not None and served.score < escalation.min_score:
                     second = self.answer(
                         host, class_name, escalation.version, why, prompt_tokens, hardness, True
                     )
@@ -374,14 +374,14 @@
         late = self.random.random() < traits.late
         told = quality if traits.blind_score is None else traits.blind_score
         score = min(1.0, max(0.0, told + self.random.gauss(0.0, JUDGE_NOISE)))
-        seen = AnswerSeen(
+        seen = AnswerObservation(
             failed, late, 0 if failed else tokens, traits.whole_s, score if self.judged else None
         )
         key = CellKey(class_name, version.id)
-        key = key.as_second if is_second else key
-        if host.versions.wants_rating(key, why, self.now):
-            self._rate(host, key, quality, seen.score)
-        host.versions.note_answer(key, seen)
+        key = key.as_second_step if is_second else key
+        if host.versions.should_rate(key, why, self.now):
+            self._rate(host, key, quality, seen.judge_score)
+        host.versions.record_answer(key, seen)
         cost = version.price.cost(prompt_tokens, tokens)
         served = self._serve(host, class_name, version.id, why, quality, cost, failed)
         return replace(served, score=score)
@@ -420,17 +420,17 @@
     def _deliver_ratings(self) -> None:
         while self._pending and self._pending[0][0] <= self.now:
             _, _, host, key, rating, score = heapq.heappop(self._pending)
-            host.versions.note_rating(key, rating, score)
+            host.versions.record_rating(key, rating, score)
 
     def _follow_log(self, host: WorldHost) -> None:
         for entry in self._read(CONFIG_STREAM, host.configuration.read_to + 1):
             host.configuration, _ = fold_entry(host.configuration, entry)
         host.versions.apply_configuration(host.configuration)
         for entry in self._read(ROLLOUTS_STREAM, host.versions.rollouts.read_to + 1):
-            host.versions.fold(entry)
+            host.versions.fold_entry(entry)
 
     def _run_steward(self, host: WorldHost) -> None:
-        for record in host.versions.decide(host.peers, self.now):
+        for record in host.versions.decide_rollouts(host.peers, self.now):
             if isinstance(record, Withdrawal):
                 self.log.append(CONFIG_STREAM, encode_record(record))
             else:
