--- a/poplarrun/limits/_account.py
+++ b/poplarrun/limits/_account.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from poplarrun.contracts import Limits
+from poplarrun.contracts import AccountLimitSettings
 from poplarrun.limits._buckets import Spend, Streams, TokenBucket
 from poplarrun.limits._loans import LOW_LEVEL_FRACTION, MAX_LENT_FRACTION, Loan
 from poplarrun.limits._reports import LimitKind
@@ -21,7 +21,7 @@
 class AccountState:
     """One account's limits at this host."""
 
-    limits: Limits
+    limits: AccountLimitSettings
     shares: dict[LimitKind, Share] = field(default_factory=dict)
     requests: TokenBucket = field(default_factory=TokenBucket)
     tokens: TokenBucket = field(default_factory=lambda: TokenBucket(burst_s=TOKENS_BURST_WINDOW_S))
@@ -144,7 +144,7 @@
         return share.usable if share else 0.0
 
 
-def list_limit_kinds(limits: Limits) -> list[LimitKind]:
+def list_limit_kinds(limits: AccountLimitSettings) -> list[LimitKind]:
     """Return the kinds of limits that an account has."""
     values = (
         limits.requests_per_second,
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.errors import ErrorKind
 from poplarrun.hosts import CollectedSummaries, Peers
 from poplarrun.limits._account import AccountState, list_limit_kinds
@@ -116,7 +116,7 @@
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
     ) -> LimitExceeded | None:
         """Let a request through, and count it, or say when to come back."""
-        if account.limits == Limits():
+        if account.limits == AccountLimitSettings():
             return None
         state = self._get_state(account)
         state.requests.requested += 1
@@ -225,7 +225,11 @@
             return
         silent, is_current = self._classify_zones(gathered)
         summary: Summary = {}
-        limited = {account.name: account for account in accounts if account.limits != Limits()}
+        limited = {
+            account.name: account
+            for account in accounts
+            if account.limits != AccountLimitSettings()
+        }
         for name in self._accounts.keys() - limited.keys():
             del self._accounts[name]
         for name, account in limited.items():
@@ -272,7 +276,7 @@
     def _get_state(self, account: ClientAccount) -> AccountState:
         state = self._accounts.get(account.name)
         if state is None:
-            state = self._accounts[account.name] = AccountState(Limits())
+            state = self._accounts[account.name] = AccountState(AccountLimitSettings())
         if state.limits is not account.limits:
             state.limits = account.limits
             new = [kind for kind in list_limit_kinds(account.limits) if kind not in state.shares]
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -11,22 +11,8 @@
 from poplarrun.admission import Held
 from poplarrun.billing import Bill, BillReplicator, BillSnapshots
 from poplarrun.claims import ClaimManager
-from poplarrun.clients import (
-    Engine,
-    HostList,
-    HttpOrders,
-    Orders,
-    Ratings,
-    WeightStore,
-)
-from poplarrun.config import (
-    Accepted,
-    ConfigFollower,
-    Configuration,
-    Ignored,
-    Refused,
-    Verdict,
-)
+from poplarrun.clients import Engine, HostList, HttpOrders, Orders, Ratings, WeightStore
+from poplarrun.config import Accepted, ConfigFollower, Configuration, Ignored, Refused, Verdict
 from poplarrun.endpoints import EndpointTable
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.hosts import Peers
@@ -66,7 +52,7 @@
 from poplarrun.server._tasks import Tasks
 from poplarrun.server._version_tasks import VersionTasks
 from poplarrun.settings import HostSettings
-from poplarrun.versions import SessionKeeper, Versions
+from poplarrun.versions import SessionRegistry, VersionManager
 
 HOST_LIST_POLL_S = 0.5
 LOAD_POLL_S = 0.25
@@ -143,7 +129,7 @@
         self.billing = BillReplicator(self.peers, awaited_log, clock, time.time, count)
         self._bill_snapshots = BillSnapshots(self.peers, awaited_log, clock, time.time, count)
         bias = settings.platform.ratings_bias
-        versions = Versions(self.peers.me, random.Random(settings.name), bias)
+        versions = VersionManager(self.peers.me, random.Random(settings.name), bias)
         self.leases = LeaseManager(
             awaited_log,
             self.peers,
@@ -156,7 +142,7 @@
         self.router.context.limits = self._limits
         self.router.operations.keeper = self.claims
         self.router.operations.peers = self.peers
-        self.router.sessions.keeper = SessionKeeper(self.peers)
+        self.router.sessions.keeper = SessionRegistry(self.peers)
         self._version_tasks = VersionTasks(
             versions,
             self.peers,
@@ -396,7 +382,7 @@
             region=self.settings.region,
             ready=self.readiness.is_ready,
             offset=configuration.offset,
-            log_age_s=round(now - self.config.log_answered_at, 3),
+            log_age_s=round(now - self.config.log_read_at, 3),
             open_requests=self.router.open_requests,
             endpoints=tuple(read_endpoint(e, now) for e in self._endpoints.list_endpoints()),
             withdrawn=tuple(sorted(configuration.withdrawn)),
