--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._event_stream import EventParser
 from poplarrun.gateway._followers import DocumentFollower
@@ -118,7 +118,7 @@
     context.store = SilentOnce(silent=2)
     reading = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
-        context.store, Knowledge(), Rollouts(), lambda: None, reading
+        context.store, ConfigView(), Rollouts(), lambda: None, reading
     )
 
 
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -6,7 +6,7 @@
 from poplarrun.gateway._followers import ListingFollower
 from poplarrun.gateway._reading import SharedReader
 from poplarrun.peers import ENDPOINTS, Digest, PeerTable, ReadSchedule
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import Entry, LatestRecords, Records
 from poplarrun.transport import seconds_since_boot
 
@@ -113,7 +113,7 @@
         for peer_table in (make_book(number, 20, seconds_since_boot()) for number in numbers)
         if peer_table.reader_rank(ENDPOINTS, seconds_since_boot()) > 0
     )
-    context.store, context.directory = OneList(), Directory()
+    context.store, context.directory = OneList(), EndpointDirectory()
     context.follower = ListingFollower(
         context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
@@ -139,7 +139,7 @@
 
 @then("it knows the endpoints of the records {first:d} to {last:d}, each once")
 def step_knows(context, first, last):
-    known = [listing.lifetime for listing in context.directory.listings()]
+    known = [listing.instance_id for listing in context.directory.records()]
     assert sorted(known) == [f"engine-{n}" for n in range(first, last + 1)], known
 
 
--- a/poplarrun/endpoints/_choice.py
+++ b/poplarrun/endpoints/_choice.py
@@ -131,7 +131,7 @@
         # another host's endpoint must be clearly emptier to be worth the guess.
         # Where hardly anybody else sends, there is nothing to guess.
         places = sum(endpoint.capacity for endpoint in pool.owned)
-        is_soon = places > 0 and pool.speed.whole_s / places < SLOT_FREE_TIME_S
+        is_soon = places > 0 and pool.speed.mean_request_s / places < SLOT_FREE_TIME_S
         guesses = pool.own_load_fraction() < EXCLUSIVE_LOAD_FRACTION
         most_load = MAX_SPILL_LOAD if may_wait and is_soon and guesses else math.inf
         if best is None or best.load_after > 1.0:
@@ -206,11 +206,15 @@
         capacity = endpoint.capacity * self._warmth(endpoint, now)
         requests = endpoint.estimate_requests(now, pool.background_load)
         pool.observe_own_load(endpoint.in_flight / endpoint.capacity)
-        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.whole_s
-        batch_s = requests / capacity * BATCH_COST_FRACTION * speed.whole_s
+        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.mean_request_s
+        batch_s = requests / capacity * BATCH_COST_FRACTION * speed.mean_request_s
         prefill_s = uncached * speed.prefill_s_per_token
         # A doubted endpoint counts as one with a full batch: better than a queue.
-        doubt_s = BATCH_COST_FRACTION * speed.whole_s if now < endpoint.deprioritized_until else 0.0
+        doubt_s = (
+            BATCH_COST_FRACTION * speed.mean_request_s
+            if now < endpoint.deprioritized_until
+            else 0.0
+        )
         first_token_s = wait_s + batch_s + doubt_s + prefill_s + self._link(endpoint.zone)
         load = requests / capacity
         return Choice(endpoint, wait_s, first_token_s, prefill_s, int(uncached), load)
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from poplarrun.dispatch import Dispatch, Knowledge
+from poplarrun.dispatch import ConfigView, Dispatcher
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
@@ -21,7 +21,7 @@
 from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable, ReadTimeouts
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import (
     BadRequest,
     InvalidSettings,
@@ -79,11 +79,11 @@
         self.metrics = Metrics()
         self.metrics.attach_line_counts(handler.line_counts)
         self._store = StoreClient(settings.store, self._record_call)
-        self._knowledge = Knowledge(settings.key_bound_s)
-        self._directory = Directory()
+        self._knowledge = ConfigView(settings.key_bound_s)
+        self._directory = EndpointDirectory()
         self._placement = Placement(settings.zone, random.Random())
         self._rollouts = Rollouts(settings.session_s, settings.exposure)
-        self._dispatch = Dispatch(
+        self._dispatch = Dispatcher(
             self._knowledge,
             self._placement,
             self._rollouts,
@@ -128,7 +128,7 @@
             self._store,
             self._rollouts,
             self._peering.job_rank,
-            self._dispatch.judge_open,
+            self._dispatch.record_open_evidence,
         )
         self._open = 0
         self._is_closed = False
@@ -253,7 +253,7 @@
             self._pool.close_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
-            self._dispatch.divide_allowance(
+            self._dispatch.set_retry_allowance(
                 host_retry_allowance(self.settings.retry_allowance, peers)
             )
             left_out = self._handler.collect_dropped_counts()
@@ -293,7 +293,7 @@
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.key_bound_s = loaded.key_bound_s
+        self._knowledge.revocation_limit_s = loaded.key_bound_s
         self._rollouts.session_timeout_s = loaded.session_s
         self._rollouts.exposure_limit = loaded.exposure
         self._capacity = compute_capacity(loaded.memory_mb, loaded.most_sockets)
