--- a/bench/gateway_load.py
+++ b/bench/gateway_load.py
@@ -5,7 +5,7 @@
 from bench.figures import Figure, report
 from bench.gateway_world import Load, Policy, Tally, World
 from poplarrun.placement import EndpointEstimate, Placement
-from poplarrun.routing import Work
+from poplarrun.routing import InFlightRequest
 from poplarrun.sizes import SizePolicy
 
 LOADS = (
@@ -19,21 +19,21 @@
 class RandomPlacement(Placement):
     """A baseline: any engine."""
 
-    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         return self._random.choice(seats)
 
 
 class LeastLoadedPlacement(Placement):
     """A baseline: the engine that runs the fewest requests, by its last word."""
 
-    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         return min(seats, key=lambda seat: seat.endpoint.load)
 
 
 class OwnZonePlacement(Placement):
     """A baseline: engines of the own zone only."""
 
-    def _select(self, seats: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         near = [seat for seat in seats if seat.endpoint.record.zone == self._zone]
         return super()._select(near or seats, work)
 
@@ -45,11 +45,11 @@
         super().__init__()
         self._place = place
 
-    def first_size(self, work: Work) -> str | None:
+    def first_size(self, work: InFlightRequest) -> str | None:
         """Return the one model."""
         return work.route.sizes[self._place]
 
-    def escalation_size(self, work: Work) -> str | None:
+    def escalation_size(self, work: InFlightRequest) -> str | None:
         """Ask no other one."""
         return None
 
--- a/examples/library/keepers.py
+++ b/examples/library/keepers.py
@@ -3,9 +3,9 @@
 import asyncio
 import random
 
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.leases import LeaseKeeper
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
+from poplarrun.leases import LeaseManager
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from poplarrun.metrics import Metrics
 
 JOB = "nightly-report"
@@ -25,10 +25,10 @@
         return self.now
 
 
-async def wait_for_fence(keeper: LeaseKeeper, clock: Clock) -> int:
+async def wait_for_fence(keeper: LeaseManager, clock: Clock) -> int:
     """Do rounds until a keeper holds the job; return its fencing number."""
     while clock.now < BOUND_S:
-        await keeper.tend()
+        await keeper.run_round()
         lease = keeper.find(JOB)
         if lease is not None:
             return lease.fence
@@ -38,13 +38,13 @@
 
 async def run() -> None:
     """Let a1 take the job and die, and b1 take it over."""
-    clock, log, network = Clock(), MemoryLog(), MemoryNetwork()
+    clock, log, network = Clock(), MemoryLog(), MemoryPeerNetwork()
     keepers = {}
     for name in ("a1", "b1"):
         peers = MemoryPeers(network, Peer(name, name[0], "local", 1))
-        threaded = ThreadedLog(log, call_here)
-        keepers[name] = LeaseKeeper(threaded, peers, Metrics(), random.Random(name), clock)
-        keepers[name].want(JOB, DURATION_S)
+        threaded = ThreadedLog(log, call_inline)
+        keepers[name] = LeaseManager(threaded, peers, Metrics(), random.Random(name), clock)
+        keepers[name].campaign_for(JOB, DURATION_S)
     fence = await wait_for_fence(keepers["a1"], clock)
     print(f"a1 holds the job with fencing number {fence}")
     network.down.add("a1")
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -5,14 +5,8 @@
 
 from features.steps.endpoints import VERSION, engine, names_of, report
 from poplarrun.admission import AimdLimit, FairQueue, Queued, Refused, ServiceLimit, Ticket
-from poplarrun.endpoints import Demand, EndpointTable
-from poplarrun.retries import (
-    FailedAttempt,
-    GiveUp,
-    RetryAfter,
-    RetryBudget,
-    decide_retry,
-)
+from poplarrun.endpoints import EndpointTable, PromptProfile
+from poplarrun.retries import FailedAttempt, GiveUp, RetryAfter, RetryBudget, decide_retry
 from poplarrun.router import Dispatched, EngineDispatcher, EngineRequest
 
 MAX_QUEUED = 4
@@ -21,7 +15,7 @@
 @given('a dispatch over engines "{names}" of {capacity:d} places')
 def step_engine_dispatcher(context, names, capacity):
     context.endpoint_table = EndpointTable("a", random.Random(1))
-    context.endpoint_table.apply_list(tuple(engine(name, "a") for name in names_of(names)))
+    context.endpoint_table.apply_host_list(tuple(engine(name, "a") for name in names_of(names)))
     for name in names_of(names):
         report(context.endpoint_table, name, 0, -1.0, capacity)
     context.dispatch = EngineDispatcher(context.endpoint_table, MAX_QUEUED, random.Random(1))
@@ -32,7 +26,7 @@
 
 @given('engine "{name}" belongs to this host and finishes a request in {mean_request_s:f} s')
 def step_own_engine(context, name, mean_request_s):
-    context.endpoint_table.take_assigned(frozenset({name}))
+    context.endpoint_table.set_owned_endpoints(frozenset({name}))
     context.endpoint_table.pool(VERSION).speed.mean_request_s = mean_request_s
 
 
@@ -50,7 +44,7 @@
         "work",
         importance,
         VERSION,
-        Demand(16),
+        PromptProfile(16),
         start_by=at + start_within_s,
         deadline=at + 60,
     )
@@ -133,7 +127,7 @@
 
 @then("the engines run {count:d} requests")
 def step_engines_run(context, count):
-    assert sum(endpoint.in_flight for endpoint in context.endpoint_table.all()) == count
+    assert sum(endpoint.in_flight for endpoint in context.endpoint_table.list_endpoints()) == count
 
 
 @then("{count:d} chats are queued at {at:f}")
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -17,10 +17,10 @@
     event_gap_timeout_s,
     first_event_timeout_s,
 )
-from poplarrun.errors import NotRun, Refusal, answer_for
-from poplarrun.gateway._host import RETRY_PART, part_of_allowance
+from poplarrun.errors import NotRun, Refusal, response_for
+from poplarrun.gateway._host import RETRY_FRACTION, host_retry_allowance
 from poplarrun.placement import EndpointEstimate
-from poplarrun.routing import Account, Repeat, Work
+from poplarrun.routing import Account, InFlightRequest, RepeatPolicy
 
 
 def send_until_refused(dispatch, number):
@@ -50,14 +50,14 @@
 @then("a request with a key is admitted at {at:f}")
 def step_admitted(context, at):
     context.work = context.dispatch.admit(make_request(), at)
-    assert isinstance(context.work, Work), context.work
+    assert isinstance(context.work, InFlightRequest), context.work
 
 
 @then('a request with a key is refused with "{kind}" at {at:f}')
 def step_refused(context, kind, at):
     refusal = context.dispatch.admit(make_request(), at)
     assert isinstance(refusal, Refusal) and refusal.kind.value == kind, refusal
-    assert answer_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
+    assert response_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
 
 
 @then("after a new confirmation at {confirmed:f} a request with a key is admitted at {at:f}")
@@ -101,7 +101,7 @@
 @then('it may not be sent, and the refusal says "not run"')
 def step_refused_not_run(context):
     assert isinstance(context.refusal, Refusal), context.refusal
-    assert answer_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
+    assert response_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
 
 
 @when("the versions {first:d}, {second:d} and {third:d} arrive in this order")
@@ -132,7 +132,7 @@
 @then('the refusal doesn\'t say "not run"')
 def step_not_claimed(context):
     assert isinstance(context.refusal, Refusal)
-    answer = answer_for(context.refusal.kind)
+    answer = response_for(context.refusal.kind)
     assert answer.not_run is not NotRun.YES and answer.status not in (408, 421, 429, 503)
 
 
@@ -147,8 +147,8 @@
         config_view = ConfigView(None)
         config_view.apply_catalogue(make_catalogue())
         config_view.confirm(100.0)
-        share = part_of_allowance(allowance, count - 1)
-        context.dispatches.append(make_dispatch(config_view, 4, RETRY_PART * ratio, share))
+        share = host_retry_allowance(allowance, count - 1)
+        context.dispatches.append(make_dispatch(config_view, 4, RETRY_FRACTION * ratio, share))
 
 
 @when("each of them gets {count:d} requests that fail at each endpoint")
@@ -162,7 +162,7 @@
 
 @then("{hosts:d} hosts together have an allowance of at most {allowance:d}")
 def step_allowance_of_hosts(context, hosts, allowance):
-    assert hosts * part_of_allowance(allowance, hosts - 1) <= allowance
+    assert hosts * host_retry_allowance(allowance, hosts - 1) <= allowance
 
 
 @then("all retries together are at most {ratio:f} times {count:d} and {allowance:d}")
@@ -187,8 +187,10 @@
 
 @then("a request of an account of rank {rank:d} on a route of rank {route:d} has rank {whole:d}")
 def step_rank(context, rank, route, whole):
-    work = Work(make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0)
-    assert work.rank == whole
+    work = InFlightRequest(
+        make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0
+    )
+    assert work.priority == whole
 
 
 @then("a stream expected after {one:f} s times out after {first:f} s, {rest}")
@@ -204,9 +206,9 @@
 def step_no_timeout(context):
     estimate = EndpointEstimate(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
     last = make_work()
-    last.runs = 2
+    last.possible_runs = 2
     order = make_work()
-    order.route = make_route(repeat=Repeat.ONCE, attempts=1)
+    order.route = make_route(repeat=RepeatPolicy.ONCE, attempts=1)
     assert (
         first_event_timeout_s(last, estimate) is None
         and first_event_timeout_s(order, estimate) is None
--- a/features/steps/leases.py
+++ b/features/steps/leases.py
@@ -7,7 +7,7 @@
 from features.steps.hosts import run, start_fleet, wait
 from poplarrun.leases import (
     LEASE_STREAM,
-    LeaseKeeper,
+    LeaseManager,
     Renew,
     decode_lease_record,
 )
@@ -48,14 +48,14 @@
         peers = context.virtual.peers[name]
         metrics = context.virtual.metrics[name]
         source = random.Random(name)
-        self.keeper = LeaseKeeper(self.log, peers, metrics, source, clock=context.loop.time)
-        self.keeper.want(JOB)
+        self.keeper = LeaseManager(self.log, peers, metrics, source, clock=context.loop.time)
+        self.keeper.campaign_for(JOB)
         context.loop.create_task(self.tend())
 
     async def tend(self):
         while not self.stopped:
             if not self.paused:
-                await self.keeper.tend()
+                await self.keeper.run_round()
             await asyncio.sleep(TEND_S)
 
     def find(self):
@@ -112,10 +112,10 @@
 
 @when("the lease log is down for {seconds:d} s")
 def step_log_down(context, seconds):
-    context.log.down = True
+    context.log.is_down = True
     passing(context, seconds)
     context.during = len(holders(context))
-    context.log.down = False
+    context.log.is_down = False
 
 
 @when("the holder's renewal is held back while another host takes over")
@@ -133,7 +133,7 @@
 
 @when("the answers to the next {count:d} lease appends are lost")
 def step_lost(context, count):
-    context.log.lost_answers = count
+    context.log.responses_to_lose = count
 
 
 @when("{seconds:d} s pass for the leases")
@@ -155,7 +155,7 @@
 
     run(context, join())
     # It reads the stream whether or not its rank makes it a candidate.
-    run(context, context.fresh.keeper._read())
+    run(context, context.fresh.keeper._read_to_end())
 
 
 def strike(context, source):
@@ -166,9 +166,9 @@
         case 1:
             host.way.cut = not host.way.cut
         case 2:
-            context.log.lost_answers = 2
+            context.log.responses_to_lose = 2
         case 3:
-            context.log.down = not context.log.down
+            context.log.is_down = not context.log.is_down
 
 
 @when("{count:d} random faults strike with seed {seed:d}")
--- a/features/steps/refusing_engines.py
+++ b/features/steps/refusing_engines.py
@@ -11,7 +11,7 @@
 
 @given("all but {accepting_count:d} of them refuse")
 def step_engines_refuse(context, accepting_count):
-    names = sorted(endpoint.name for endpoint in context.endpoint_table.all())
+    names = sorted(endpoint.name for endpoint in context.endpoint_table.list_endpoints())
     context.refusing = set(names[accepting_count:])
     context.at = 0.0
     context.outcomes = []
--- a/features/steps/sizes.py
+++ b/features/steps/sizes.py
@@ -24,14 +24,14 @@
 
 def is_escalated(confidence, estimate, request=None, policy=None, engines=ENGINES):
     work = make_work()
-    work.size = "small"
+    work.model_size = "small"
     work.request = request or work.request
     return (policy or SizePolicy()).should_escalate(work, confidence, estimate, engines, 100.1)
 
 
 def make_request_of_length(prompt_tokens, max_tokens):
     return dataclasses.replace(
-        make_work().request, prompt_tokens=prompt_tokens, most_tokens=max_tokens
+        make_work().request, prompt_tokens=prompt_tokens, max_tokens=max_tokens
     )
 
 
--- a/poplarrun/dispatch/__init__.py
+++ b/poplarrun/dispatch/__init__.py
@@ -5,7 +5,7 @@
 from poplarrun.dispatch._failures import (
     Attempt,
     ConnectionLost,
-    ErrorResponse,
+    EndpointErrorResponse,
     Failure,
     Garbled,
     NoConnection,
@@ -21,7 +21,7 @@
     "ConfigView",
     "ConnectionLost",
     "Dispatcher",
-    "ErrorResponse",
+    "EndpointErrorResponse",
     "Failure",
     "Garbled",
     "NoConnection",
--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -9,7 +9,7 @@
 from poplarrun.dispatch._config_view import ConfigView
 from poplarrun.dispatch._failures import (
     Attempt,
-    ErrorResponse,
+    EndpointErrorResponse,
     Failure,
     NoConnection,
     NotExecuted,
@@ -19,8 +19,8 @@
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.placement import EndpointEstimate, EndpointState, Placement
 from poplarrun.retries import WindowedRetryBudget
-from poplarrun.rollouts import LOADED, Rollouts, Times, VersionChoice, VersionReason
-from poplarrun.routing import Repeat, Request, Service, Work
+from poplarrun.rollouts import UNDER_LOAD, AnswerTimes, Rollouts, VersionChoice, VersionReason
+from poplarrun.routing import InFlightRequest, RepeatPolicy, Request, Service
 from poplarrun.sizes import SizePolicy
 
 # Sends that endpoints rejected without executing don't count as attempts, but each costs
@@ -99,7 +99,7 @@
         self.retry_allowance = retry_allowance
         self.retry_window_s = retry_window_s
         self._budgets: dict[str, WindowedRetryBudget] = {}
-        self._open_attempts: dict[Attempt, Work] = {}
+        self._open_attempts: dict[Attempt, InFlightRequest] = {}
 
     def set_retry_allowance(self, allowance: float) -> None:
         """Set this host's share of the retry allowance, which depends on the number of hosts."""
@@ -107,7 +107,7 @@
         for budget in self._budgets.values():
             budget.allowance = allowance
 
-    def admit(self, request: Request, now: float) -> Work | Refusal:
+    def admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
         """Look up a new request's route, account and service, or refuse it."""
         catalogue = self.config_view.catalogue
         if catalogue is None:
@@ -134,19 +134,19 @@
                 return Refusal(ErrorKind.UNAUTHENTICATED, "the key is not known")
             if not self.config_view.can_trust_keys(now):
                 return self._refuse(ErrorKind.NOT_READY, "keys are old", STALE_CONFIG_RETRY_DELAY_S)
-        service = route.pick_service(_hash_to_unit_interval(request.session or request.id))
-        timeout_s = min(request.time_left_s, route.pace.timeout_s)
-        work = Work(request, route, account, service, now, now + timeout_s)
+        service = route.choose_service(_hash_to_unit_interval(request.session_id or request.id))
+        timeout_s = min(request.time_left_s, route.latency.timeout_s)
+        work = InFlightRequest(request, route, account, service, now, now + timeout_s)
         self.sizes.record_request(work)
         return work
 
-    def recheck(self, work: Work, now: float) -> Refusal | None:
+    def recheck(self, work: InFlightRequest, now: float) -> Refusal | None:
         """Return why a request may no longer be sent; called immediately before the send.
 
         While a request waits for a connection, its key may be revoked or the host be
         suspended. Sent without this check, it would run seconds after it had to be refused.
         """
-        if work.left_s(now) < MIN_TIME_LEFT_S:
+        if work.remaining_s(now) < MIN_TIME_LEFT_S:
             return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
         if work.account is None:
             return None
@@ -160,7 +160,7 @@
             return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
         return None
 
-    def choose_endpoint(self, work: Work, now: float) -> SendDecision | Refusal:
+    def choose_endpoint(self, work: InFlightRequest, now: float) -> SendDecision | Refusal:
         """Choose the endpoint of the next attempt, or refuse the request."""
         refusal = self.recheck(work, now)
         if refusal is not None:
@@ -168,50 +168,54 @@
         service = self._find_service(work)
         if service is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
-        size = work.size or self.sizes.first_size(work)
+        size = work.model_size or self.sizes.first_size(work)
         versions = self._choose_versions(work, now)
-        is_proving = versions.only is not None and any(
-            self.rollouts.is_proving(work.service, version, now) for version in versions.only
+        is_proving = versions.allowed is not None and any(
+            self.rollouts.is_in_shift(work.service, version, now) for version in versions.allowed
         )
         estimate = self.placement.choose(
             work,
             service,
             now,
             size or "",
-            versions.only,
-            versions.avoided,
+            versions.allowed,
+            versions.excluded,
             concentrate_load=is_proving,
         )
         reason = versions.reason
-        if estimate is None and versions.only is not None:
+        if estimate is None and versions.allowed is not None:
             # Running on another version is better than refusing the request.
-            estimate = self.placement.choose(work, service, now, size or "", None, versions.avoided)
+            estimate = self.placement.choose(
+                work, service, now, size or "", None, versions.excluded
+            )
             reason = VersionReason.NONE_LEFT
         if estimate is None:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
         return SendDecision(estimate, size, self._compute_urgency(work), reason)
 
-    def record_sent(self, work: Work, send: SendDecision, now: float) -> Attempt:
+    def record_sent(self, work: InFlightRequest, send: SendDecision, now: float) -> Attempt:
         """Record that the request's bytes were handed to the socket."""
         endpoint = send.estimate.endpoint
         if work.sends == 0:
             self._retry_budget(work.service).record_attempt(now)
         work.sends += 1
-        work.size = send.size
-        work.tried.add(endpoint.record.instance_id)
-        work.version = endpoint.record.version
+        work.model_size = send.size
+        work.tried_endpoints.add(endpoint.record.instance_id)
+        work.session_version = endpoint.record.version
         endpoint.in_flight += 1
         endpoint.pending_prefill_s += send.estimate.prefill_s
         if send.size is not None:
-            endpoint.record_prompt(send.size, work.request.parts, now)
+            endpoint.record_prompt(send.size, work.request.prompt_parts, now)
         attempt = Attempt(send.estimate, send.size, now)
         is_past = self.rollouts.is_past_trial(work.service, endpoint.record.version, now)
         attempt.is_under_load = is_past and send.estimate.load >= MIN_EVIDENCE_LOAD
         self._open_attempts[attempt] = work
-        self.rollouts.note_sent(work, endpoint.record.version, now)
+        self.rollouts.record_send(work, endpoint.record.version, now)
         return attempt
 
-    def try_escalate(self, work: Work, attempt: Attempt, confidence: float, now: float) -> bool:
+    def try_escalate(
+        self, work: InFlightRequest, attempt: Attempt, confidence: float, now: float
+    ) -> bool:
         """Try to replace an answer by a larger model's; return whether that is done.
 
         Called before the caller has received anything. The discarded answer counts as a
@@ -221,7 +225,7 @@
         service = self._find_service(work)
         if largest is None or service is None:
             return False
-        if work.runs + 1 >= work.route.most_attempts or work.last_event is not None:
+        if work.possible_runs + 1 >= work.route.max_attempts or work.last_event_id is not None:
             return False
         budget = self._retry_budget(work.service)
         if budget.remaining(now) < 1.0 + FAILURE_RESERVE_FRACTION * budget.allowance:
@@ -236,13 +240,13 @@
         self._close_attempt(attempt)
         attempt.first_event_at = now
         self._record_evidence(work, attempt, False, attempt.compute_times(now))
-        work.runs += 1
+        work.possible_runs += 1
         work.may_have_run = True
-        work.size = largest
-        work.tried.clear()
+        work.model_size = largest
+        work.tried_endpoints.clear()
         return True
 
-    def record_first_event(self, work: Work, attempt: Attempt, now: float) -> None:
+    def record_first_event(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
         """Record the arrival of the first event, or of a plain service's answer."""
         attempt.first_event_at = now
         estimate = attempt.estimate
@@ -256,12 +260,12 @@
             speed = self.placement.speed(work.service, attempt.size or "")
             speed.record_first_token(estimate.uncached_tokens, first_event_s)
 
-    def record_completed(self, work: Work, attempt: Attempt, now: float) -> None:
+    def record_completed(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
         """Record that an answer is complete."""
         self._close_attempt(attempt)
         attempt.estimate.endpoint.record_success()
         self._record_evidence(work, attempt, False, attempt.compute_times(now))
-        self.rollouts.note_end(work, attempt.estimate.endpoint.record.version, now)
+        self.rollouts.record_end(work, attempt.estimate.endpoint.record.version, now)
 
     def record_cancelled(self, attempt: Attempt) -> None:
         """Record that this host cancelled an attempt."""
@@ -269,7 +273,7 @@
 
     def handle_failure(
         self,
-        work: Work,
+        work: InFlightRequest,
         endpoint: EndpointState,
         attempt: Attempt | None,
         failure: Failure,
@@ -289,59 +293,59 @@
                 endpoint.record_failure(now)
             case NotExecuted():
                 endpoint.record_overloaded(now)
-            case ErrorResponse():
+            case EndpointErrorResponse():
                 if attempt is not None:
-                    self._record_evidence(work, attempt, True, Times())
+                    self._record_evidence(work, attempt, True, AnswerTimes())
             case NoConnection():
                 work.connect_failures += 1
-                work.tried.add(endpoint.record.instance_id)
+                work.tried_endpoints.add(endpoint.record.instance_id)
                 endpoint.record_failure(now)
             case ResponseTimeout(waited_s) if attempt is not None and _was_responsive(
                 endpoint, waited_s, now
             ):
-                self._record_evidence(work, attempt, True, Times())
+                self._record_evidence(work, attempt, True, AnswerTimes())
                 endpoint.record_failure(now)
             case _:
                 if attempt is not None:
                     self._record_broken(work, attempt)
                 endpoint.record_failure(now)
         if may_have_run(failure):
-            work.runs += 1
+            work.possible_runs += 1
             work.failures += 1
             work.may_have_run = True
         return self._check_retry(work, failure, now)
 
-    def _check_retry(self, work: Work, failure: Failure, now: float) -> Refusal | None:
+    def _check_retry(self, work: InFlightRequest, failure: Failure, now: float) -> Refusal | None:
         kind = ErrorKind.ENDPOINT_FAILED if work.may_have_run else ErrorKind.NO_ENDPOINT
-        if may_have_run(failure) and not work.route.may_repeat:
+        if may_have_run(failure) and not work.route.can_repeat:
             return Refusal(kind, "it may have run")
-        if work.runs >= work.route.most_attempts:
-            return Refusal(kind, f"{work.runs} attempts failed")
-        if work.sends >= work.route.most_attempts + MAX_REJECTED_SENDS:
+        if work.possible_runs >= work.route.max_attempts:
+            return Refusal(kind, f"{work.possible_runs} attempts failed")
+        if work.sends >= work.route.max_attempts + MAX_REJECTED_SENDS:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
         if work.connect_failures >= MAX_CONNECT_FAILURES:
             text = f"{work.connect_failures} connections failed"
             return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
-        if work.left_s(now) < MIN_TIME_LEFT_S:
+        if work.remaining_s(now) < MIN_TIME_LEFT_S:
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
         if work.sends and not self._retry_budget(work.service).try_spend(now):
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
         return None
 
-    def _find_service(self, work: Work) -> Service | None:
+    def _find_service(self, work: InFlightRequest) -> Service | None:
         catalogue = self.config_view.catalogue
         return None if catalogue is None else catalogue.services.get(work.service)
 
-    def _choose_versions(self, work: Work, now: float) -> VersionChoice:
+    def _choose_versions(self, work: InFlightRequest, now: float) -> VersionChoice:
         # A stream is resumed on the version that it began on.
-        if work.version is not None and work.last_event is not None:
-            return VersionChoice(frozenset((work.version,)), None, VersionReason.STREAM)
-        return self.rollouts.pick_version(work, now)
-
-    def _compute_urgency(self, work: Work) -> int:
-        match work.route.repeat:
-            case Repeat.STREAM:
-                return HIGHEST_RANK_URGENCY + work.rank
+        if work.session_version is not None and work.last_event_id is not None:
+            return VersionChoice(frozenset((work.session_version,)), None, VersionReason.STREAM)
+        return self.rollouts.choose_version(work, now)
+
+    def _compute_urgency(self, work: InFlightRequest) -> int:
+        match work.route.repeat_policy:
+            case RepeatPolicy.STREAM:
+                return HIGHEST_RANK_URGENCY + work.priority
             case _:
                 return HIGHEST_RANK_URGENCY
 
@@ -357,30 +361,32 @@
                 continue
             kind = _evidence_kind(work, attempt)
             latencies = attempt.compute_times(now, is_ended=False)
-            is_slow = self.rollouts.evidence.is_slow(work.service, kind, latencies)
+            is_slow = self.rollouts.statistics.is_slow(work.service, kind, latencies)
             if is_slow or attempt.event_count >= MIN_EVIDENCE_EVENTS:
                 self._record_evidence(work, attempt, False, latencies)
 
     def _record_evidence(
-        self, work: Work, attempt: Attempt, is_failure: bool, latencies: Times
+        self, work: InFlightRequest, attempt: Attempt, is_failure: bool, latencies: AnswerTimes
     ) -> None:
         version = attempt.estimate.endpoint.record.version
         key = (work.service, version, _evidence_kind(work, attempt))
         if attempt.is_counted:
             if is_failure:
-                self.rollouts.evidence.note_late_failure(key)
+                self.rollouts.statistics.record_failure_of_slow_answer(key)
             return
         attempt.is_counted = True
         if attempt.is_under_load:
-            latencies = Times()
+            latencies = AnswerTimes()
         rollout = self.rollouts.find(work.service)
-        is_trial = rollout is not None and rollout.is_open and version == rollout.order.target
-        self.rollouts.evidence.note(key, is_failure, latencies, is_trial)
+        is_trial = (
+            rollout is not None and rollout.is_in_progress and version == rollout.order.target
+        )
+        self.rollouts.statistics.record_answer(key, is_failure, latencies, is_trial)
 
-    def _record_broken(self, work: Work, attempt: Attempt) -> None:
+    def _record_broken(self, work: InFlightRequest, attempt: Attempt) -> None:
         record = attempt.estimate.endpoint.record
         key = (work.service, record.version, _evidence_kind(work, attempt))
-        self.rollouts.evidence.note_broken(key, record.instance_id, attempt.is_counted)
+        self.rollouts.statistics.record_interruption(key, record.instance_id, attempt.is_counted)
         attempt.is_counted = True
 
     def _close_attempt(self, attempt: Attempt) -> None:
@@ -401,7 +407,7 @@
             self._budgets[service] = budget
         return budget
 
-    def _give_up(self, work: Work, kind: ErrorKind, text: str) -> Refusal:
+    def _give_up(self, work: InFlightRequest, kind: ErrorKind, text: str) -> Refusal:
         """Refuse a request; one that may have run is never reported as not run."""
         if work.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_FAILED, text)
@@ -412,9 +418,9 @@
         return Refusal(kind, text, retry_after_s=retry_after_s)
 
 
-def _evidence_kind(work: Work, attempt: Attempt) -> str:
+def _evidence_kind(work: InFlightRequest, attempt: Attempt) -> str:
     if attempt.is_under_load:
-        return LOADED
+        return UNDER_LOAD
     return f"{work.route.name}/{attempt.size or ''}"
 
 
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from poplarrun.placement import EndpointEstimate
-from poplarrun.rollouts import Times
+from poplarrun.rollouts import AnswerTimes
 
 # Number of events from which the mean interval between them is meaningful.
 MIN_PACE_EVENTS = 3
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ErrorResponse:
+class EndpointErrorResponse:
     """The endpoint ran the request and answered with an error."""
 
     status: int
@@ -58,7 +58,9 @@
     waited_s: float
 
 
-Failure = NoConnection | NotExecuted | ErrorResponse | ConnectionLost | Garbled | ResponseTimeout
+Failure = (
+    NoConnection | NotExecuted | EndpointErrorResponse | ConnectionLost | Garbled | ResponseTimeout
+)
 
 
 def may_have_run(failure: Failure) -> bool:
@@ -75,7 +77,7 @@
             return "other_lifetime"
         case NotExecuted(status=status):
             return f"not_run_{status}"
-        case ErrorResponse(status=status):
+        case EndpointErrorResponse(status=status):
             return f"answer_{status}"
         case ConnectionLost():
             return "broken"
@@ -128,7 +130,7 @@
         self.estimate.endpoint.last_response_at = now
         self.event_count += count
 
-    def compute_times(self, now: float, is_ended: bool = True) -> Times:
+    def compute_times(self, now: float, is_ended: bool = True) -> AnswerTimes:
         """Return the latencies of the answer, final or so far.
 
         The known queue ahead of the request is subtracted, since it says nothing about
@@ -137,13 +139,13 @@
         an unfinished answer counts as one more gap.
         """
         if self.first_event_at is None:
-            return Times(None if is_ended else self._without_queue(now))
+            return AnswerTimes(None if is_ended else self._without_queue(now))
         event_interval_s = None
         if self.event_count >= MIN_PACE_EVENTS:
             event_interval_s = (now - self.first_event_at) / (
                 self.event_count - 1 if is_ended else self.event_count
             )
-        return Times(self._without_queue(self.first_event_at), event_interval_s)
+        return AnswerTimes(self._without_queue(self.first_event_at), event_interval_s)
 
     def _without_queue(self, at: float) -> float:
         return max(0.0, at - self.sent_at - self.estimate.queue_s)
--- a/poplarrun/dispatch/_timeouts.py
+++ b/poplarrun/dispatch/_timeouts.py
@@ -5,7 +5,7 @@
 """
 
 from poplarrun.placement import EndpointEstimate
-from poplarrun.routing import Repeat, Work
+from poplarrun.routing import InFlightRequest, RepeatPolicy
 
 # Timeout of the first event, as a multiple of its expected time, and its minimum in
 # seconds. Callers give up after four times the target latency, eight seconds here.
@@ -18,24 +18,24 @@
 ANSWER_TIMEOUT_FACTOR = 2.0
 
 
-def first_event_timeout_s(work: Work, estimate: EndpointEstimate) -> float | None:
+def first_event_timeout_s(work: InFlightRequest, estimate: EndpointEstimate) -> float | None:
     """Return the timeout for the first event or the whole answer, in seconds.
 
     None if no retry is possible, so that the attempt may use all the remaining time.
     """
-    if not work.route.may_repeat or work.runs + 1 >= work.route.most_attempts:
+    if not work.route.can_repeat or work.possible_runs + 1 >= work.route.max_attempts:
         return None
-    match work.route.repeat:
-        case Repeat.STREAM:
+    match work.route.repeat_policy:
+        case RepeatPolicy.STREAM:
             return max(
                 MIN_FIRST_EVENT_TIMEOUT_S, FIRST_EVENT_TIMEOUT_FACTOR * estimate.first_event_s
             )
         case _:
-            return ANSWER_TIMEOUT_FACTOR * work.route.pace.target_s
+            return ANSWER_TIMEOUT_FACTOR * work.route.latency.target_s
 
 
-def event_gap_timeout_s(work: Work) -> float | None:
+def event_gap_timeout_s(work: InFlightRequest) -> float | None:
     """Return the timeout between two events of a stream, in seconds; None for no limit."""
-    if not work.route.may_repeat:
+    if not work.route.can_repeat:
         return None
-    return GAP_TIMEOUT_FACTOR * work.route.pace.gap_s
+    return GAP_TIMEOUT_FACTOR * work.route.latency.event_gap_s
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -10,40 +10,40 @@
 
 from poplarrun.dispatch import ConfigView, Dispatcher
 from poplarrun.errors import ErrorKind, Refusal
-from poplarrun.gateway._capacity import find_capacity
-from poplarrun.gateway._exchange import Exchange, respond_refusal
+from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
+from poplarrun.gateway._forwarder import RequestForwarder, respond_refusal
 from poplarrun.gateway._peering import Peering
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.gateway._records import RequestRecorder
-from poplarrun.gateway._steward import Steward
+from poplarrun.gateway._rollout_controller import RolloutController
 from poplarrun.links import NngLinks
-from poplarrun.logs import BoundedHandler, events, write_event
+from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.metrics import Metrics
-from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook, ReadTimes
+from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable, ReadTimeouts
 from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import (
     BadRequest,
-    BadSettings,
+    InvalidSettings,
     NodeSettings,
     StoreClient,
     decode_request,
     load_node_settings,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.routing import Request, Work
+from poplarrun.routing import InFlightRequest, Request
 from poplarrun.sizes import SizePolicy
 from poplarrun.transport import (
     CallerConnection,
     CallerServer,
     ConnectionPool,
     RequestHead,
-    boot_time,
+    seconds_since_boot,
 )
 
 # Part of the operators' bound on second sends that is used, and the hosts among
 # which the allowance is divided until it is known how many there are.
-RETRY_PART = 0.85
+RETRY_FRACTION = 0.85
 FIRST_HOSTS = 8
 # While it stops, a host still takes new connections for so long, in seconds: the
 # balancer asks once a second and takes a host out after two misses.
@@ -54,13 +54,13 @@
 STOP_POLL_S = 0.05
 
 
-def part_of_allowance(whole: float, peers: int) -> float:
+def host_retry_allowance(whole: float, peers: int) -> float:
     """Return one host's part of the second sends that all hosts may make besides.
 
     A host that hears fewer peers than there are would take too much: it never counts
     on fewer than ``FIRST_HOSTS``. Below one no second send could ever be made.
     """
-    return max(1.0, RETRY_PART * whole / max(FIRST_HOSTS, peers + 1))
+    return max(1.0, RETRY_FRACTION * whole / max(FIRST_HOSTS, peers + 1))
 
 
 class GatewayHost:
@@ -72,12 +72,12 @@
         The settings file, read again on a signal and when it changes.
     """
 
-    def __init__(self, path: Path, settings: NodeSettings, handler: BoundedHandler) -> None:
+    def __init__(self, path: Path, settings: NodeSettings, handler: NonBlockingHandler) -> None:
         self._path = path
         self._handler = handler
         self.settings = settings
         self.metrics = Metrics()
-        self.metrics.expose_lines(handler.counts)
+        self.metrics.attach_line_counts(handler.line_counts)
         self._store = StoreClient(settings.store, self._record_call)
         self._knowledge = ConfigView(settings.key_bound_s)
         self._directory = EndpointDirectory()
@@ -88,30 +88,33 @@
             self._placement,
             self._rollouts,
             SizePolicy(),
-            RETRY_PART * settings.retry_earned,
-            part_of_allowance(settings.retry_allowance, 0),
+            RETRY_FRACTION * settings.retry_earned,
+            host_retry_allowance(settings.retry_allowance, 0),
             settings.retry_window_s,
         )
         self._pool = ConnectionPool()
         self._recorder = RequestRecorder(self.metrics)
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
-        self._capacity = find_capacity(settings.memory_mb, settings.most_sockets)
-        self._callers.most_connections = self._capacity.callers
-        book = PeerBook(settings.peers, settings.zone)
-        times = ReadTimes.within(settings.change_bound_s)
+        self._capacity = compute_capacity(settings.memory_mb, settings.most_sockets)
+        self._callers.max_connections = self._capacity.callers
+        peer_table = PeerTable(settings.peers, settings.zone)
+        times = ReadTimeouts.within(settings.change_bound_s)
         self._documents = DocumentFollower(
             self._store,
             self._knowledge,
             self._rollouts,
             self._apply_limits,
-            SharedReading(DOCUMENTS, book, times),
+            SharedReader(DOCUMENTS, peer_table, times),
         )
         self._listings = ListingFollower(
-            self._store, self._directory, self._placement, SharedReading(ENDPOINTS, book, times)
+            self._store,
+            self._directory,
+            self._placement,
+            SharedReader(ENDPOINTS, peer_table, times),
         )
         self._peering = Peering(
-            book,
+            peer_table,
             NngLinks(settings.peers),
             self._store,
             self._knowledge,
@@ -121,10 +124,10 @@
             self._placement,
             self._rollouts,
         )
-        self._steward = Steward(
+        self._rollout_controller = RolloutController(
             self._store,
             self._rollouts,
-            self._peering.turn,
+            self._peering.job_rank,
             self._dispatch.record_open_evidence,
         )
         self._open = 0
@@ -137,7 +140,7 @@
     def is_ready(self) -> bool:
         """Whether callers may come."""
         is_known = self._knowledge.catalogue is not None and self._listings.is_served
-        is_informed = self._peering.is_informed(boot_time())
+        is_informed = self._peering.is_informed(seconds_since_boot())
         return is_known and is_informed and not self._leaving.is_set()
 
     async def run(self) -> None:
@@ -148,7 +151,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._start(self._documents.run())
         self._start(self._listings.run())
-        self._start(self._steward.run())
+        self._start(self._rollout_controller.run())
         self._start(self._peering.run(self.settings.seeds))
         self._start(self._peering.announce())
         self._start(self._keep_house())
@@ -169,7 +172,7 @@
 
     async def _stop(self) -> None:
         """Let the balancer turn callers away, then finish what is open."""
-        begun_at = boot_time()
+        begun_at = seconds_since_boot()
         write_event(events.HostStopping(self._open))
         self._callers.is_stopping = True
         self._start(self._peering.withdraw())
@@ -177,7 +180,7 @@
         self._is_closed = True
         self._callers.close_idle()
         stop_at = begun_at + self.settings.stop_s - STOP_MARGIN_S
-        while self._open and boot_time() < stop_at:
+        while self._open and seconds_since_boot() < stop_at:
             await asyncio.sleep(STOP_POLL_S)
             self._callers.close_idle()
         self._callers.stop_accepting()
@@ -189,7 +192,7 @@
         if isinstance(request, BadRequest):
             respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.text))
             return
-        now = boot_time()
+        now = seconds_since_boot()
         self._note_belief(now)
         work = self._admit(request, now)
         if isinstance(work, Refusal):
@@ -200,11 +203,13 @@
         self._open += 1
         try:
             sessions = self._peering.sessions
-            await Exchange(self._dispatch, self._pool, caller, work, self._recorder, sessions).run()
+            await RequestForwarder(
+                self._dispatch, self._pool, caller, work, self._recorder, sessions
+            ).run()
         finally:
             self._open -= 1
 
-    def _admit(self, request: Request, now: float) -> Work | Refusal:
+    def _admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
         if self._open >= self._capacity.requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
         if self._is_closed:
@@ -245,13 +250,13 @@
         changed_at = self._modified_at()
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            self._pool.drop_stale()
+            self._pool.close_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
             self._dispatch.set_retry_allowance(
-                part_of_allowance(self.settings.retry_allowance, peers)
+                host_retry_allowance(self.settings.retry_allowance, peers)
             )
-            left_out = self._handler.take_left_out()
+            left_out = self._handler.collect_dropped_counts()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
             modified_at = self._modified_at()
@@ -268,7 +273,7 @@
             missing.append("configuration")
         if not self._listings.is_served:
             missing.append("endpoints")
-        if not self._peering.is_informed(boot_time()):
+        if not self._peering.is_informed(seconds_since_boot()):
             missing.append("peers")
         if self._leaving.is_set():
             missing.append("stopping")
@@ -283,16 +288,16 @@
     def _reload(self) -> None:
         """Read the settings again; a bad file changes nothing."""
         loaded = load_node_settings(self._path)
-        if isinstance(loaded, BadSettings):
+        if isinstance(loaded, InvalidSettings):
             write_event(events.SettingsBad(list(loaded.lines)))
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
         self._knowledge.revocation_limit_s = loaded.key_bound_s
-        self._rollouts.session_s = loaded.session_s
-        self._rollouts.exposure = loaded.exposure
-        self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
-        self._callers.most_connections = self._capacity.callers
+        self._rollouts.session_timeout_s = loaded.session_s
+        self._rollouts.exposure_limit = loaded.exposure
+        self._capacity = compute_capacity(loaded.memory_mb, loaded.most_sockets)
+        self._callers.max_connections = self._capacity.callers
         self._store.address = loaded.store
 
     def _report_crash(self, error: BaseException | None) -> None:
--- a/poplarrun/placement/_placement.py
+++ b/poplarrun/placement/_placement.py
@@ -12,7 +12,7 @@
 from poplarrun.placement._endpoint_directory import EndpointRecord
 from poplarrun.placement._endpoint_state import EndpointState
 from poplarrun.rendezvous import RankingCache, choose_owner, hash_name
-from poplarrun.routing import Service, Work
+from poplarrun.routing import InFlightRequest, Service
 from poplarrun.speeds import PoolSpeed
 
 # Time that a full batch adds before the first event, in seconds.
@@ -137,7 +137,7 @@
 
     def choose(
         self,
-        work: Work,
+        work: InFlightRequest,
         service: Service,
         now: float,
         size: str = "",
@@ -169,7 +169,7 @@
             and endpoint.record.version != avoided_version
         ]
         available = [endpoint for endpoint in usable if not endpoint.is_paused(now)]
-        tried = set() if include_tried else work.tried
+        tried = set() if include_tried else work.tried_endpoints
         untried = [endpoint for endpoint in available if endpoint.record.instance_id not in tried]
         candidates = untried or available or usable
         if not candidates:
@@ -191,9 +191,11 @@
         return [first] if first.load < MAX_CONCENTRATED_LOAD else candidates
 
     @staticmethod
-    def _choose_owner(candidates: list[EndpointState], work: Work, size: str) -> str | None:
+    def _choose_owner(
+        candidates: list[EndpointState], work: InFlightRequest, size: str
+    ) -> str | None:
         """Return the endpoint to which prompts with the same prefix usually go."""
-        parts = work.request.parts
+        parts = work.request.prompt_parts
         shared = parts[-2:-1] or parts[-1:]
         if not shared:
             return None
@@ -220,7 +222,7 @@
         start = self._random.randrange(len(candidates))
         return candidates[start:] + candidates[:start]
 
-    def _select(self, estimates: list[EndpointEstimate], work: Work) -> EndpointEstimate:
+    def _select(self, estimates: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         remote_delay_s = CROSS_ZONE_DELAY_S + CROSS_ZONE_DELAY_S_PER_BYTE * len(work.request.body)
         return min(
             estimates,
@@ -229,9 +231,14 @@
         )
 
     def _estimate_engines(
-        self, candidates: list[EndpointState], owner: str | None, work: Work, size: str, now: float
+        self,
+        candidates: list[EndpointState],
+        owner: str | None,
+        work: InFlightRequest,
+        size: str,
+        now: float,
     ) -> list[EndpointEstimate]:
-        parts = work.request.parts
+        parts = work.request.prompt_parts
         shared_tokens = sum(part.tokens for part in parts[:-1])
         speed = self.speed(work.service, size)
         prompt_tokens = max(work.request.prompt_tokens, sum(part.tokens for part in parts))
--- a/poplarrun/router/_chat_versions.py
+++ b/poplarrun/router/_chat_versions.py
@@ -7,17 +7,17 @@
 from poplarrun.router._context import RouterContext
 from poplarrun.router._messages import BeginChat, EndChat, Explanation
 from poplarrun.versions import (
-    AnswerSeen,
+    AnswerObservation,
     CellKey,
     ChoiceRequest,
-    Chosen,
+    ChosenVersion,
     ConfidenceJudge,
     Escalation,
     Judge,
     JudgedAnswer,
-    NothingAffordable,
-    NothingAllowed,
-    NothingMeets,
+    NoVersionAffordable,
+    NoVersionAllowed,
+    NoVersionMeetsTargets,
     SampledAnswer,
 )
 
@@ -96,26 +96,28 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                in_session=request.session is not None,
-                spend_left=self._context.spend_left(account),
+                opens_session=request.session is not None,
+                remaining_spend=self._context.spend_left(account),
             )
         )
         match choice:
-            case Chosen(version=version, why=reason, considered=considered, escalation=escalation):
+            case ChosenVersion(
+                version=version, reason=reason, considered=considered, escalation=escalation
+            ):
                 explanation.considered = considered
                 explanation.considered.append(f"chosen: {version.id}, {reason}")
                 self._context.metrics.count_event(f"choice_{reason.replace('-', '_')}")
                 selected = self._make_selected(version, work_class, reason, now)
                 selected.escalation = escalation
                 return selected
-            case NothingAllowed():
+            case NoVersionAllowed():
                 message = f"client account {account.name} has no offered version"
                 return self._context.refuse(ErrorKind.VERSION_NOT_ALLOWED, message, "model")
-            case NothingAffordable(considered=considered):
+            case NoVersionAffordable(considered=considered):
                 explanation.considered = considered
                 message = f"client account {account.name} can't pay for this request today"
                 return self._context.refuse(ErrorKind.SPEND_EXHAUSTED, message)
-            case NothingMeets(considered=considered):
+            case NoVersionMeetsTargets(considered=considered):
                 explanation.considered = considered
                 message = f"no allowed version meets the targets of class {work_class.name}"
                 return self._context.refuse(ErrorKind.TARGET_UNREACHABLE, message, "model")
@@ -141,12 +143,12 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                without=frozenset({without}),
+                excluded_versions=frozenset({without}),
             )
         )
-        if not isinstance(choice, Chosen):
+        if not isinstance(choice, ChosenVersion):
             return None
-        return self._make_selected(choice.version, work_class, choice.why, now)
+        return self._make_selected(choice.version, work_class, choice.reason, now)
 
     def record_end(
         self, selected: SelectedVersion, work_class: WorkClass, end: EndChat, duration_s: float
@@ -157,15 +159,15 @@
             return
         tokens = end.usage.output_tokens
         late, score = _is_late(selected, work_class, tokens, duration_s), self._score_answer(end)
-        observation = AnswerSeen(failed, late, tokens, duration_s, score)
+        observation = AnswerObservation(failed, late, tokens, duration_s, score)
         versions = self._context.versions
         key = CellKey(work_class.name, selected.version.id)
-        versions.note_answer(key.as_second if selected.is_second_step else key, observation)
+        versions.record_answer(key.as_second_step if selected.is_second_step else key, observation)
         if end.text is not None:
             step = "2" if selected.is_second_step else "1"
             sample_id = f"{end.request_id}.{step}"
             sample = SampledAnswer(sample_id, key, end.text, score, selected.is_second_step)
-            versions.keep_sample(sample)
+            versions.enqueue_sample(sample)
 
     def escalate(
         self,
@@ -184,7 +186,7 @@
             return None
         second_version = selected.escalation.version
         score = self._score_answer(end)
-        is_accepted = score is None or score >= selected.escalation.least_score
+        is_accepted = score is None or score >= selected.escalation.min_score
         allowed = self._context.may_use(account.name, second_version.id)
         if (
             is_accepted
@@ -193,8 +195,8 @@
         ):
             return None
         self._context.metrics.count_event("cascade_escalated")
-        key = CellKey(work_class.name, second_version.id).as_second
-        sampled = self._context.versions.wants_rating(key, "cascade", now)
+        key = CellKey(work_class.name, second_version.id).as_second_step
+        sampled = self._context.versions.should_rate(key, "cascade", now)
         return SelectedVersion(second_version, sampled, "cascade", is_second_step=True)
 
     def _score_answer(self, end: EndChat) -> float | None:
@@ -218,7 +220,7 @@
         self, version: Version, work_class: WorkClass, reason: str, now: float
     ) -> SelectedVersion:
         key = CellKey(work_class.name, version.id)
-        sampled = self._context.versions.wants_rating(key, reason, now)
+        sampled = self._context.versions.should_rate(key, reason, now)
         return SelectedVersion(version, sampled, reason)
 
 
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -5,10 +5,10 @@
 from poplarrun.admission import Queued, Refused
 from poplarrun.billing import Bill
 from poplarrun.clients import Usage
-from poplarrun.contracts import ClientAccount, Unmet, Version, WorkClass
-from poplarrun.endpoints import Demand, Endpoint
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
-from poplarrun.orders import OpenWork
+from poplarrun.contracts import ClientAccount, UnmetTargetsPolicy, Version, WorkClass
+from poplarrun.endpoints import Endpoint, PromptProfile
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
+from poplarrun.orders import OpenRequest
 from poplarrun.retries import GiveUp
 from poplarrun.router._chat_versions import ChatVersions, SelectedVersion
 from poplarrun.router._context import RouterContext
@@ -80,10 +80,10 @@
         """Ids of the chat requests in progress."""
         return list(self._chats)
 
-    def list_open_work(self) -> list[OpenWork]:
+    def list_open_work(self) -> list[OpenRequest]:
         """Return the demand of the open chat requests for engines."""
         return [
-            OpenWork(
+            OpenRequest(
                 chat.version.id,
                 chat.work_class.importance,
                 chat.request.session is not None,
@@ -129,7 +129,7 @@
         self._chats[request.request_id] = chat
         outcome = self._dispatcher.start(engine_request, now)
         if isinstance(outcome, NoEndpoint):
-            self._context.demand.note_missed(
+            self._context.demand.record_missed(
                 selected.version.id, work_class.importance, request.session is not None
             )
         if isinstance(outcome, Refused | NoEndpoint):
@@ -364,7 +364,7 @@
         if self._context.limits is not None:
             expected = request.prompt_tokens + request.max_tokens
             used = usage.input_tokens + usage.output_tokens
-            self._context.limits.end(account, expected, used, amount)
+            self._context.limits.finish(account, expected, used, amount)
 
     def _refuse_chat(
         self, chat: _Chat, kind: ErrorKind, message: str, retry_after_s: float | None = None
@@ -382,7 +382,7 @@
             self._settle_limits(chat.request, chat.account, delivered_usage, bill.amount)
             self._context.add_bill(bill, chat.explanation)
         else:
-            if chat.engine_request.may_have_started and answer_for(kind).not_run is NotRun.YES:
+            if chat.engine_request.may_have_started and response_for(kind).not_run is NotRun.YES:
                 kind = ErrorKind.ENDPOINT_FAILED
             self._settle_limits(chat.request, chat.account)
             self._context.closed_bill_ids.append(chat.request.request_id)
@@ -400,7 +400,7 @@
 ) -> EngineRequest:
     targets = work_class.targets
     queue_timeout_s = targets.first_token_s
-    if work_class.unmet is Unmet.BEST_EFFORT:
+    if work_class.unmet is UnmetTargetsPolicy.BEST_EFFORT:
         queue_timeout_s = max(queue_timeout_s, min(targets.whole_s, BEST_EFFORT_QUEUE_TIMEOUT_S))
     return EngineRequest(
         request_id=request.request_id,
@@ -408,7 +408,7 @@
         work_class=work_class.name,
         importance=work_class.importance,
         version=version.id,
-        demand=Demand(request.prompt_tokens, request.blocks),
+        demand=PromptProfile(request.prompt_tokens, request.blocks),
         start_by=now + queue_timeout_s,
         deadline=now + targets.whole_s,
     )
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -12,16 +12,10 @@
 from poplarrun.limits import AccountLimits
 from poplarrun.metrics import Metrics
 from poplarrun.orders import DemandCounter
-from poplarrun.retries import (
-    BudgetKey,
-    FailedAttempt,
-    RetryBudgets,
-    RetryDecision,
-    decide_retry,
-)
+from poplarrun.retries import BudgetKey, FailedAttempt, RetryBudgets, RetryDecision, decide_retry
 from poplarrun.router._explanations import Explanations
 from poplarrun.router._messages import Explanation
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 
 @dataclass
@@ -59,7 +53,7 @@
 
     endpoints: EndpointTable
     metrics: Metrics
-    versions: Versions
+    versions: VersionManager
     configuration: Configuration = field(default_factory=Configuration)
     bills: list[Bill] = field(default_factory=list)
     opened_bills: list[Bill] = field(default_factory=list)
@@ -95,7 +89,7 @@
 
     def spend_left(self, account: ClientAccount) -> float | None:
         """Return the amount that an account may still spend at this host; None if unlimited."""
-        return None if self.limits is None else self.limits.spend_left(account)
+        return None if self.limits is None else self.limits.remaining_spend(account)
 
     def check_limits(
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
--- a/poplarrun/router/_engine_dispatcher.py
+++ b/poplarrun/router/_engine_dispatcher.py
@@ -13,7 +13,7 @@
     Ticket,
 )
 from poplarrun.contracts import VersionId
-from poplarrun.endpoints import Choice, Demand, EndpointTable, Pool
+from poplarrun.endpoints import Choice, EndpointTable, Pool, PromptProfile
 from poplarrun.retries import (
     MAX_ATTEMPTS,
     MAX_STREAM_ATTEMPTS,
@@ -60,7 +60,7 @@
     work_class: str
     importance: int
     version: VersionId
-    demand: Demand
+    demand: PromptProfile
     start_by: float
     deadline: float
     attempts: int = 0
@@ -147,8 +147,8 @@
         assert request.choice is not None
         name = request.choice.endpoint.name
         self._admissions.for_version(request.version).in_flight -= 1
-        self._endpoints.note_ended(name, now)
-        self._endpoints.note_failure(name, now, reason)
+        self._endpoints.record_finished(name, now)
+        self._endpoints.record_failure(name, now, reason)
         request.may_have_started = request.may_have_started or may_have_started
         # Generating twice is harmless, since the caller gets one answer and one bill.
         failed = FailedAttempt(
@@ -177,7 +177,7 @@
         assert request.choice is not None
         request.attempts -= 1
         self._admissions.for_version(request.version).in_flight -= 1
-        self._endpoints.note_ended(request.choice.endpoint.name, now)
+        self._endpoints.record_finished(request.choice.endpoint.name, now)
 
     def record_first_token(self, request: EngineRequest, now: float) -> None:
         """Record the time to the first token."""
@@ -203,11 +203,11 @@
             return
         name = request.choice.endpoint.name
         self._admissions.for_version(request.version).in_flight -= 1
-        self._endpoints.note_ended(name, now)
+        self._endpoints.record_finished(name, now)
         if self._queued and request.queue_wait_s <= MAX_FREED_SLOT_WAIT_S:
             self._freed_slots.append((request.version, name))
         if is_complete:
-            self._endpoints.note_success(name)
+            self._endpoints.record_success(name)
             # Measured from the first token, to exclude the time in the endpoint's queue.
             self._pool(request).speed.record_request_time(
                 now - (request.first_token_at or now) + request.choice.prefill_s
@@ -226,7 +226,7 @@
             if endpoint is None or not len(admission.queue):
                 continue
             request = self._queued[admission.queue.peek().request_id]
-            choice = self._endpoints.choose_this(version, endpoint, now, request.demand)
+            choice = self._endpoints.evaluate_engine(version, endpoint, now, request.demand)
             if choice is not None and admission.can_accept(
                 self._load(request, choice), request.importance, now
             ):
@@ -276,7 +276,7 @@
         has_backlog = (
             self._admissions.for_version(version).estimate_backlog_s(now) > MIN_FULL_BACKLOG_S
         )
-        if has_backlog and pool.is_full_of_others(now):
+        if has_backlog and pool.is_saturated_by_others(now):
             self._full_until[version] = now + FULL_POOL_TTL_S
         return now < self._full_until.get(version, 0.0)
 
@@ -288,7 +288,9 @@
         request.sent_at = now + delay_s
         request.tried.add(choice.endpoint.name)
         self._admissions.for_version(request.version).in_flight += 1
-        self._endpoints.note_sent(choice.endpoint.name, now, request.version, request.demand.blocks)
+        self._endpoints.record_sent(
+            choice.endpoint.name, now, request.version, request.demand.blocks
+        )
         return Dispatched(choice, delay_s)
 
     def _load(self, request: EngineRequest, choice: Choice) -> CandidateLoad:
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -8,8 +8,8 @@
 from poplarrun.claims import (
     RETENTION_S,
     Claim,
-    ClaimKeeper,
-    Holding,
+    ClaimManager,
+    KeyState,
     KnownOutcome,
     Lost,
     Outcome,
@@ -20,11 +20,11 @@
     Unsettled,
     Voided,
     Won,
+    derive_outcome,
     issued_at,
-    make_ran,
-    read_outcome,
+    make_ran_result,
 )
-from poplarrun.contracts import ClientAccount, Operation, WithoutKey
+from poplarrun.contracts import ClientAccount, MissingKeyPolicy, Operation
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.hosts import Peers
 from poplarrun.retries import BudgetKey, FailedAttempt, GiveUp, RetryAfter
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, context: RouterContext) -> None:
-        self.claims: ClaimKeeper | None = None
+        self.claims: ClaimManager | None = None
         self.peers: Peers | None = None
         self._context = context
         self._now: Callable[[], float] = time.monotonic
@@ -131,7 +131,7 @@
             self._record_attempt_end(call)
             kind = ErrorKind.ENDPOINT_FAILED if call.is_sent else ErrorKind.DEADLINE_UNREACHABLE
             return self._refuse(call, kind, "the deadline passed before it was sent")
-        call.is_sent = message.call.hand_over() or call.is_sent
+        call.is_sent = message.call.start_sending() or call.is_sent
         return SendResult(call.is_sent, time_left_s)
 
     def retry(self, failure: CallFailed) -> OperationGrant | Refusal:
@@ -139,7 +139,7 @@
         call = self._calls[failure.request_id]
         now = self._now()
         self._record_attempt_end(call)
-        self._context.endpoints.note_failure(call.endpoint, now, failure.reason)
+        self._context.endpoints.record_failure(call.endpoint, now, failure.reason)
         call.explanation.attempts.append(f"{call.endpoint}: {failure.reason}")
         failed_attempt = FailedAttempt(
             call.attempts, call.is_sent, call.operation.idempotent, call.deadline - now
@@ -158,11 +158,11 @@
         """Close a call that was answered: record its answer and create its bill."""
         call = self._remove(end.request_id)
         self._record_attempt_end(call, self._now() - call.sent_at)
-        self._context.endpoints.note_success(call.endpoint)
+        self._context.endpoints.record_success(call.endpoint)
         is_success = end.answer.status < MIN_ERROR_STATUS
         call.explanation.outcome = "ran" if is_success else "refused by the service"
         if call.claim is not None and self.claims is not None:
-            answer = make_ran(end.answer.status, end.answer.content_type, end.answer.body)
+            answer = make_ran_result(end.answer.status, end.answer.content_type, end.answer.body)
             self.claims.settle(_outcome(call.claim, answer))
         if not is_success:
             return None
@@ -170,7 +170,7 @@
             end.request_id, call.account.name, call.explanation.subject, call.operation.price
         )
         if self._context.limits is not None:
-            self._context.limits.note_spend(call.account, bill.amount)
+            self._context.limits.record_spend(call.account, bill.amount)
         return self._context.add_bill(bill, call.explanation)
 
     async def find(self, message: FindOperation) -> KnownOutcome | Refusal:
@@ -183,7 +183,7 @@
         if self.claims is None or self.peers is None:
             return self._context.refuse(ErrorKind.NOT_READY, "this host keeps no claims yet")
         lookup = await self.claims.find(account.name, message.key)
-        outcome = read_outcome(self._apply_local_outcome(lookup.holding), self.peers.live())
+        outcome = derive_outcome(self._apply_local_outcome(lookup.state), self.peers.live())
         if not lookup.is_current and outcome.kind is OutcomeKind.NOT_RUN:
             text = "the log does not answer, so nothing can be told of this key; ask again"
             return self._context.refuse(ErrorKind.OPERATION_OUTCOME_UNKNOWN, text)
@@ -203,7 +203,7 @@
         if not account.allows_operation(request.service, request.operation):
             message = f"client account {account.name} may not call it"
             return self._context.refuse(ErrorKind.SERVICE_NOT_ALLOWED, message)
-        needs_key = not operation.idempotent and operation.without_key is WithoutKey.REFUSE
+        needs_key = not operation.idempotent and operation.without_key is MissingKeyPolicy.REFUSE
         if needs_key and not request.idempotency_key:
             message = f"{request.service}/{request.operation} needs an Idempotency-Key header"
             return self._context.refuse(ErrorKind.IDEMPOTENCY_KEY_REQUIRED, message)
@@ -284,15 +284,15 @@
         match verdict:
             case Won():
                 return self._choose_endpoint_within_limits(call)
-            case Taken(holding=holding):
+            case Taken(state=holding):
                 call.claim = None
                 if holding is not None and holding.claim.fingerprint != claim.fingerprint:
                     message = "the key was used for another operation or body"
                     return self._refuse(call, ErrorKind.IDEMPOTENCY_KEY_REUSED, message)
                 return self._answer_repeat(
-                    call, read_outcome(self._apply_local_outcome(holding), self.peers.live())
+                    call, derive_outcome(self._apply_local_outcome(holding), self.peers.live())
                 )
-            case Unsettled(may_stand=may_stand):
+            case Unsettled(may_be_logged=may_stand):
                 if not may_stand:
                     call.claim = None
                 message = "the log did not confirm the claim; repeat with the same key"
@@ -300,13 +300,13 @@
             case Voided():
                 raise AssertionError("only this host voids its claims, and did not yet")
 
-    def _apply_local_outcome(self, holding: Holding | None) -> Holding | None:
+    def _apply_local_outcome(self, holding: KeyState | None) -> KeyState | None:
         """Add an outcome recorded at this host that isn't in the log yet."""
         if holding is None or self.claims is None:
             return holding
-        match self.claims.settled_here(holding.claim.id):
+        match self.claims.find_unsettled(holding.claim.id):
             case Outcome(result=result):
-                return Holding(holding.claim, result)
+                return KeyState(holding.claim, result)
         return holding
 
     def _answer_repeat(self, call: _Call, outcome: KnownOutcome) -> Replay | Refusal:
@@ -326,7 +326,7 @@
     def _record_attempt_end(self, call: _Call, duration_s: float | None = None) -> None:
         now = self._now()
         self._context.service_limit(call.request.service).record_end(duration_s, now)
-        self._context.endpoints.note_ended(call.endpoint, now)
+        self._context.endpoints.record_finished(call.endpoint, now)
 
     def _grant(self, call: _Call, delay_s: float = 0.0) -> OperationGrant | Refusal:
         name_and_address = self._choose_endpoint(call)
@@ -340,7 +340,7 @@
         call.tried.add(call.endpoint)
         call.sent_at = self._now() + delay_s
         self._context.service_limit(call.request.service).record_sent()
-        self._context.endpoints.note_sent(call.endpoint, self._now())
+        self._context.endpoints.record_sent(call.endpoint, self._now())
         return OperationGrant(call.endpoint, address, call.operation, delay_s)
 
     def _choose_endpoint(self, call: _Call) -> tuple[str, str] | None:
--- a/poplarrun/router/_router.py
+++ b/poplarrun/router/_router.py
@@ -9,7 +9,7 @@
 from poplarrun.router._engine_dispatcher import EngineDispatcher
 from poplarrun.router._operations import OperationRouter
 from poplarrun.router._sessions import SessionRouter
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 DEFAULT_MAX_QUEUED = 64
 
@@ -33,7 +33,7 @@
         self,
         endpoints: EndpointTable,
         metrics: Metrics,
-        versions: Versions,
+        versions: VersionManager,
         max_queued: int = DEFAULT_MAX_QUEUED,
         random_source: random.Random | None = None,
     ) -> None:
--- a/poplarrun/router/_sessions.py
+++ b/poplarrun/router/_sessions.py
@@ -8,10 +8,10 @@
 from poplarrun.router._messages import BeginChat
 from poplarrun.versions import (
     ChoiceRequest,
-    Chosen,
-    SessionKeeper,
-    read_session,
-    sign_session,
+    ChosenVersion,
+    SessionRegistry,
+    sign_session_token,
+    verify_session_token,
 )
 
 TOKEN_PARAM = "X-Poplarrun-Session"
@@ -22,7 +22,7 @@
 
     def __init__(self, context: RouterContext) -> None:
         self._context = context
-        self.sessions: SessionKeeper | None = None
+        self.sessions: SessionRegistry | None = None
 
     async def pin(self, request: BeginChat) -> BeginChat | Refusal:
         """Return the request with its session's version, or unchanged without a session."""
@@ -35,7 +35,7 @@
         return await self._pin_by_id(request, request.session, account)
 
     def _pin_by_token(self, request: BeginChat, account: ClientAccount) -> BeginChat | Refusal:
-        session_and_version = read_session(account, request.session_token or "")
+        session_and_version = verify_session_token(account, request.session_token or "")
         if session_and_version is None or request.session not in (None, session_and_version[0]):
             message = "the session token was not given out to this client account and session"
             return self._context.refuse(ErrorKind.SESSION_TOKEN_INVALID, message, TOKEN_PARAM)
@@ -53,10 +53,10 @@
             if proposal is None:
                 return request
             pinned_version = await self.sessions.open(account.name, session, proposal.version.id)
-        token = sign_session(account, session, pinned_version)
+        token = sign_session_token(account, session, pinned_version)
         return replace(request, pinned_version=pinned_version, session_token=token)
 
-    def _propose(self, request: BeginChat) -> Chosen | None:
+    def _propose(self, request: BeginChat) -> ChosenVersion | None:
         """Choose the version of a new session; None if the request will be refused anyway.
 
         The account is looked up again, since the owners of the session were asked meanwhile.
@@ -74,8 +74,8 @@
                 work_class,
                 request.prompt_tokens,
                 request.max_tokens,
-                in_session=True,
-                spend_left=self._context.spend_left(account),
+                opens_session=True,
+                remaining_spend=self._context.spend_left(account),
             )
         )
-        return choice if isinstance(choice, Chosen) else None
+        return choice if isinstance(choice, ChosenVersion) else None
--- a/poplarrun/sizes/_sizes.py
+++ b/poplarrun/sizes/_sizes.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from poplarrun.placement import EndpointEstimate
-from poplarrun.routing import Request, Service, Work
+from poplarrun.routing import InFlightRequest, Request, Service
 
 # The confidence at which an answer is good with a probability of one half, and the change
 # of confidence that changes the odds by a factor of e. The step is small: answers well
@@ -87,7 +87,7 @@
     def __init__(self) -> None:
         self._mean_requests: dict[str, MeanRequest] = {}
 
-    def record_request(self, work: Work) -> None:
+    def record_request(self, work: InFlightRequest) -> None:
         """Update the mean length and price of the requests of a route."""
         request = work.request
         mean_request = self._mean_requests.get(work.route.name)
@@ -98,23 +98,23 @@
         else:
             mean_request.update(request)
 
-    def first_size(self, work: Work) -> str | None:
+    def first_size(self, work: InFlightRequest) -> str | None:
         """Return the model for a new request; None if the caller named one."""
         sizes = work.route.sizes
         if not sizes or work.request.model != "*":
             return None
         return sizes[0]
 
-    def escalation_size(self, work: Work) -> str | None:
+    def escalation_size(self, work: InFlightRequest) -> str | None:
         """Return the model to ask after a doubtful answer; None if there is no larger one."""
         sizes = work.route.sizes
-        if not sizes or work.size is None or work.size == sizes[-1]:
+        if not sizes or work.model_size is None or work.model_size == sizes[-1]:
             return None
         return sizes[-1]
 
     def should_escalate(
         self,
-        work: Work,
+        work: InFlightRequest,
         confidence: float,
         estimate: EndpointEstimate,
         service: Service,
@@ -131,14 +131,14 @@
         """
         good_probability = good_answer_probability(confidence)
         current_worth = good_probability + (1.0 - good_probability) * POOR_WORTH_FRACTION
-        target_at = work.arrived_at + work.route.pace.target_s
+        target_at = work.arrived_at + work.route.latency.target_s
         is_late = now + estimate.first_event_s / EXPECTED_TIME_FRACTION > target_at
         escalated_worth = LARGEST_MODEL_QUALITY * (LATE_WORTH_FRACTION if is_late else 1.0)
         gain = escalated_worth - current_worth - self._relative_cost(work, service)
-        queue_fraction = min(1.0, estimate.endpoint.queue_s / work.route.pace.target_s)
+        queue_fraction = min(1.0, estimate.endpoint.queue_s / work.route.latency.target_s)
         return gain > MIN_GAIN + QUEUE_GAIN_FACTOR * queue_fraction
 
-    def _relative_cost(self, work: Work, service: Service) -> float:
+    def _relative_cost(self, work: InFlightRequest, service: Service) -> float:
         """Return the largest model's cost as a fraction of the worth of a good answer."""
         prices = {size.name: size.cost for size in service.sizes}
         max_price = max(prices.values(), default=0.0)
@@ -147,7 +147,7 @@
         model_price_fraction = prices.get(work.route.sizes[-1], 0.0) / max_price
         return PRICE_TO_WORTH_FRACTION * model_price_fraction * self._relative_price(work)
 
-    def _relative_price(self, work: Work) -> float:
+    def _relative_price(self, work: InFlightRequest) -> float:
         """Return a request's price relative to its worth; 1 for the mean request of its route."""
         request = work.request
         mean_request = self._mean_requests.get(work.route.name)
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -9,17 +9,17 @@
 from functools import partial
 from typing import Any
 
-from poplarrun.billing import Bill, KeptBy
+from poplarrun.billing import Bill, BillDurability
 from poplarrun.clients import Usage
 from poplarrun.config import Configuration, Verdict
 from poplarrun.contracts import VersionId
-from poplarrun.errors import NotRun, Refusal, answer_for
+from poplarrun.errors import NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.router import BeginChat, ChatGrant
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
 from poplarrun.server._host import EntryHost
 from poplarrun.settings import HostSettings, PlatformAddresses
-from poplarrun.versions import Choice, ChoiceRequest, Chosen, Escalation
+from poplarrun.versions import Choice, ChoiceRequest, ChosenVersion, Escalation
 from standins.histories._chat_config import CLASS
 from standins.histories._chat_engines import Engines, SimEngine
 from standins.histories._chat_events import (
@@ -97,7 +97,7 @@
             (self._endpoint_tasks.follow_host_list, 2.0),
             (self._endpoint_tasks.poll_loads, 1.0),
             (self._endpoint_tasks.share_loads, 1.0),
-            (self.billing.tend, 1.0),
+            (self.billing.run_round, 1.0),
         ):
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
@@ -132,13 +132,13 @@
 
     def _note_finished(self) -> None:
         """Write down the bills that this host finishes for one that it takes for dead."""
-        finish = self.billing._finish
+        finish = self.billing._adopt_orphans
 
         def note(orphans: Any) -> None:
             self._place.history.finished_by_peers.update(bill.id for bill in orphans.bills)
             finish(orphans)
 
-        self.billing._finish = note  # type: ignore[method-assign]
+        self.billing._adopt_orphans = note  # type: ignore[method-assign]
 
     def _note_openings(self, peers: ChatPeers) -> None:
         """Write down the homes that are out of a host's sight when it opens a session."""
@@ -163,10 +163,10 @@
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._place.history.kept_alone.add(bill.id)
             hosts = self._place.hosts.values()
-            holders = tuple(h.process for h in hosts if h.product.billing.holds(bill.id))
+            holders = tuple(h.process for h in hosts if h.product.billing.has_bill(bill.id))
             self._place.world.keeps.append(Keep(bill.id, now(), holders))
         return answer
 
@@ -183,13 +183,15 @@
         """Choose by the product's code, among some of the versions where it can."""
         document = self._host.router.context.configuration.document
         some = [v.id for v in document.versions.values() if self._source.random() < 0.5]
-        choice = self._choose(replace(request, without=request.without | frozenset(some)))
-        if not isinstance(choice, Chosen):
+        choice = self._choose(
+            replace(request, excluded_versions=request.excluded_versions | frozenset(some))
+        )
+        if not isinstance(choice, ChosenVersion):
             choice = self._choose(request)
         others = document.allowed_versions(request.account)
-        if isinstance(choice, Chosen):
+        if isinstance(choice, ChosenVersion):
             choice = replace(choice, escalation=None)
-            if not request.in_session and self._source.random() < CASCADES:
+            if not request.opens_session and self._source.random() < CASCADES:
                 second = self._source.choice(others)
                 choice = replace(choice, escalation=Escalation(second, ANY_SCORE))
         return choice
@@ -296,6 +298,6 @@
 
 
 def _refused(call: ChatCall, refusal: Refusal, shown: str) -> ChatAnswer:
-    is_not_run = answer_for(refusal.kind).not_run is NotRun.YES
+    is_not_run = response_for(refusal.kind).not_run is NotRun.YES
     end = ChatEnd.NOT_RUN if is_not_run else ChatEnd.BROKEN if shown else ChatEnd.REFUSED
     return ChatAnswer(0.0, call.request_id, end, shown, reason=refusal.kind.value)
--- a/standins/histories/_world.py
+++ b/standins/histories/_world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from poplarrun.hosts import Gathered, Handler, Peer, PeerSilent, SummaryTopic
+from poplarrun.hosts import CollectedSummaries, Handler, Peer, PeerSilent, SummaryTopic
 from poplarrun.log import (
     AppendOutcome,
     AppendRefused,
@@ -201,9 +201,9 @@
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
         """Keep no summaries: the outcomes use none."""
 
-    def gathered(self, topic: SummaryTopic) -> Gathered:
+    def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return no summaries."""
-        return Gathered({}, {})
+        return CollectedSummaries({}, {})
 
     async def _carry(
         self, peer: str, kind: str, payload: bytes, answered: "asyncio.Future[bytes]"
@@ -233,7 +233,7 @@
 
 
 class SimCall:
-    """A connected call of the service; bytes go out only by ``hand_over``."""
+    """A connected call of the service; bytes go out only by ``start_sending``."""
 
     def __init__(self, world: World, request_id: str, key: str) -> None:
         self._world = world
@@ -242,7 +242,7 @@
         self._sent_at = 0.0
         self._answered: asyncio.Future[str | None] = asyncio.get_running_loop().create_future()
 
-    def hand_over(self) -> bool:
+    def start_sending(self) -> bool:
         """Send the call; what it causes no longer depends on its host."""
         self._sent_at = now()
         spawn(None, self._run)
