--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -73,14 +73,14 @@
 def measure_digest(count: int) -> tuple[float, float]:
     """Return size and encoding time of a digest that names so many endpoints."""
     loads = [EndpointLoad(listing.lifetime, 9, 420) for listing in make_listings(count)]
-    share = encode_totals(peers.ActivityTotals(1, loads))
+    totals = encode_totals(peers.ActivityTotals(1, loads))
     digest = Digest("10.1.0.40:7340", "a", 1e5, 1e5, 0.2, 43, 0.4, 0.3, scope=Scope.HOST)
 
     def encode(_: int) -> bytes:
-        told = msgspec.structs.replace(digest, share=encode_totals(peers.ActivityTotals(1, loads)))
+        told = msgspec.structs.replace(digest, totals=encode_totals(peers.ActivityTotals(1, loads)))
         return encode_message(told)
 
-    size = len(encode_message(msgspec.structs.replace(digest, share=share)))
+    size = len(encode_message(msgspec.structs.replace(digest, totals=totals)))
     return size, time_us(encode)
 
 
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -37,7 +37,9 @@
 
 @then("the facts are proven true at {at:f}")
 def step_proven(context, at):
-    assert abs(context.peer_table.proven_at(context.digest, context.digest.age_s) - at) < 1e-6
+    assert (
+        abs(context.peer_table.proven_at(context.digest, context.digest.config_age_s) - at) < 1e-6
+    )
 
 
 @when('"{one}" and "{two}" are read at {at:f} and "{heard}" is heard at {then_at:f}')
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -209,7 +209,7 @@
 def step_told(context):
     context.shares = TotalsTable()
     for stamp, requests in zip(OWN_STAMPS, (2, 5), strict=True):
-        context.shares.note_own(make_share(1, requests), stamp)
+        context.shares.record_own(make_share(1, requests), stamp)
 
 
 def make_share(hosts, requests):
@@ -220,7 +220,7 @@
 def step_relay_sum(context, requests, place):
     stamp = OWN_STAMPS[("first", "second").index(place)]
     told = ReceivedTotals(make_share(20, requests), 100.0 + stamp)
-    context.shares.take_fleet("relay", told, stamp)
+    context.shares.apply_fleet_totals("relay", told, stamp)
 
 
 @when(
@@ -228,13 +228,13 @@
     " and a newer one a sum of {few:d} over {fewer:d}"
 )
 def step_two_sums(context, many, hosts, few, fewer):
-    context.shares.take_fleet("relay", ReceivedTotals(make_share(hosts, many), 101.0), 0.0)
-    context.shares.take_fleet("newer", ReceivedTotals(make_share(fewer, few), 101.5), 0.0)
+    context.shares.apply_fleet_totals("relay", ReceivedTotals(make_share(hosts, many), 101.0), 0.0)
+    context.shares.apply_fleet_totals("newer", ReceivedTotals(make_share(fewer, few), 101.5), 0.0)
 
 
 @then("the others run {requests:d} requests there")
 def step_others(context, requests):
-    loads = context.shares.others(102.0).loads
+    loads = context.shares.estimate_others(102.0).loads
     assert loads == [EndpointLoad(ENDPOINT, requests, 0)], loads
 
 
@@ -247,15 +247,15 @@
 
 
 def make_bad(kind, peer, now):
-    share = encode_totals(make_share(1, 50))
-    digest = Digest(peer, "b", now + 1.0, 0.0, 0.0, 9, 0.0, 0.0, scope=Scope.ZONE, share=share)
+    totals = encode_totals(make_share(1, 50))
+    digest = Digest(peer, "b", now + 1.0, 0.0, 0.0, 9, 0.0, 0.0, scope=Scope.ZONE, totals=totals)
     match kind:
         case "cut in the middle":
             return encode_message(digest)[:-9]
         case "of an unknown tag":
             return msgspec.msgpack.encode([99, peer, "b"])
         case "with a damaged share":
-            return encode_message(msgspec.structs.replace(digest, share=share[:-3]))
+            return encode_message(msgspec.structs.replace(digest, totals=totals[:-3]))
         case "older than the last one":
             return encode_message(msgspec.structs.replace(digest, stamp=0.1))
         case "a roster nobody asked of":
--- a/poplarrun/gateway/_activity.py
+++ b/poplarrun/gateway/_activity.py
@@ -63,7 +63,7 @@
 
     def note_told(self, share: ActivityTotals, stamp: float) -> None:
         """Remember what this host told of itself, to take it out of the sums told back."""
-        self._shares.note_own(share, stamp)
+        self._shares.record_own(share, stamp)
 
     def stamp_of(self, host: str) -> float:
         """Return the stamp of the share of a host that counts in the sums."""
@@ -73,9 +73,9 @@
         """Return the sum that a digest of a scope carries."""
         match scope:
             case Scope.ZONE:
-                return self._shares.zone_sum(own, now)
+                return self._shares.compute_zone_totals(own, now)
             case Scope.FLEET:
-                return self._shares.fleet_sum(own, now)
+                return self._shares.compute_fleet_totals(own, now)
             case _:
                 return own
 
@@ -84,19 +84,19 @@
         self._take_rollouts(digest, now)
         if digest.scope is Scope.NONE:
             return
-        share = decode_totals(digest.share)
+        share = decode_totals(digest.totals)
         if share is None:
-            write_event(events.MessageUnreadable(len(digest.share)))
+            write_event(events.MessageUnreadable(len(digest.totals)))
             return
         told = ReceivedTotals(share, now, digest.stamp)
         is_near = digest.zone == self._zone
         match digest.scope:
             case Scope.HOST if is_near:
-                self._shares.take_near(digest.address, told)
+                self._shares.apply_host_totals(digest.address, told)
             case Scope.ZONE if not is_near:
-                self._shares.take_zone(digest.zone, digest.address, told)
+                self._shares.apply_zone_totals(digest.zone, digest.address, told)
             case Scope.FLEET if is_near:
-                self._shares.take_fleet(digest.address, told, digest.counted)
+                self._shares.apply_fleet_totals(digest.address, told, digest.included_stamp)
         self._is_news = True
         if now - self._summed_at >= SUM_PAUSE_S:
             self.apply(now)
@@ -107,7 +107,7 @@
             return
         self._is_news = False
         self._summed_at = now
-        others = self._shares.others(now)
+        others = self._shares.estimate_others(now)
         loads = {
             load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS) for load in others.loads
         }
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -60,7 +60,7 @@
     """
 
     answered_at: float = 0.0
-    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_s
+    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_timeout_s
     lost_at: float = math.inf
     back_at: float = -math.inf
     steady_since: float = math.inf
@@ -133,7 +133,7 @@
         self._knowledge = knowledge
         self._rollouts = rollouts
         self._changed = changed
-        self._health = StoreHealth(boot_time(), reading.times.outage_s)
+        self._health = StoreHealth(boot_time(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
@@ -237,7 +237,7 @@
         self._store = store
         self._directory = directory
         self._placement = placement
-        self._health = StoreHealth(boot_time(), reading.times.outage_s)
+        self._health = StoreHealth(boot_time(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -99,7 +99,7 @@
         self._capacity = compute_capacity(settings.memory_mb, settings.most_sockets)
         self._callers.most_connections = self._capacity.callers
         peer_table = PeerTable(settings.peers, settings.zone)
-        times = ReadTimeouts.within(settings.change_bound_s)
+        times = ReadTimeouts.for_bound(settings.change_bound_s)
         self._documents = DocumentFollower(
             self._store,
             self._knowledge,
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -123,7 +123,7 @@
         """Prove to the hosts of the own zone what this one has just read."""
         now = boot_time()
         digest = self._header(now)
-        for peer in self.peer_table.served(now):
+        for peer in self.peer_table.reporting_peers(now):
             self._send(digest, peer, now)
 
     def tell_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
@@ -209,8 +209,10 @@
         active = self._rollouts.active()
         far_s = ROLLOUT_PERIOD_S if active else ZONE_PERIOD_S
         self._note_news(now)
-        self._rosters.forget(now)
-        due = self.peer_table.due(now, REPORT_PERIOD_S, far_s, FLEET_PERIOD_S, self._news_at)
+        self._rosters.expire(now)
+        due = self.peer_table.due_digests(
+            now, REPORT_PERIOD_S, far_s, FLEET_PERIOD_S, self._news_at
+        )
         if due:
             self._send_digests(due, now)
         self._sharing.apply(now)
@@ -234,13 +236,13 @@
             is_far = telling.peer.zone != self.peer_table.zone
             key = (telling.scope, is_far)
             if key not in digests:
-                share = b""
+                totals = b""
                 if telling.scope is not Scope.NONE:
-                    share = encode_totals(self._sharing.sum_up(telling.scope, own, now))
+                    totals = encode_totals(self._sharing.sum_up(telling.scope, own, now))
                 is_report = telling.scope is Scope.HOST
-                marks = [] if is_report else self._rosters.marks(is_far, now)
+                fingerprints = [] if is_report else self._rosters.fingerprints(is_far, now)
                 digests[key] = msgspec.structs.replace(
-                    header, scope=telling.scope, share=share, marks=marks
+                    header, scope=telling.scope, totals=totals, roster_fingerprints=fingerprints
                 )
             if telling.scope is Scope.HOST:
                 self._sharing.note_told(own, now)
@@ -248,12 +250,14 @@
 
     def _send(self, digest: Digest, peer: PeerState, now: float) -> None:
         """Send a digest with the receiver's own stamps in it."""
-        counted = self._sharing.stamp_of(peer.address) if digest.scope is Scope.FLEET else 0.0
+        included_stamp = (
+            self._sharing.stamp_of(peer.address) if digest.scope is Scope.FLEET else 0.0
+        )
         message = msgspec.structs.replace(
             digest,
-            echo=peer.last_stamp,
-            held_s=now - peer.heard_at if peer.last_stamp else 0.0,
-            counted=counted,
+            echoed_stamp=peer.last_stamp,
+            echo_delay_s=now - peer.heard_at if peer.last_stamp else 0.0,
+            included_stamp=included_stamp,
         )
         self._links.send(peer.address, encode_message(message))
 
@@ -273,14 +277,14 @@
             address=self.peer_table.address,
             zone=self.peer_table.zone,
             stamp=now,
-            echo=0.0,
-            held_s=0.0,
-            version=-1 if catalogue is None else catalogue.version,
-            age_s=min(1e6, self._knowledge.age_s(now)),
+            echoed_stamp=0.0,
+            echo_delay_s=0.0,
+            config_version=-1 if catalogue is None else catalogue.version,
+            config_age_s=min(1e6, self._knowledge.age_s(now)),
             listing_age_s=min(1e6, now - self._listings.true_at),
-            documents_end=-1 if self._documents.offset is None else self._documents.offset,
-            listing_end=self._directory.offset if self._listings.is_known else -1,
-            steady_s=self._listings.steady_s(now),
+            documents_end_offset=-1 if self._documents.offset is None else self._documents.offset,
+            listing_end_offset=self._directory.offset if self._listings.is_known else -1,
+            store_available_s=self._listings.steady_s(now),
             rollouts=self._sharing.rollout_news(now),
         )
 
@@ -316,30 +320,32 @@
         peer = self.peer_table.find(digest.address)
         # A host that starts, or comes back, hears at once who is there. Its first words may
         # have come while this one's were lost, so that it is known but has heard nothing.
-        is_new = is_new or digest.echo <= 0.0
-        if is_new and peer is not None and now - peer.told_at >= REPORT_PERIOD_S:
-            peer.told_at = now
+        is_new = is_new or digest.echoed_stamp <= 0.0
+        if is_new and peer is not None and now - peer.last_sent_at >= REPORT_PERIOD_S:
+            peer.last_sent_at = now
             is_near = digest.zone == self.peer_table.zone
             self._send_digests([DueDigest(peer, Scope.FLEET if is_near else Scope.NONE)], now)
-        for mark in digest.marks:
-            self._take_mark(digest, mark, now)
+        for fingerprint in digest.roster_fingerprints:
+            self._apply_fingerprint(digest, fingerprint, now)
         self._sharing.take(digest, now)
         self._take(digest, now)
         if self._note_news(now):
             # On its way to hosts of other zones news passes three hosts: none may wait a round.
             self._tell(now)
 
-    def _take_mark(self, digest: Digest, mark: RosterFingerprint, now: float) -> None:
-        if digest.zone not in (self.peer_table.zone, mark.zone):
+    def _apply_fingerprint(
+        self, digest: Digest, fingerprint: RosterFingerprint, now: float
+    ) -> None:
+        if digest.zone not in (self.peer_table.zone, fingerprint.zone):
             return
-        if self._rosters.take_mark(digest.address, digest.zone, mark, now):
+        if self._rosters.apply_fingerprint(digest.address, digest.zone, fingerprint, now):
             return
-        key = (digest.address, mark.zone)
+        key = (digest.address, fingerprint.zone)
         if now - self._rosters_asked_at.get(key, float("-inf")) < ROSTER_PERIOD_S:
             return
         self._rosters_asked_at[key] = now
         self._links.send(
-            digest.address, encode_message(RosterRequest(self.peer_table.address, mark.zone))
+            digest.address, encode_message(RosterRequest(self.peer_table.address, fingerprint.zone))
         )
 
     def _take_roster(self, roster: Roster, now: float) -> None:
@@ -347,7 +353,7 @@
         sender = self.peer_table.find(roster.address)
         asked_at = self._rosters_asked_at.pop((roster.address, roster.zone), None)
         if sender is not None and asked_at is not None:
-            self._rosters.take_roster(roster, sender.zone, now)
+            self._rosters.apply_roster(roster, sender.zone, now)
 
     def _answer_roster(self, ask: RosterRequest, now: float) -> None:
         hosts = self._rosters.roster(ask.zone, now)
@@ -358,19 +364,19 @@
     def _take(self, digest: Digest, now: float) -> None:
         catalogue = self._knowledge.catalogue
         version = -1 if catalogue is None else catalogue.version
-        if digest.version == version and catalogue is not None:
-            proven_at = self.peer_table.proven_at(digest, digest.age_s)
+        if digest.config_version == version and catalogue is not None:
+            proven_at = self.peer_table.proven_at(digest, digest.config_age_s)
             if proven_at is not None:
                 self._documents.note_proof(proven_at)
-        if digest.documents_end > (self._documents.offset or 0):
+        if digest.documents_end_offset > (self._documents.offset or 0):
             self._documents.reading.hurry()
         sent_at = self.peer_table.proven_at(digest, 0.0)
         if sent_at is not None:
-            self._listings.note_steady(now - digest.steady_s, sent_at)
+            self._listings.note_steady(now - digest.store_available_s, sent_at)
         listed_at = self.peer_table.proven_at(digest, digest.listing_age_s)
         if listed_at is not None:
-            self._listings.note_proof(digest.listing_end, listed_at)
-        wants_config = self._is_config_late(digest.version, version, now)
+            self._listings.note_proof(digest.listing_end_offset, listed_at)
+        wants_config = self._is_config_late(digest.config_version, version, now)
         is_old = now - self._listings.true_at > OLD_LISTING_S
         wants_listing = is_old and digest.listing_age_s < OLD_LISTING_S
         if (wants_config or wants_listing) and now - self._asked_at > ASK_PERIOD_S:
@@ -391,7 +397,7 @@
 
     def _take_changes(self, changes: EndpointChanges) -> None:
         entries = tuple(
-            Entry(record.key, record.value, changes.start + place)
+            Entry(record.key, record.value, changes.start_offset + place)
             for place, record in enumerate(changes.records)
         )
         self._listings.take_changes(entries, changes.is_lapse)
@@ -422,9 +428,9 @@
                 self._documents.take_config(documents.config, documents.address)
             except MalformedDocument as error:
                 write_event(events.DocumentIgnored("config of a peer", str(error)))
-        if not documents.listed and not documents.gone:
+        if not documents.endpoints and not documents.removed:
             return
-        for listed in documents.listed:
+        for listed in documents.endpoints:
             listing = Listing(
                 listed.lifetime,
                 listed.service,
@@ -438,7 +444,7 @@
                 listed.sequence,
             )
             self._directory.apply(listing, now)
-        for lifetime in documents.gone:
+        for lifetime in documents.removed:
             self._directory.remove(lifetime, now)
         self._listings.take_from_peer()
 
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -42,7 +42,7 @@
         one is answered at once: callers with keys are served again sooner, and a store
         that still says nothing is asked again sooner.
         """
-        return self.times.held_s if self._place() == 0 and not self.has_failed else 0.0
+        return self.times.long_poll_s if self._place() == 0 and not self.has_failed else 0.0
 
     def hurry(self) -> None:
         """Read at once: a peer has more than this host."""
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -50,19 +50,19 @@
 
     def take_held(self, message: HeldSessions) -> None:
         """Take in sessions that another host told of."""
-        for number in message.numbers:
+        for number in message.session_hashes:
             key = SessionKey(message.service, number)
             self._rollouts.sessions.take(HeldSession(key, message.offset))
 
     def answer(self, ask: SessionQuery) -> None:
         """Answer a host that asks."""
-        held = HeldSession(SessionKey(ask.service, ask.number), ask.offset)
+        held = HeldSession(SessionKey(ask.service, ask.session_hash), ask.offset)
         is_held = self._rollouts.sessions.is_held(held)
-        self._links.send(ask.address, encode_message(SessionAnswer(ask.question, is_held)))
+        self._links.send(ask.address, encode_message(SessionAnswer(ask.query_id, is_held)))
 
     def take_answer(self, answer: SessionAnswer) -> None:
         """Take in an answer; a session that one keeper knows is held."""
-        question = self._questions.get(answer.question)
+        question = self._questions.get(answer.query_id)
         if question is None or question.answer.done():
             return
         question.missing -= 1
@@ -102,5 +102,5 @@
 
     def _keepers(self, key: SessionKey) -> list[str]:
         """Return the other hosts that keep a session."""
-        keepers = self._peer_table.keepers(f"{key.service}/{key.number}")
+        keepers = self._peer_table.session_owners(f"{key.service}/{key.number}")
         return [keeper for keeper in keepers if keeper != self._peer_table.address]
--- a/poplarrun/peers/__init__.py
+++ b/poplarrun/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: what the hosts tell each other, and what follows from it."""
+"""State that hosts exchange: liveness, load totals, roll-out progress and who reads the store."""
 
 from poplarrun.peers._messages import (
     ActivityTotals,
--- a/poplarrun/peers/_messages.py
+++ b/poplarrun/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, as bytes."""
+"""Messages between hosts and their MessagePack encoding."""
 
 import enum
 
@@ -8,12 +8,14 @@
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What some hosts run at an endpoint.
+    """Requests that a group of hosts runs at an endpoint.
 
     Attributes
     ----------
+    lifetime : str
+        Id of the endpoint, new with each of its starts.
     pending_ms : int
-        Time that their prompts which are still being read take.
+        Estimated time until the endpoint has read the prompts of these requests.
     """
 
     lifetime: str
@@ -22,16 +24,19 @@
 
 
 class RolloutProgress(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender knows of a roll-out.
+    """What the sender knows of the progress of a roll-out.
 
     Attributes
     ----------
+    offset : int
+        Offset of the order in the store's log.
     age_s : float
-        How long ago the order was first seen by any host that the sender heard of.
+        How long ago the order was first seen by any host that the sender heard from.
     phase : RolloutPhase, optional
-        What is recorded.
+        The recorded phase.
     shifted_age_s : float, optional
-        How long ago any host decided that sessions may change versions.
+        How long ago any host decided that the shift begins, in which sessions may change
+        versions.
     """
 
     service: str
@@ -44,7 +49,19 @@
 
 
 class VersionTally(msgspec.Struct, frozen=True, array_like=True):
-    """What some hosts saw of a version in a kind of work."""
+    """Outcomes of one version in one kind of work, summed over a group of hosts.
+
+    Attributes
+    ----------
+    ended, failures, slow : int
+        Answers that ended, that failed, and that came much too late.
+    paced : int
+        Answers whose pace was compared with the usual pace.
+    log_pace : float
+        Sum of the logarithms of the ratios of these paces.
+    broken : list of str
+        Endpoints that broke off answers.
+    """
 
     service: str
     version: str
@@ -58,11 +75,11 @@
 
 
 class Scope(enum.IntEnum):
-    """Whose loads and tallies a digest adds up.
+    """Which hosts' loads and tallies a digest carries.
 
-    ``NONE``: nobody's. ``HOST``: the sender's own. ``ZONE``: those of all hosts of the sender's
-    availability zone. ``FLEET``: those of all hosts that the sender knows of, the receiver
-    possibly among them.
+    ``NONE``: no host's. ``HOST``: the sender's own. ``ZONE``: those of all hosts of the sender's
+    availability zone. ``FLEET``: those of all hosts that the sender knows, possibly including
+    the receiver.
     """
 
     NONE = 0
@@ -72,12 +89,12 @@
 
 
 class ActivityTotals(msgspec.Struct, frozen=True, array_like=True):
-    """What some hosts run at endpoints and saw of versions, added up.
+    """Totals of endpoint loads and version outcomes over a group of hosts.
 
     Attributes
     ----------
     hosts : int
-        How many hosts it covers.
+        Number of hosts in the group.
     """
 
     hosts: int
@@ -86,72 +103,72 @@
 
 
 class RosterFingerprint(msgspec.Struct, frozen=True, array_like=True):
-    """Stands for the list of a zone's hosts that the sender takes to be alive.
+    """Identifies the roster of a zone's hosts that the sender knows to be alive.
 
     Attributes
     ----------
-    mark : int
-        Equal for equal lists.
+    fingerprint : int
+        The same for equal rosters.
     age_s : float
-        How long ago the zone was last heard of.
+        How long ago the sender last heard from the zone.
     """
 
     zone: str
-    mark: int
+    fingerprint: int
     age_s: float
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """What a host tells its peers regularly.
+    """State that a host sends to other hosts periodically.
 
     Attributes
     ----------
     address, zone : str
-        Where the sender receives, and its availability zone.
+        Address at which the sender receives, and its availability zone.
     stamp : float
-        The sender's clock as it sent this.
-    echo : float
-        The last stamp that the sender got from the receiver; 0 for none.
-    held_s : float
-        How long before this digest it got that.
-    version : int
-        Version of the configuration that it has; -1 for none.
-    age_s : float
-        How long ago that was the newest for sure.
+        The sender's clock when it sent this.
+    echoed_stamp : float
+        The last stamp that the sender received from the receiver; 0 for none.
+    echo_delay_s : float
+        How long before this digest it received that.
+    config_version : int
+        Version of the sender's configuration; -1 for none.
+    config_age_s : float
+        How long ago the configuration was surely current.
     listing_age_s : float
-        How long ago its listed endpoints were the newest for sure.
-    documents_end, listing_end : int
-        Next record of the operators' documents and of the listed endpoints that it hasn't
-        read; -1 for unknown.
-    steady_s : float
+        How long ago the sender's list of endpoints was surely current.
+    documents_end_offset, listing_end_offset : int
+        Offset up to which the sender has read the operators' documents and the list of
+        endpoints; -1 for unknown.
+    store_available_s : float
         For how long the store has answered the sender without an outage.
-    counted : float
-        Stamp of the digest of the receiver whose loads and tallies are in ``share``; 0 for
+    included_stamp : float
+        Stamp of the receiver's digest whose loads and tallies are included in ``totals``; 0 for
         none.
-    share : bytes
+    totals : bytes
         ``ActivityTotals`` as bytes; empty for the scope ``NONE``. The same for all receivers.
     """
 
     address: str
     zone: str
     stamp: float
-    echo: float
-    held_s: float
-    version: int
-    age_s: float
+    echoed_stamp: float
+    echo_delay_s: float
+    config_version: int
+    config_age_s: float
     listing_age_s: float
-    documents_end: int = -1
-    listing_end: int = -1
-    steady_s: float = 0.0
+    documents_end_offset: int = -1
+    listing_end_offset: int = -1
+    store_available_s: float = 0.0
     scope: Scope = Scope.NONE
-    counted: float = 0.0
-    share: bytes = b""
+    included_stamp: float = 0.0
+    totals: bytes = b""
     rollouts: list[RolloutProgress] = []
-    marks: list[RosterFingerprint] = []
+    roster_fingerprints: list[RosterFingerprint] = []
 
 
 class RosterRequest(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Asks for the list behind a ``RosterFingerprint``."""
+    """Requests the roster that a ``RosterFingerprint`` identifies."""
 
     address: str
     zone: str
@@ -163,7 +180,7 @@
     Attributes
     ----------
     hosts : list of str
-        Addresses of the zone's hosts that the sender takes to be alive.
+        Addresses of the zone's hosts that the sender knows to be alive.
     """
 
     address: str
@@ -173,7 +190,7 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Asks a peer for what it has and the sender lacks."""
+    """Requests state that the receiver has and the sender lacks."""
 
     address: str
     wants_config: bool
@@ -181,7 +198,7 @@
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True, array_like=True):
-    """An endpoint as the sender knows it."""
+    """An endpoint as the sender's list has it."""
 
     lifetime: str
     service: str
@@ -200,57 +217,57 @@
     Attributes
     ----------
     config : bytes
-        The configuration as it stands in the store; empty where not asked for.
-    gone : list of str
-        Endpoints that were removed lately.
+        The configuration document as in the store; empty if not requested.
+    removed : list of str
+        Endpoints that were removed recently.
     """
 
     address: str
     config: bytes = b""
-    listed: list[ListedEndpoint] = []
-    gone: list[str] = []
+    endpoints: list[ListedEndpoint] = []
+    removed: list[str] = []
 
 
 class ChangedRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record of the listed endpoints; without a value where it takes its key away."""
+    """A record of the list of endpoints; the value is None if it removes its key."""
 
     key: str
     value: bytes | None
 
 
 class EndpointChanges(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """What the sender has just read of the listed endpoints.
+    """Records of the list of endpoints that the sender has just read.
 
     Attributes
     ----------
-    start, end : int
-        Offset of the first record, and that behind the last one.
+    start_offset, end_offset : int
+        Offset of the first record, and the one after the last record.
     is_lapse : bool
-        Whether the store was away, so that records of endpoints that live may be
-        among those taken away.
+        Whether the store had an outage, so that records of live endpoints may have expired and
+        be among those removed.
     """
 
     address: str
-    start: int
-    end: int
+    start_offset: int
+    end_offset: int
     is_lapse: bool
     records: list[ChangedRecord]
 
 
 class HeldSessions(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Tells of sessions that stay on the old version in the roll-out of an order.
+    """Sessions that stay on the old version in the roll-out of an order.
 
     Attributes
     ----------
     offset : int
-        Place of the order in the store's log.
-    numbers : list of int
-        Hashes of the sessions' ids.
+        Offset of the order in the store's log.
+    session_hashes : list of int
+        Hashes of the session ids.
     """
 
     service: str
     offset: int
-    numbers: list[int]
+    session_hashes: list[int]
 
 
 class SessionQuery(msgspec.Struct, frozen=True, array_like=True, tag=6):
@@ -258,21 +275,23 @@
 
     Attributes
     ----------
-    question : int
-        Names the question among those of the sender.
+    query_id : int
+        Unique among the queries of the sender.
+    offset : int
+        Offset of the roll-out's order in the store's log.
     """
 
     address: str
-    question: int
+    query_id: int
     service: str
     offset: int
-    number: int
+    session_hash: int
 
 
 class SessionAnswer(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """Answers a ``SessionQuery``."""
 
-    question: int
+    query_id: int
     is_held: bool
 
 
@@ -290,7 +309,7 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Message)
-_SHARE_DECODER = msgspec.msgpack.Decoder(ActivityTotals)
+_TOTALS_DECODER = msgspec.msgpack.Decoder(ActivityTotals)
 
 
 def encode_message(message: Message) -> bytes:
@@ -299,21 +318,21 @@
 
 
 def decode_message(data: bytes) -> Message | None:
-    """Return the message; None where the bytes hold none that this host knows."""
+    """Return the decoded message; None if the bytes are no message of a known type."""
     try:
         return _DECODER.decode(data)
     except (msgspec.ValidationError, msgspec.DecodeError):
         return None
 
 
-def encode_totals(share: ActivityTotals) -> bytes:
-    """Return a share as bytes."""
-    return _ENCODER.encode(share)
+def encode_totals(totals: ActivityTotals) -> bytes:
+    """Return totals as bytes."""
+    return _ENCODER.encode(totals)
 
 
 def decode_totals(data: bytes) -> ActivityTotals | None:
-    """Return a share; None where the bytes hold none."""
+    """Return the decoded totals; None if the bytes are none."""
     try:
-        return _SHARE_DECODER.decode(data)
+        return _TOTALS_DECODER.decode(data)
     except (msgspec.ValidationError, msgspec.DecodeError):
         return None
--- a/poplarrun/peers/_peer.py
+++ b/poplarrun/peers/_peer.py
@@ -1,78 +1,83 @@
-"""One other host as this one knows it."""
+"""Liveness state of another host."""
 
 import math
 from dataclasses import dataclass
 
-# A host that has not been heard of for so long doesn't count as alive, in seconds:
-# three of the longest periods between two digests.
-ALIVE_S = 3.2
-# The same for one that this host knows by the word of others, in seconds. These say when they
-# lose it; where they die with it, others must be found first that know.
-TOLD_ALIVE_S = 5.0
-# A relay that says nothing for so long to a host that reports to it may be dead, in seconds;
-# the next one in line is told as well.
-RELAY_SILENT_S = 2.0
+# A host counts as alive for this long after its last digest; equals three of the longest digest
+# intervals.
+ALIVE_TIMEOUT_S = 3.2
+# The same for a host known to be alive only from attestations by other hosts. Those hosts report
+# when they lose it, but if they fail together with it, others that know must be found first.
+ATTESTED_ALIVE_TIMEOUT_S = 5.0
+# An aggregator that sends nothing for this long to a host that reports to it may have failed;
+# the host then reports to the next host in rank as well.
+AGGREGATOR_SILENCE_TIMEOUT_S = 2.0
 
 
 @dataclass(slots=True)
 class PeerState:
-    """Another host.
+    """What is known about the liveness of another host.
+
+    All times are by this host's clock, in seconds.
 
     Attributes
     ----------
-    first_named_at, named_at : float
-        When its address was first and last read.
+    first_listed_at, last_listed_at : float
+        When its address was first and last read from the store.
     heard_at : float
-        When a digest of its last came.
+        When its last digest arrived.
     attested_at : float
-        When a host of its zone that hears it itself last told so.
-    vouched_at : float
-        When a relay of the own zone last passed such word on.
+        As of when a host of its zone last attested that it had heard it.
+    attestation_forwarded_at : float
+        The same for an attestation that an aggregator of this host's zone forwarded.
     last_stamp : float
-        The stamp of its last digest.
-    told_at : float
-        When it was last written to.
-    reported_at : float
-        When it last told this host of itself, as one does to a relay.
-    report_since : float
-        Since when this host reports to it.
+        Stamp of its last digest, by its own clock.
+    last_sent_at : float
+        When a digest was last sent to it.
+    report_received_at : float
+        When its last report arrived, which hosts send to their aggregators.
+    reporting_since : float
+        Since when this host has sent reports to it; infinite if it doesn't.
     """
 
     address: str
     zone: str = ""
-    first_named_at: float = math.inf
-    named_at: float = -math.inf
+    first_listed_at: float = math.inf
+    last_listed_at: float = -math.inf
     heard_at: float = -math.inf
     attested_at: float = -math.inf
-    vouched_at: float = -math.inf
+    attestation_forwarded_at: float = -math.inf
     last_stamp: float = 0.0
-    told_at: float = -math.inf
-    reported_at: float = -math.inf
-    report_since: float = math.inf
+    last_sent_at: float = -math.inf
+    report_received_at: float = -math.inf
+    reporting_since: float = math.inf
 
     @property
-    def last_known_at(self) -> float:
-        """When it was last known to be alive, by whomever."""
-        return max(self.heard_at, self.attested_at, self.vouched_at)
+    def last_known_alive_at(self) -> float:
+        """As of when it was last known to be alive, from any source."""
+        return max(self.heard_at, self.attested_at, self.attestation_forwarded_at)
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether it was heard of lately."""
-        if now - self.heard_at < ALIVE_S:
+        """Tell whether it was heard from or attested recently."""
+        if now - self.heard_at < ALIVE_TIMEOUT_S:
             return True
-        return now - max(self.attested_at, self.vouched_at) < TOLD_ALIVE_S
+        return now - max(self.attested_at, self.attestation_forwarded_at) < ATTESTED_ALIVE_TIMEOUT_S
 
     def is_known_first_hand(self, now: float) -> bool:
-        """Tell whether this host, or one of its zone that told so, heard it lately.
+        """Tell whether this host, or a host of its zone that attested it, heard it recently.
 
-        Only that is passed on: passed on once more, a dead host would live on by the word of
-        hosts that have it from each other.
+        Only such knowledge is forwarded: if forwarded attestations were forwarded again, hosts
+        would keep a dead host alive by attesting it to each other.
         """
-        return now - self.heard_at < ALIVE_S or now - self.attested_at < TOLD_ALIVE_S
+        return (
+            now - self.heard_at < ALIVE_TIMEOUT_S
+            or now - self.attested_at < ATTESTED_ALIVE_TIMEOUT_S
+        )
 
-    def is_silent(self, now: float) -> bool:
-        """Tell whether it does not answer reports."""
-        return now - max(self.heard_at, self.report_since) > RELAY_SILENT_S
+    def is_unresponsive(self, now: float) -> bool:
+        """Tell whether it sends nothing although this host reports to it."""
+        return now - max(self.heard_at, self.reporting_since) > AGGREGATOR_SILENCE_TIMEOUT_S
 
-    def is_due(self, now: float, period_s: float, news_at: float) -> bool:
-        """Tell whether it should be written to: after a period, or at once with news."""
-        return now - self.told_at >= period_s or self.told_at < news_at
+    def is_due(self, now: float, interval_s: float, changed_at: float) -> bool:
+        """Tell whether to send to it: the interval has passed, or state changed since then."""
+        return now - self.last_sent_at >= interval_s or self.last_sent_at < changed_at
--- a/poplarrun/peers/_peer_table.py
+++ b/poplarrun/peers/_peer_table.py
@@ -1,40 +1,39 @@
-"""The other hosts as this one knows them."""
+"""Table of the other hosts: liveness, choice of aggregators, and digests that are due."""
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from poplarrun.peers._messages import Digest, Scope
-from poplarrun.peers._peer import ALIVE_S, RELAY_SILENT_S, PeerState
+from poplarrun.peers._peer import AGGREGATOR_SILENCE_TIMEOUT_S, ALIVE_TIMEOUT_S, PeerState
 from poplarrun.rendezvous import Ranking, rank_hosts
 
-# A zone of which no host has been heard of for so long is taken for cut off, in seconds:
-# one digest of a zone's only host may be lost, and a false alarm only puts the zone's
-# endpoints last. A host that hears of other zones by its relays hears later.
-SILENT_S = 1.7
-RELAYED_S = 0.8
-# One that has not been heard of for so long isn't written to any more, in seconds;
-# it writes first when it is back.
-KEPT_S = 30.0
-# Hosts of a zone that add up what its hosts tell: with two the zone is never without one
-# while a third is found.
-RELAYS = 2
-# A host that has not reported for so long gets no sums any more, in seconds.
-REPORTED_S = 1.5
-# Hosts that are not known to live are written to so many a round, each after such a pause in
-# seconds, while none that is needed is heard.
-PROBES = 12
-PROBE_S = 1.0
-# The same for lost hosts of a relay's own zone, of which it hears others: after a cut through
-# a zone its parts must find each other again.
-LOST_PROBE_S = 4.0
-# Who is alive is looked up anew after so long, or when a host is found, in seconds.
-CENSUS_S = 0.2
-# Pause between two looks for hosts to forget, in seconds.
-FORGET_PAUSE_S = 1.0
-# Hosts that keep the same session.
-KEEPERS = 3
-# What one host reads of the store for its zone.
+# A zone from which nothing was heard for this long counts as cut off. It allows for the loss of
+# one digest from the only host of a zone; a false alarm only ranks the zone's endpoints last.
+ZONE_SILENCE_TIMEOUT_S = 1.7
+# Added for a host that hears of other zones through its aggregators, and therefore later.
+AGGREGATION_DELAY_S = 0.8
+# A host not heard from for this long is removed and gets no more probes; it sends the first
+# message itself when it returns.
+PEER_TTL_S = 30.0
+# Aggregators of a zone: with two, the zone always has one while a replacement is found.
+MIN_AGGREGATORS = 2
+# A host whose last report is older than this gets no totals from its aggregators.
+REPORT_TTL_S = 1.5
+# Number of hosts not known to be alive that are probed in each round, and the interval between
+# two probes of one host, while no host of a needed zone is heard.
+MAX_PROBES = 12
+PROBE_INTERVAL_S = 1.0
+# Interval of an aggregator's probes to lost hosts of its own zone while it hears others there:
+# after a network partition inside a zone, its parts must find each other again.
+LOST_PEER_PROBE_INTERVAL_S = 4.0
+# The set of alive hosts is recomputed after this time, or when a host is found.
+LIVENESS_TTL_S = 0.2
+# Interval between two removals of expired hosts.
+EXPIRY_INTERVAL_S = 1.0
+# Hosts that store the state of one session.
+OWNERS_PER_SESSION = 3
+# What one host of a zone reads from the store on behalf of the others.
 DOCUMENTS = "documents"
 ENDPOINTS = "endpoints"
 READ_TOPICS = (DOCUMENTS, ENDPOINTS)
@@ -42,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DueDigest:
-    """A digest that is due.
+    """A digest to send now.
 
     Attributes
     ----------
     scope : Scope
-        What it adds up.
+        Which hosts' totals it carries.
     """
 
     peer: PeerState
@@ -55,40 +54,40 @@
 
 
 @dataclass(slots=True)
-class _Census:
-    """Who is alive at a time.
+class _Liveness:
+    """Snapshot of which hosts are alive.
 
     Attributes
     ----------
-    by_zone : dict of str to list of Peer
-        The living.
-    lost : list of Peer
-        All others.
-    relays : dict of str to list of str
-        Found as they are asked for.
+    alive_by_zone : dict of str to list of PeerState
+        The alive hosts.
+    not_alive : list of PeerState
+        All other hosts.
+    aggregators : dict of str to list of str
+        Addresses by zone, computed on first use.
     """
 
     at: float
-    by_zone: dict[str, list[PeerState]]
-    lost: list[PeerState]
+    alive_by_zone: dict[str, list[PeerState]]
+    not_alive: list[PeerState]
     zones: set[str]
-    relays: dict[str, list[str]] = field(default_factory=dict)
+    aggregators: dict[str, list[str]] = field(default_factory=dict)
 
 
 @dataclass
 class PeerTable:
-    """Peers by address.
+    """The other hosts by address.
 
-    In each zone the first hosts by rendezvous hashing are its relays. All hosts of the zone
-    report to them; they exchange sums with the relays of the other zones, and tell their zone
-    the sum of all. So what a host sends and hears doesn't grow with the number of hosts, and
-    nobody is asked or agreed with: hosts that see different ones alive for a moment report to
-    more relays than needed.
+    The first hosts of each zone in rendezvous order are its aggregators. All hosts of a zone
+    report to its aggregators, which exchange the zone's totals with the aggregators of other
+    zones and send the totals of all zones to their own zone. The messages that a host sends and
+    receives therefore don't grow with the number of hosts. The choice needs no agreement: hosts
+    that see different sets of alive hosts for a moment report to more aggregators than needed.
 
     Attributes
     ----------
     address, zone : str
-        Where this host receives, and its availability zone.
+        Address at which this host receives, and its availability zone.
     """
 
     address: str
@@ -96,302 +95,325 @@
     _peers: dict[str, PeerState] = field(default_factory=dict)
     _zone_heard_at: dict[str, float] = field(default_factory=dict)
     _rankings: dict[str, Ranking] = field(default_factory=dict)
-    _reporting: set[str] = field(default_factory=set)
-    _last_census: _Census | None = None
-    _forgot_at: float = -math.inf
+    _report_targets: set[str] = field(default_factory=set)
+    _last_liveness: _Liveness | None = None
+    _last_expiry_at: float = -math.inf
 
     def add_address(self, address: str, now: float, zone: str = "") -> None:
-        """Take in that a host may be at an address."""
+        """Record that a host is registered under an address."""
         if address == self.address:
             return
         if address not in self._peers:
-            self._last_census = None
+            self._last_liveness = None
         peer = self._peers.setdefault(address, PeerState(address))
         peer.zone = peer.zone or zone
-        peer.first_named_at = min(peer.first_named_at, now)
-        peer.named_at = now
+        peer.first_listed_at = min(peer.first_listed_at, now)
+        peer.last_listed_at = now
 
-    def is_gone(self, address: str, now: float, bound_s: float) -> bool:
-        """Tell whether nothing was heard for a time of a host whose address is known."""
+    def is_gone(self, address: str, now: float, timeout_s: float) -> bool:
+        """Tell whether nothing was heard for ``timeout_s`` from a host with a known address."""
         peer = self._peers.get(address)
         if peer is None:
             return False
-        return now - max(peer.first_named_at, peer.last_known_at) > bound_s
+        return now - max(peer.first_listed_at, peer.last_known_alive_at) > timeout_s
 
     def apply_digest(self, digest: Digest, now: float) -> bool:
-        """Take in a digest; False where it is older than the last one of its sender."""
+        """Apply a digest; return False if it is older than the last one of its sender."""
         if digest.address == self.address:
             return False
         peer = self._peers.setdefault(digest.address, PeerState(digest.address))
-        # A host that started anew has a later clock as well, as hosts don't go back
-        # in time; one that was replaced may have an earlier one.
-        if digest.stamp <= peer.last_stamp and now - peer.heard_at < ALIVE_S:
+        # A restarted host has a later stamp too, since its clock doesn't go back; a host that
+        # was replaced may have an earlier one.
+        if digest.stamp <= peer.last_stamp and now - peer.heard_at < ALIVE_TIMEOUT_S:
             return False
         if peer.zone != digest.zone or not peer.is_alive(now):
-            self._last_census = None
+            self._last_liveness = None
         peer.zone = digest.zone
         peer.heard_at = now
         peer.last_stamp = digest.stamp
         if digest.scope is Scope.HOST:
-            peer.reported_at = now
-        self._note_zone(digest.zone, now)
+            peer.report_received_at = now
+        self._record_zone(digest.zone, now)
         return True
 
     def find(self, address: str) -> PeerState | None:
-        """Return a host by its address."""
+        """Return a host by its address, or None."""
         return self._peers.get(address)
 
     def proven_at(self, digest: Digest, age_s: float) -> float | None:
-        """Return since when, by this host's clock, a digest's fact is surely true.
+        """Return a time, by this host's clock, as of which a fact in a digest is surely true.
 
-        The sender held this host's stamp for a time that its own clock measured, so
-        it sent the digest at least that long after the stamp. How long the digest
-        then was on its way, or lay unread while this host was suspended, can't make
-        its facts look younger than they are. None without such a stamp.
+        The sender measured by its own clock how long it had held this host's stamp, so it sent
+        the digest at least that long after the stamp. Time that the digest spent in transit, or
+        unread while this host was suspended, therefore can't make its facts look younger than
+        they are. None if the digest echoes no stamp.
 
         Parameters
         ----------
         age_s : float
-            Age of the fact as the digest was sent.
+            Age of the fact when the digest was sent.
         """
-        if digest.echo <= 0.0:
+        if digest.echoed_stamp <= 0.0:
             return None
-        return digest.echo + digest.held_s - age_s
+        return digest.echoed_stamp + digest.echo_delay_s - age_s
 
     @property
     def has_heard(self) -> bool:
-        """Whether any other host was heard of yet."""
+        """Whether a digest of any other host has arrived."""
         return any(peer.last_stamp > 0.0 for peer in self._peers.values())
 
     @property
     def is_alone(self) -> bool:
-        """Whether no other host is known of."""
+        """Whether no other host is known."""
         return not self._peers
 
     def alive_peers(self, now: float) -> list[PeerState]:
-        """Return the hosts that were heard of lately, by this host or a relay."""
-        return [peer for peers in self._census(now).by_zone.values() for peer in peers]
+        """Return the alive hosts, heard directly or attested by others."""
+        return [peer for peers in self._liveness(now).alive_by_zone.values() for peer in peers]
 
     def zone_peers(self, now: float) -> list[PeerState]:
-        """Return the hosts of the own zone that were heard of lately."""
-        return self.alive_in(self.zone, now)
+        """Return the alive hosts of this host's zone."""
+        return self.alive_peers_in(self.zone, now)
 
-    def alive_in(self, zone: str, now: float) -> list[PeerState]:
-        """Return the hosts of a zone that were heard of lately."""
-        return self._census(now).by_zone.get(zone, [])
+    def alive_peers_in(self, zone: str, now: float) -> list[PeerState]:
+        """Return the alive hosts of a zone."""
+        return self._liveness(now).alive_by_zone.get(zone, [])
 
-    def _census(self, now: float) -> _Census:
-        last = self._last_census
-        if last is not None and 0.0 <= now - last.at < CENSUS_S:
+    def _liveness(self, now: float) -> _Liveness:
+        last = self._last_liveness
+        if last is not None and 0.0 <= now - last.at < LIVENESS_TTL_S:
             return last
-        census = _Census(now, {}, [], set())
+        liveness = _Liveness(now, {}, [], set())
         for peer in self._peers.values():
             if peer.is_alive(now):
-                census.by_zone.setdefault(peer.zone, []).append(peer)
+                liveness.alive_by_zone.setdefault(peer.zone, []).append(peer)
             else:
-                census.lost.append(peer)
-            census.zones.add(peer.zone)
-        self._last_census = census
-        return census
+                liveness.not_alive.append(peer)
+            liveness.zones.add(peer.zone)
+        self._last_liveness = liveness
+        return liveness
 
     def silent_zones(self, now: float) -> frozenset[str]:
-        """Return the other zones that had hosts, of which none is heard any more."""
-        bound_s = SILENT_S if self.is_aggregator(now) else SILENT_S + RELAYED_S
-        heard = {zone for zone, at in self._zone_heard_at.items() if now - at < bound_s}
-        had_hosts = self._census(now).zones & self._zone_heard_at.keys()
+        """Return the other zones that had hosts and from which nothing is heard any more."""
+        timeout_s = (
+            ZONE_SILENCE_TIMEOUT_S
+            if self.is_aggregator(now)
+            else ZONE_SILENCE_TIMEOUT_S + AGGREGATION_DELAY_S
+        )
+        heard = {zone for zone, at in self._zone_heard_at.items() if now - at < timeout_s}
+        had_hosts = self._liveness(now).zones & self._zone_heard_at.keys()
         return frozenset(had_hosts - heard - {self.zone})
 
-    def _note_zone(self, zone: str, at: float) -> None:
+    def _record_zone(self, zone: str, at: float) -> None:
         self._zone_heard_at[zone] = max(at, self._zone_heard_at.get(zone, -math.inf))
 
-    # Relays
+    # Aggregators
 
     def aggregators(self, zone: str, now: float) -> list[str]:
-        """Return the addresses of a zone's relays, this host's possibly included.
+        """Return the addresses of a zone's aggregators, possibly including this host.
 
-        The hosts that read the store for the zone are among them: what they prove to a host
-        is only as young as the last stamp of its that they have.
+        The hosts that read the store for the zone are among them, because their proofs to a host
+        are only as recent as the last stamp of that host that they have.
         """
-        census = self._census(now)
-        found = census.relays.get(zone)
+        liveness = self._liveness(now)
+        found = liveness.aggregators.get(zone)
         if found is None:
-            found = census.relays[zone] = self._find_relays(zone, now)
+            found = liveness.aggregators[zone] = self._find_aggregators(zone, now)
         return found
 
-    def _find_relays(self, zone: str, now: float) -> list[str]:
-        hosts = [peer.address for peer in self.alive_in(zone, now)]
+    def _find_aggregators(self, zone: str, now: float) -> list[str]:
+        hosts = [peer.address for peer in self.alive_peers_in(zone, now)]
         if zone == self.zone:
             hosts.append(self.address)
         if not hosts:
             return []
         orders = [self._rank(topic, zone, hosts) for topic in READ_TOPICS]
-        found = {address for order in orders for address in self._first(order, 1, now)}
-        if len(found) < RELAYS:
-            found.update(self._first(orders[0], RELAYS, now))
+        found = {address for order in orders for address in self._first_responsive(order, 1, now)}
+        if len(found) < MIN_AGGREGATORS:
+            found.update(self._first_responsive(orders[0], MIN_AGGREGATORS, now))
         return sorted(found)
 
-    def _first(self, order: list[str], answering: int, now: float) -> list[str]:
-        """Return the first hosts up to so many that answer.
+    def _first_responsive(self, order: list[str], responsive: int, now: float) -> list[str]:
+        """Return the first hosts in order until ``responsive`` of them respond.
 
-        A silent one stays in until it is known to be dead: one that lives and hears nothing
-        would not learn who takes its place.
+        An unresponsive host is included until it is known to be dead: a host that is alive but
+        hears nothing would not learn which host replaces it.
         """
         found = []
         for address in order:
             found.append(address)
             peer = self._peers.get(address)
-            answering -= peer is None or not peer.is_silent(now)
-            if answering == 0:
+            responsive -= peer is None or not peer.is_unresponsive(now)
+            if responsive == 0:
                 break
         return found
 
     def is_aggregator(self, now: float) -> bool:
-        """Tell whether this host adds up for its zone."""
+        """Tell whether this host is an aggregator of its zone."""
         return self.address in self.aggregators(self.zone, now)
 
-    def zone_age_s(self, zone: str, now: float) -> float:
-        """Return how long ago a zone was last heard of."""
+    def zone_silence_s(self, zone: str, now: float) -> float:
+        """Return how long ago anything was last heard from a zone."""
         return max(0.0, now - self._zone_heard_at.get(zone, -math.inf))
 
     def heard_zones(self, now: float) -> set[str]:
-        """Return the own zone and those of which this host heard one itself lately."""
+        """Return this host's zone and the zones of which it recently heard a host directly."""
         return {self.zone} | {
-            zone for zone, peers in self._census(now).by_zone.items() if _any_heard(peers, now)
+            zone
+            for zone, peers in self._liveness(now).alive_by_zone.items()
+            if _is_any_heard(peers, now)
         }
 
-    def vouch(self, zone: str, hosts: Iterable[str], at: float, is_first_hand: bool) -> None:
-        """Take in that hosts of a zone were known to be alive at a time.
+    def record_attestation(
+        self, zone: str, hosts: Iterable[str], at: float, is_first_hand: bool
+    ) -> None:
+        """Record that hosts of a zone were alive at a time.
 
         Parameters
         ----------
         is_first_hand : bool
-            Whether a host of that zone says so itself.
+            Whether the attesting host is in that zone itself.
         """
-        self._note_zone(zone, at)
+        self._record_zone(zone, at)
         for address in hosts:
             if address == self.address:
                 continue
             peer = self._peers.get(address)
             if peer is None:
                 peer = self._peers[address] = PeerState(address)
-                self._last_census = None
+                self._last_liveness = None
             peer.zone = zone
             if is_first_hand:
                 peer.attested_at = max(peer.attested_at, at)
             else:
-                peer.vouched_at = max(peer.vouched_at, at)
+                peer.attestation_forwarded_at = max(peer.attestation_forwarded_at, at)
 
-    def drop_vouched(self, hosts: Iterable[str]) -> None:
-        """Take in that nobody vouches for hosts any longer."""
+    def clear_attestations(self, hosts: Iterable[str]) -> None:
+        """Record that no host attests the given hosts any longer."""
         for address in hosts:
             peer = self._peers.get(address)
             if peer is not None:
-                peer.attested_at = peer.vouched_at = -math.inf
-        self._last_census = None
+                peer.attested_at = peer.attestation_forwarded_at = -math.inf
+        self._last_liveness = None
 
-    # Who is told what
+    # Digests to send
 
-    def due(
+    def due_digests(
         self,
         now: float,
-        near_s: float,
-        far_s: float,
-        fleet_s: float,
-        news_at: float = -math.inf,
+        report_interval_s: float,
+        zone_interval_s: float,
+        fleet_interval_s: float,
+        changed_at: float = -math.inf,
     ) -> list[DueDigest]:
-        """Return the digests that should go out now.
+        """Return the digests to send now, and record them as sent.
 
         Parameters
         ----------
-        near_s, far_s, fleet_s : float
-            Pauses between two reports to a relay, between two sums to another zone, whose
-            bytes are dear, and between two sums to a host of the own zone.
-        news_at : float
-            Since when there is something that can't wait for the end of a pause.
+        report_interval_s, zone_interval_s, fleet_interval_s : float
+            Intervals between two reports to an aggregator, between two zone totals to another
+            zone (traffic between zones is expensive), and between two fleet totals to a host of
+            this host's zone.
+        changed_at : float
+            When state last changed that must be sent without waiting for the interval.
         """
-        self._forget(now)
-        relays = self.aggregators(self.zone, now)
-        tellings = [
-            DueDigest(self._peers[each], Scope.HOST) for each in relays if each in self._peers
+        self._expire_peers(now)
+        aggregators = self.aggregators(self.zone, now)
+        reports = [
+            DueDigest(self._peers[each], Scope.HOST) for each in aggregators if each in self._peers
         ]
-        self._note_reports({telling.peer.address for telling in tellings}, now)
-        due = [each for each in tellings if each.peer.is_due(now, near_s, news_at)]
+        self._update_report_targets({digest.peer.address for digest in reports}, now)
+        due = [each for each in reports if each.peer.is_due(now, report_interval_s, changed_at)]
         due += [
             DueDigest(peer, Scope.FLEET)
-            for peer in self.served(now)
-            if peer.address not in relays and peer.is_due(now, fleet_s, news_at)
+            for peer in self.reporting_peers(now)
+            if peer.address not in aggregators and peer.is_due(now, fleet_interval_s, changed_at)
         ]
-        if self.address in relays:
-            due += self._due_far(now, far_s, news_at)
-        due += self._probes(now)
-        for telling in due:
-            telling.peer.told_at = now
+        if self.address in aggregators:
+            due += self._due_zone_digests(now, zone_interval_s, changed_at)
+        due += self._choose_probes(now)
+        for digest in due:
+            digest.peer.last_sent_at = now
         return due
 
-    def served(self, now: float) -> list[PeerState]:
-        """Return the hosts of the own zone that report to this one."""
-        return [peer for peer in self.zone_peers(now) if now - peer.reported_at < REPORTED_S]
+    def reporting_peers(self, now: float) -> list[PeerState]:
+        """Return the alive hosts of this host's zone that report to it."""
+        return [
+            peer for peer in self.zone_peers(now) if now - peer.report_received_at < REPORT_TTL_S
+        ]
 
-    def _note_reports(self, relays: set[str], now: float) -> None:
-        for address in self._reporting - relays:
+    def _update_report_targets(self, aggregators: set[str], now: float) -> None:
+        for address in self._report_targets - aggregators:
             peer = self._peers.get(address)
             if peer is not None:
-                peer.report_since = math.inf
-        for address in relays - self._reporting:
-            self._peers[address].report_since = now
-        self._reporting = relays
+                peer.reporting_since = math.inf
+        for address in aggregators - self._report_targets:
+            self._peers[address].reporting_since = now
+        self._report_targets = aggregators
 
-    def _due_far(self, now: float, far_s: float, news_at: float) -> list[DueDigest]:
-        zones = sorted(self._census(now).zones - {"", self.zone})
+    def _due_zone_digests(
+        self, now: float, zone_interval_s: float, changed_at: float
+    ) -> list[DueDigest]:
+        zones = sorted(self._liveness(now).zones - {"", self.zone})
         peers = [self._peers[address] for zone in zones for address in self.aggregators(zone, now)]
-        return [DueDigest(peer, Scope.ZONE) for peer in peers if peer.is_due(now, far_s, news_at)]
+        return [
+            DueDigest(peer, Scope.ZONE)
+            for peer in peers
+            if peer.is_due(now, zone_interval_s, changed_at)
+        ]
 
-    def _probes(self, now: float) -> list[DueDigest]:
-        """Return some hosts that are not known to live, where one of their zone is needed."""
-        census = self._census(now)
-        if not census.lost:
+    def _choose_probes(self, now: float) -> list[DueDigest]:
+        """Return hosts not known to be alive to probe, in zones where an alive one is needed."""
+        liveness = self._liveness(now)
+        if not liveness.not_alive:
             return []
         needed = {""}
-        if not any(now - peer.heard_at < RELAY_SILENT_S for peer in self.zone_peers(now)):
+        if not any(
+            now - peer.heard_at < AGGREGATOR_SILENCE_TIMEOUT_S for peer in self.zone_peers(now)
+        ):
             needed.add(self.zone)
         is_aggregator = self.is_aggregator(now)
         if is_aggregator:
-            needed |= census.zones - census.by_zone.keys() - {self.zone}
-        unknown = [
+            needed |= liveness.zones - liveness.alive_by_zone.keys() - {self.zone}
+        probed = [
             peer
-            for peer in census.lost
-            if (peer.zone in needed and now - peer.told_at >= PROBE_S)
-            or (is_aggregator and peer.zone == self.zone and now - peer.told_at >= LOST_PROBE_S)
+            for peer in liveness.not_alive
+            if (peer.zone in needed and now - peer.last_sent_at >= PROBE_INTERVAL_S)
+            or (
+                is_aggregator
+                and peer.zone == self.zone
+                and now - peer.last_sent_at >= LOST_PEER_PROBE_INTERVAL_S
+            )
         ]
-        unknown.sort(key=lambda peer: peer.told_at)
-        return [DueDigest(peer, Scope.NONE) for peer in unknown[:PROBES]]
+        probed.sort(key=lambda peer: peer.last_sent_at)
+        return [DueDigest(peer, Scope.NONE) for peer in probed[:MAX_PROBES]]
 
-    def _forget(self, now: float) -> None:
-        if now - self._forgot_at < FORGET_PAUSE_S:
+    def _expire_peers(self, now: float) -> None:
+        if now - self._last_expiry_at < EXPIRY_INTERVAL_S:
             return
-        self._forgot_at = now
-        self._last_census = None
+        self._last_expiry_at = now
+        self._last_liveness = None
         for address, peer in list(self._peers.items()):
-            if now - max(peer.named_at, peer.last_known_at) > KEPT_S:
+            if now - max(peer.last_listed_at, peer.last_known_alive_at) > PEER_TTL_S:
                 del self._peers[address]
 
-    # Who does what
+    # Ranks
 
     def reader_rank(self, topic: str, now: float) -> int:
-        """Return how many live hosts of the own zone come before this one in reading."""
+        """Return how many alive hosts of the own zone precede this one as reader of a topic."""
         hosts = [self.address, *(peer.address for peer in self.zone_peers(now))]
         return self._rank(topic, self.zone, hosts).index(self.address)
 
-    def keepers(self, session: str) -> list[str]:
-        """Return the addresses of the hosts that keep a session, this one's possibly included.
+    def session_owners(self, session: str) -> list[str]:
+        """Return the addresses of the hosts that own a session, possibly including this one.
 
-        Hosts that were silent for some time count as well: two hosts that hear different ones
-        lately must still find the same keepers.
+        Hosts that are silent count as well: two hosts that see different sets of alive hosts
+        must still find the same owners.
         """
-        return rank_hosts(session, [self.address, *self._peers])[:KEEPERS]
+        return rank_hosts(session, [self.address, *self._peers])[:OWNERS_PER_SESSION]
 
     def job_rank(self, job: str, now: float) -> int:
-        """Return how many live hosts come before this one for a job."""
+        """Return how many alive hosts of all zones precede this one for a job."""
         hosts = [self.address, *(peer.address for peer in self.alive_peers(now))]
         return self._rank(job, "", hosts).index(self.address)
 
@@ -400,5 +422,5 @@
         return ranking.rank(key, tuple(sorted(hosts)))
 
 
-def _any_heard(peers: list[PeerState], now: float) -> bool:
-    return any(now - peer.heard_at < ALIVE_S for peer in peers)
+def _is_any_heard(peers: list[PeerState], now: float) -> bool:
+    return any(now - peer.heard_at < ALIVE_TIMEOUT_S for peer in peers)
--- a/poplarrun/peers/_read_schedule.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -1,89 +1,91 @@
-"""Who reads the store for an availability zone, and who takes over."""
+"""When a host reads the store itself, and when it relies on the reader of its zone."""
 
 from dataclasses import dataclass
 
-# Part of the operators' bound on changes for which the store holds a read back, and the
-# longest such time in seconds. That nothing changed is told to the zone at its end.
-HELD_PART = 0.4
-MOST_HELD_S = 2.0
-# How much longer a host waits for its zone's reader, in seconds: for the age of its stamp
-# there, and for a reader that is slow.
-READER_MARGIN_S = 0.6
-# How much longer than that the store is away before records of endpoints that live may lapse,
-# in seconds.
+# Fraction of the operators' bound on the propagation of changes for which the store may hold a
+# read of the zone's reader open (long polling), and the longest such time. The reader tells its
+# zone only at the end of the read that nothing changed.
+LONG_POLL_FRACTION = 0.4
+MAX_LONG_POLL_S = 2.0
+# How much longer than a long poll a host waits for a proof by its zone's reader: for the age of
+# the host's stamp at the reader, and for a slow reader.
+PROOF_MARGIN_S = 0.6
+# How much longer than that the store must be unreachable before its records of live endpoints may
+# have expired.
 OUTAGE_MARGIN_S = 0.6
-# The bound where the operators name none, in seconds.
-USUAL_BOUND_S = 2.0
-# Further wait of each host that is later in line, and of all from the last such place on.
-STEP_S = 0.1
-MOST_STEPS = 3
+# The operators' bound if they set none.
+DEFAULT_BOUND_S = 2.0
+# Additional wait for each further rank of a host, and the number of ranks that add to it.
+RANK_DELAY_S = 0.1
+MAX_RANK_STEPS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ReadTimeouts:
-    """How long reads of the store take, and hosts wait for each other's.
+    """Timeouts of reads of the store and of waiting for another host's reads.
 
     Attributes
     ----------
-    held_s : float
-        How long the store holds a read of the zone's reader back.
-    patience_s : float
-        Knowledge that nobody has proven for so long is read anew: the zone's reader may be
-        dead, suspended, slow, or cut off from the store.
-    outage_s : float
-        After so long without an answer or a proof the store is taken to be away.
+    long_poll_s : float
+        How long the store may hold a read of the zone's reader open.
+    proof_timeout_s : float
+        State that has not been proven current for this long is read again: the zone's reader
+        may be dead, suspended, slow, or cut off from the store.
+    outage_timeout_s : float
+        Time without an answer or a proof after which the store counts as unreachable.
     """
 
-    held_s: float
-    patience_s: float
-    outage_s: float
+    long_poll_s: float
+    proof_timeout_s: float
+    outage_timeout_s: float
 
     @classmethod
-    def within(cls, bound_s: float) -> "ReadTimeouts":
-        """Return the times that keep a bound.
+    def for_bound(cls, bound_s: float) -> "ReadTimeouts":
+        """Return the timeouts that keep a bound on the propagation of changes.
 
         Parameters
         ----------
         bound_s : float
-            Time in which all hosts must know of a leaving endpoint and of a configuration.
+            Time within which all hosts must know of a leaving endpoint and of a new
+            configuration.
         """
-        held_s = min(MOST_HELD_S, HELD_PART * bound_s)
-        patience_s = held_s + READER_MARGIN_S
-        return cls(held_s, patience_s, patience_s + OUTAGE_MARGIN_S)
+        long_poll_s = min(MAX_LONG_POLL_S, LONG_POLL_FRACTION * bound_s)
+        proof_timeout_s = long_poll_s + PROOF_MARGIN_S
+        return cls(long_poll_s, proof_timeout_s, proof_timeout_s + OUTAGE_MARGIN_S)
 
 
-DEFAULT_READ_TIMEOUTS = ReadTimeouts.within(USUAL_BOUND_S)
+DEFAULT_READ_TIMEOUTS = ReadTimeouts.for_bound(DEFAULT_BOUND_S)
 
 
 @dataclass
 class ReadSchedule:
-    """Whether this host reads a topic now, or goes on by what its zone's reader proves.
+    """Decides whether this host reads a topic now, or relies on the proofs of its zone's reader.
 
-    The first in line of a zone reads all the time and tells the others what it read, and
-    that nothing else was there. Nobody is asked and nothing is agreed: a host reads for
-    itself as soon as its knowledge is too old or known to be behind. Two readers cost
-    calls, none costs at most the patience.
+    The host of rank 0 in a zone reads continuously, and tells the others what it read and that
+    there was nothing else. The choice needs no agreement: a host reads for itself as soon as
+    its state is too old or known to be behind. Two readers cost additional calls; having none
+    delays changes by the proof timeout at most.
 
     Attributes
     ----------
     is_behind : bool
-        Whether a peer has more than this host.
+        Whether a peer is known to have newer state than this host.
     """
 
     times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     is_behind: bool = False
 
-    def wait_s(self, place: int, true_at: float, now: float) -> float:
+    def wait_s(self, rank: int, current_as_of: float, now: float) -> float:
         """Return the seconds until this host reads for itself, 0 for now.
 
         Parameters
         ----------
-        place : int
-            Live hosts of the zone that come before this one.
-        true_at : float
-            When its knowledge was the newest for sure.
+        rank : int
+            Number of alive hosts of the zone that precede this one.
+        current_as_of : float
+            Latest time at which its state was surely current.
         """
-        if place == 0 or self.is_behind:
+        if rank == 0 or self.is_behind:
             return 0.0
-        patience_s = self.times.patience_s + STEP_S * min(place - 1, MOST_STEPS)
-        return max(0.0, true_at + patience_s - now)
+        proof_timeout_s = self.times.proof_timeout_s + RANK_DELAY_S * min(rank - 1, MAX_RANK_STEPS)
+        return max(0.0, current_as_of + proof_timeout_s - now)
--- a/poplarrun/peers/_totals.py
+++ b/poplarrun/peers/_totals.py
@@ -1,4 +1,4 @@
-"""Sums of what hosts run and saw, over a zone and over the fleet."""
+"""Totals of endpoint loads and version outcomes over a zone and over the fleet."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -6,61 +6,61 @@
 
 from poplarrun.peers._messages import ActivityTotals, EndpointLoad, VersionTally
 
-# A share that is older counts no more, in seconds: its host may be dead, or its holder have
-# lost its zone.
-SHARE_KEPT_S = 3.2
-# Own shares that are remembered until the hosts that add them up have taken the next one.
-OWN_KEPT = 32
+# Received totals older than this are ignored: their sender may be dead, or may have lost contact
+# with its zone.
+TOTALS_TTL_S = 3.2
+# This host's own totals that are remembered until its aggregators have received later ones.
+MAX_OWN_TOTALS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedTotals:
-    """A share that another host told.
+    """Totals that another host sent.
 
     Attributes
     ----------
-    at : float
-        When it came.
+    received_at : float
+        When they arrived, by this host's clock.
     stamp : float
-        The sender's clock as it sent it.
+        The sender's clock when it sent them.
     """
 
-    share: ActivityTotals
-    at: float
+    totals: ActivityTotals
+    received_at: float
     stamp: float = 0.0
 
 
 class TotalsAccumulator:
-    """Adds shares up, or takes one of them out again."""
+    """Adds totals, and subtracts totals that were added before."""
 
     def __init__(self) -> None:
         self.hosts = 0
         self._loads: dict[str, tuple[int, int]] = {}
         self._tallies: dict[tuple[str, str, str], VersionTally] = {}
 
-    def add(self, share: ActivityTotals, sign: int = 1) -> None:
-        """Add a share.
+    def add(self, totals: ActivityTotals, sign: int = 1) -> None:
+        """Add totals.
 
         Parameters
         ----------
         sign : int
-            -1 to take out a share that was added before.
+            -1 to subtract totals that were added before.
         """
-        self.hosts += sign * share.hosts
-        for load in share.loads:
+        self.hosts += sign * totals.hosts
+        for load in totals.loads:
             in_flight, pending_ms = self._loads.get(load.lifetime, (0, 0))
             self._loads[load.lifetime] = (
                 max(0, in_flight + sign * load.in_flight),
                 max(0, pending_ms + sign * load.pending_ms),
             )
-        for news in share.tallies:
-            key = (news.service, news.version, news.kind)
+        for tally in totals.tallies:
+            key = (tally.service, tally.version, tally.kind)
             known = self._tallies.get(key)
-            self._tallies[key] = news if known is None else _add(known, news, sign)
+            self._tallies[key] = tally if known is None else _add_tallies(known, tally, sign)
 
     @property
-    def share(self) -> ActivityTotals:
-        """The sum."""
+    def totals(self) -> ActivityTotals:
+        """The current sum."""
         loads = [
             EndpointLoad(lifetime, in_flight, pending_ms)
             for lifetime, (in_flight, pending_ms) in self._loads.items()
@@ -69,8 +69,8 @@
         return ActivityTotals(self.hosts, loads, list(self._tallies.values()))
 
 
-def _add(one: VersionTally, other: VersionTally, sign: int) -> VersionTally:
-    # Endpoints that broke off are a set: taking them out would lose those that others saw.
+def _add_tallies(one: VersionTally, other: VersionTally, sign: int) -> VersionTally:
+    # Endpoints that broke off are a set: subtracting them would lose those that others saw too.
     broken = sorted({*one.broken, *other.broken})
     return VersionTally(
         one.service,
@@ -85,96 +85,105 @@
     )
 
 
-def add_up(shares: Iterable[ActivityTotals]) -> ActivityTotals:
-    """Return the sum of shares."""
-    total = TotalsAccumulator()
-    for share in shares:
-        total.add(share)
-    return total.share
+def sum_totals(parts: Iterable[ActivityTotals]) -> ActivityTotals:
+    """Return the sum of totals."""
+    accumulator = TotalsAccumulator()
+    for part in parts:
+        accumulator.add(part)
+    return accumulator.totals
 
 
 @dataclass
 class TotalsTable:
-    """What a host knows of the shares of all others.
+    """The latest totals received from all other hosts.
 
-    Its own zone's hosts tell theirs if they take it for a relay, relays of other zones tell
-    their zones' sums, and relays of its own zone tell the sum of all that they know. Of sums
-    over the same hosts the one that covers most of them counts, so that a relay that has just
-    begun, or hears few, hides nothing.
+    Hosts of this zone send their own totals if they take this host for an aggregator,
+    aggregators of other zones send the totals of their zones, and aggregators of this zone send
+    the totals of all hosts that they know. Of several totals over the same zone or fleet, the one
+    that covers the most hosts is used, so that an aggregator that has just started, or hears few
+    hosts, hides nothing.
     """
 
-    _near: dict[str, ReceivedTotals] = field(default_factory=dict)
-    _zones: dict[str, dict[str, ReceivedTotals]] = field(default_factory=dict)
-    _fleet: dict[str, ReceivedTotals] = field(default_factory=dict)
-    _own: OrderedDict[float, ActivityTotals] = field(default_factory=OrderedDict)
+    _zone_hosts: dict[str, ReceivedTotals] = field(default_factory=dict)
+    _other_zones: dict[str, dict[str, ReceivedTotals]] = field(default_factory=dict)
+    _fleet_totals: dict[str, ReceivedTotals] = field(default_factory=dict)
+    _own_totals: OrderedDict[float, ActivityTotals] = field(default_factory=OrderedDict)
 
-    def note_own(self, share: ActivityTotals, stamp: float) -> None:
-        """Remember what this host told of itself."""
-        self._own[stamp] = share
-        while len(self._own) > OWN_KEPT:
-            self._own.popitem(last=False)
+    def record_own(self, totals: ActivityTotals, stamp: float) -> None:
+        """Remember the own totals that this host sent with a stamp."""
+        self._own_totals[stamp] = totals
+        while len(self._own_totals) > MAX_OWN_TOTALS:
+            self._own_totals.popitem(last=False)
 
-    def take_near(self, host: str, told: ReceivedTotals) -> None:
-        """Take in the own share of a host of the own zone."""
-        self._near[host] = told
+    def apply_host_totals(self, host: str, received: ReceivedTotals) -> None:
+        """Store the own totals of a host of this zone."""
+        self._zone_hosts[host] = received
 
-    def take_zone(self, zone: str, host: str, told: ReceivedTotals) -> None:
-        """Take in the sum of another zone, as one of its hosts tells it."""
-        self._zones.setdefault(zone, {})[host] = told
+    def apply_zone_totals(self, zone: str, host: str, received: ReceivedTotals) -> None:
+        """Store the totals of another zone as one of its hosts sent them."""
+        self._other_zones.setdefault(zone, {})[host] = received
 
-    def take_fleet(self, host: str, told: ReceivedTotals, counted: float) -> None:
-        """Take in the sum of all hosts, without what this one has told itself.
+    def apply_fleet_totals(
+        self, host: str, received: ReceivedTotals, included_stamp: float
+    ) -> None:
+        """Store the totals of all hosts, after subtracting this host's own part.
 
         Parameters
         ----------
-        counted : float
-            Stamp of the own share that is in the sum; 0 for none.
+        included_stamp : float
+            Stamp of this host's own totals that are included; 0 for none.
         """
-        share = told.share
-        if counted:
-            own = self._own.get(counted)
+        totals = received.totals
+        if included_stamp:
+            own = self._own_totals.get(included_stamp)
             if own is None:
                 return
-            rest = TotalsAccumulator()
-            rest.add(share)
-            rest.add(own, -1)
-            share = rest.share
-        self._fleet[host] = ReceivedTotals(share, told.at, told.stamp)
+            remainder = TotalsAccumulator()
+            remainder.add(totals)
+            remainder.add(own, -1)
+            totals = remainder.totals
+        self._fleet_totals[host] = ReceivedTotals(totals, received.received_at, received.stamp)
 
     def stamp_of(self, host: str) -> float:
-        """Return the stamp of the share of a host that counts in the sums told; 0 for none."""
-        told = self._near.get(host)
-        return 0.0 if told is None else told.stamp
-
-    def zone_sum(self, own: ActivityTotals, now: float) -> ActivityTotals:
-        """Return the sum of the own zone, this host included."""
-        _drop_old(self._near, now)
-        return add_up([own, *(told.share for told in self._near.values())])
-
-    def far_sum(self, now: float) -> ActivityTotals:
-        """Return the sum of all other zones."""
-        found = [_best(tellers, now) for tellers in self._zones.values()]
-        return add_up(told.share for told in found if told is not None)
-
-    def fleet_sum(self, own: ActivityTotals, now: float) -> ActivityTotals:
-        """Return the sum of all zones, this host included."""
-        return add_up([self.zone_sum(own, now), self.far_sum(now)])
-
-    def others(self, now: float) -> ActivityTotals:
-        """Return the best known sum of all hosts but this one."""
-        _drop_old(self._near, now)
-        near = [told.share for told in self._near.values()]
-        known = add_up([*near, self.far_sum(now)])
-        told = _best(self._fleet, now)
-        return known if told is None or told.share.hosts <= known.hosts else told.share
-
-
-def _drop_old(told: dict[str, ReceivedTotals], now: float) -> None:
-    for host in [host for host, each in told.items() if now - each.at > SHARE_KEPT_S]:
-        del told[host]
-
-
-def _best(told: dict[str, ReceivedTotals], now: float) -> ReceivedTotals | None:
-    """Return the share that covers most hosts, the newest of these; None for none."""
-    _drop_old(told, now)
-    return max(told.values(), key=lambda each: (each.share.hosts, each.at), default=None)
+        """Return the stamp of the totals of a host that are included in sums; 0 for none."""
+        received = self._zone_hosts.get(host)
+        return 0.0 if received is None else received.stamp
+
+    def compute_zone_totals(self, own: ActivityTotals, now: float) -> ActivityTotals:
+        """Return the totals of this host's zone, this host included."""
+        _drop_expired(self._zone_hosts, now)
+        return sum_totals([own, *(received.totals for received in self._zone_hosts.values())])
+
+    def compute_other_zones_totals(self, now: float) -> ActivityTotals:
+        """Return the totals of all other zones."""
+        found = [
+            _choose_widest(received_by_host, now) for received_by_host in self._other_zones.values()
+        ]
+        return sum_totals(received.totals for received in found if received is not None)
+
+    def compute_fleet_totals(self, own: ActivityTotals, now: float) -> ActivityTotals:
+        """Return the totals of all zones, this host included."""
+        return sum_totals(
+            [self.compute_zone_totals(own, now), self.compute_other_zones_totals(now)]
+        )
+
+    def estimate_others(self, now: float) -> ActivityTotals:
+        """Return the best known totals of all hosts but this one."""
+        _drop_expired(self._zone_hosts, now)
+        zone = [received.totals for received in self._zone_hosts.values()]
+        known = sum_totals([*zone, self.compute_other_zones_totals(now)])
+        fleet = _choose_widest(self._fleet_totals, now)
+        return known if fleet is None or fleet.totals.hosts <= known.hosts else fleet.totals
+
+
+def _drop_expired(received: dict[str, ReceivedTotals], now: float) -> None:
+    for host in [host for host, each in received.items() if now - each.received_at > TOTALS_TTL_S]:
+        del received[host]
+
+
+def _choose_widest(received: dict[str, ReceivedTotals], now: float) -> ReceivedTotals | None:
+    """Return the totals that cover the most hosts, the newest of these; None if there are none."""
+    _drop_expired(received, now)
+    return max(
+        received.values(), key=lambda each: (each.totals.hosts, each.received_at), default=None
+    )
