--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -118,7 +118,7 @@
         context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
     assert asyncio.run(context.follower._step())
-    context.follower.true_at = 0.0
+    context.follower.current_as_of = 0.0
 
 
 @when("it is told of the records {first:d} to {last:d}")
@@ -168,17 +168,17 @@
 
 @then("its list is the newest at {at:f}")
 def step_newest(context, at):
-    assert context.follower.true_at == at
+    assert context.follower.current_as_of == at
 
 
 @then("it reads the store at once from record {number:d}")
 def step_reads(context, number):
     async def read():
         async with asyncio.timeout(1.0):
-            await context.follower.reading.wait(lambda: context.follower.true_at)
+            await context.follower.reading.wait(lambda: context.follower.current_as_of)
         await context.follower._step()
 
-    context.follower.true_at = boot_time()
+    context.follower.current_as_of = boot_time()
     asyncio.run(read())
     assert context.store.reads == [number], context.store.reads
 
--- a/poplarrun/gateway/__main__.py
+++ b/poplarrun/gateway/__main__.py
@@ -15,7 +15,7 @@
     path = Path(os.environ.get(PATH_VARIABLE, ""))
     settings = load_node_settings(path)
     if isinstance(settings, InvalidSettings):
-        print("\n".join(settings.lines), file=sys.stderr)
+        print("\n".join(settings.problems), file=sys.stderr)
         return 2
     handler = set_up_logs(settings.name)
     try:
--- a/poplarrun/gateway/_activity.py
+++ b/poplarrun/gateway/_activity.py
@@ -20,7 +20,7 @@
 
 # Under this name the sum of all other hosts stands among the tallies and loads.
 OTHERS = "others"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 # Least pause between two sums over all that other hosts told, in seconds.
 SUM_PAUSE_S = 0.05
 
@@ -109,7 +109,8 @@
         self._summed_at = now
         others = self._shares.estimate_others(now)
         loads = {
-            load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS) for load in others.loads
+            load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS_PER_S)
+            for load in others.loads
         }
         self._placement.take_others(OTHERS, loads)
         tallies = {
@@ -150,7 +151,9 @@
     def _loads(self) -> list[EndpointLoad]:
         return [
             EndpointLoad(
-                member.listing.lifetime, member.in_flight, int(member.pending_s * MILLISECONDS)
+                member.listing.lifetime,
+                member.in_flight,
+                int(member.pending_s * MILLISECONDS_PER_S),
             )
             for member in self._placement.members()
             if member.in_flight
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -148,10 +148,10 @@
         answer = await self._read()
         now = boot_time()
         match answer:
-            case LatestRecords(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = end
-            case Records(entries=entries, end=end, true_at=true_at):
+            case Records(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = entries[-1].offset + 1 if entries else self.offset
                 if self.offset is not None and self.offset < end:
@@ -169,7 +169,7 @@
         if self._health.note_answer(now):
             write_event(events.StoreBack("documents", self.offset or 0))
         if self._knowledge.catalogue is not None:
-            self._knowledge.confirm(true_at)
+            self._knowledge.confirm(current_as_of)
         return True
 
     async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
@@ -230,7 +230,7 @@
     ) -> None:
         self.is_known = False
         self.is_served = False
-        self.true_at = float("-inf")
+        self.current_as_of = float("-inf")
         self.reading = reading
         self.tell_zone: Callable[[], None] = _tell_nobody
         self.tell_changes: Callable[[tuple[Entry, ...], bool], None] = _tell_no_changes
@@ -242,7 +242,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self.reading.wait(lambda: self.true_at)
+            await self.reading.wait(lambda: self.current_as_of)
             is_good = await self._step()
             self._expire(boot_time())
             if is_good:
@@ -253,12 +253,12 @@
         answer = await self._read()
         now = boot_time()
         match answer:
-            case LatestRecords(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_newest(entries, now)
                 self._directory.offset = end
                 self.is_known = True
                 self.is_served = True
-            case Records(entries=entries, true_at=true_at):
+            case Records(entries=entries, current_as_of=current_as_of):
                 self._note_answer(now)
                 self._take_records(entries, now)
             case OffsetExpired():
@@ -272,7 +272,7 @@
                 return False
         self.reading.has_failed = False
         self._note_answer(now)
-        self.true_at = max(self.true_at, true_at)
+        self.current_as_of = max(self.current_as_of, current_as_of)
         self._placement.update(self._directory.listings())
         return True
 
@@ -292,7 +292,7 @@
         if end > self._directory.offset:
             self.reading.hurry()
         elif end == self._directory.offset:
-            self.true_at = max(self.true_at, true_at)
+            self.current_as_of = max(self.current_as_of, true_at)
             self._health.note_proof(true_at)
 
     def steady_s(self, now: float) -> float:
@@ -412,5 +412,5 @@
                 write_event(events.DocumentIgnored(entry.key, str(error)))
                 continue
             self._rollouts.take_status(status)
-        self.offset = answer.end
+        self.offset = answer.end_offset
         return True
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -226,7 +226,7 @@
         # Without an id, only the first answer on a connection is surely this one's.
         if answer.is_not_run and (is_ours or connection.uses == 1):
             raise AttemptError(SaidNotRun(answer.status, answer.status == 421))
-        if not answer.is_genuine or not is_ours:
+        if not answer.is_signed or not is_ours:
             raise AttemptError(Garbled("bears no signature"))
 
     async def _relay_whole(self, opened: _Open) -> None:
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -78,17 +78,17 @@
         self.settings = settings
         self.metrics = Metrics()
         self.metrics.expose_lines(handler.counts)
-        self._store = StoreClient(settings.store, self._record_call)
-        self._knowledge = Knowledge(settings.key_bound_s)
+        self._store = StoreClient(settings.store_address, self._record_call)
+        self._knowledge = Knowledge(settings.key_revocation_s)
         self._directory = Directory()
         self._placement = Placement(settings.zone, random.Random())
-        self._rollouts = Rollouts(settings.session_s, settings.exposure)
+        self._rollouts = Rollouts(settings.session_s, settings.max_exposure_fraction)
         self._dispatch = Dispatch(
             self._knowledge,
             self._placement,
             self._rollouts,
             SizePolicy(),
-            RETRY_FRACTION * settings.retry_earned,
+            RETRY_FRACTION * settings.retries_per_request,
             host_retry_allowance(settings.retry_allowance, 0),
             settings.retry_window_s,
         )
@@ -96,10 +96,10 @@
         self._recorder = RequestRecorder(self.metrics)
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
-        self._capacity = compute_capacity(settings.memory_mb, settings.most_sockets)
+        self._capacity = compute_capacity(settings.memory_mb, settings.max_sockets)
         self._callers.most_connections = self._capacity.callers
-        peer_table = PeerTable(settings.peers, settings.zone)
-        times = ReadTimeouts.for_bound(settings.change_bound_s)
+        peer_table = PeerTable(settings.peer_address, settings.zone)
+        times = ReadTimeouts.for_bound(settings.change_propagation_s)
         self._documents = DocumentFollower(
             self._store,
             self._knowledge,
@@ -115,7 +115,7 @@
         )
         self._peering = Peering(
             peer_table,
-            NngLinks(settings.peers),
+            NngLinks(settings.peer_address),
             self._store,
             self._knowledge,
             self._documents,
@@ -155,20 +155,22 @@
         self._start(self._peering.run(self.settings.seeds))
         self._start(self._peering.announce())
         self._start(self._keep_house())
-        await self._callers.listen(self.settings.callers)
-        await self._observers.listen(self.settings.readiness)
+        await self._callers.listen(self.settings.caller_address)
+        await self._observers.listen(self.settings.readiness_address)
         await self._listen_for_metrics()
         settings = self.settings
-        write_event(events.HostStarted(settings.zone, settings.callers, settings.peers))
+        write_event(
+            events.HostStarted(settings.zone, settings.caller_address, settings.peer_address)
+        )
         await self._leaving.wait()
         await self._stop()
 
     async def _listen_for_metrics(self) -> None:
         try:
-            await self._observers.listen(self.settings.metrics)
+            await self._observers.listen(self.settings.metrics_address)
         except OSError as error:
             # Callers are served without metrics rather than not at all.
-            write_event(events.MetricsUnavailable(self.settings.metrics, str(error)))
+            write_event(events.MetricsUnavailable(self.settings.metrics_address, str(error)))
 
     async def _stop(self) -> None:
         """Let the balancer turn callers away, then finish what is open."""
@@ -179,7 +181,7 @@
         await asyncio.sleep(BALANCER_S)
         self._is_closed = True
         self._callers.close_idle()
-        stop_at = begun_at + self.settings.stop_s - STOP_MARGIN_S
+        stop_at = begun_at + self.settings.stop_grace_s - STOP_MARGIN_S
         while self._open and boot_time() < stop_at:
             await asyncio.sleep(STOP_POLL_S)
             self._callers.close_idle()
@@ -190,7 +192,7 @@
         """Answer one request of a caller."""
         request = decode_request(head.method, head.target, head.headers, body)
         if isinstance(request, BadRequest):
-            respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.text))
+            respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.message))
             return
         now = boot_time()
         self._note_belief(now)
@@ -289,16 +291,16 @@
         """Read the settings again; a bad file changes nothing."""
         loaded = load_node_settings(self._path)
         if isinstance(loaded, InvalidSettings):
-            write_event(events.SettingsBad(list(loaded.lines)))
+            write_event(events.SettingsBad(list(loaded.problems)))
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.key_bound_s = loaded.key_bound_s
+        self._knowledge.key_bound_s = loaded.key_revocation_s
         self._rollouts.session_s = loaded.session_s
-        self._rollouts.exposure = loaded.exposure
-        self._capacity = compute_capacity(loaded.memory_mb, loaded.most_sockets)
+        self._rollouts.exposure = loaded.max_exposure_fraction
+        self._capacity = compute_capacity(loaded.memory_mb, loaded.max_sockets)
         self._callers.most_connections = self._capacity.callers
-        self._store.address = loaded.store
+        self._store.address = loaded.store_address
 
     def _report_crash(self, error: BaseException | None) -> None:
         write_event(events.RequestCrashed("".join(traceback.format_exception(error))))
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -281,7 +281,7 @@
             echo_delay_s=0.0,
             config_version=-1 if catalogue is None else catalogue.version,
             config_age_s=min(1e6, self._knowledge.age_s(now)),
-            listing_age_s=min(1e6, now - self._listings.true_at),
+            listing_age_s=min(1e6, now - self._listings.current_as_of),
             documents_end_offset=-1 if self._documents.offset is None else self._documents.offset,
             listing_end_offset=self._directory.offset if self._listings.is_known else -1,
             store_available_s=self._listings.steady_s(now),
@@ -377,7 +377,7 @@
         if listed_at is not None:
             self._listings.note_proof(digest.listing_end_offset, listed_at)
         wants_config = self._is_config_late(digest.config_version, version, now)
-        is_old = now - self._listings.true_at > OLD_LISTING_S
+        is_old = now - self._listings.current_as_of > OLD_LISTING_S
         wants_listing = is_old and digest.listing_age_s < OLD_LISTING_S
         if (wants_config or wants_listing) and now - self._asked_at > ASK_PERIOD_S:
             self._asked_at = now
--- a/poplarrun/platform/__init__.py
+++ b/poplarrun/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter to the platform: names, formats and calls of its interfaces, without any decisions."""
 
 from poplarrun.platform._documents import (
     MalformedDocument,
--- a/poplarrun/platform/_documents.py
+++ b/poplarrun/platform/_documents.py
@@ -1,4 +1,4 @@
-"""The operators' documents in the store, validated and turned into the product's types."""
+"""Decoding of the operators' documents in the store."""
 
 import json
 from typing import Annotated, TypeVar
@@ -21,8 +21,8 @@
     Size,
 )
 
-MILLISECONDS = 1000.0
-REPEATS = {
+MILLISECONDS_PER_S = 1000.0
+REPEAT_BY_TYPE = {
     "idempotent": Repeat.IDEMPOTENT,
     "non_idempotent": Repeat.ONCE,
     "streaming": Repeat.STREAM,
@@ -30,7 +30,7 @@
 DEFAULT_GAP_MS = 1000.0
 
 M = TypeVar("M", bound=Struct)
-Positive = Annotated[float, Meta(gt=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
 PositiveInt = Annotated[int, Meta(gt=0)]
 
 
@@ -48,8 +48,8 @@
     host: str
     path_prefix: str
     type: str
-    timeout_ms: Positive
-    target_latency_ms: Positive
+    timeout_ms: PositiveFloat
+    target_latency_ms: PositiveFloat
     priority: int = 5
     service: str | None = None
     split: tuple[_Split, ...] = ()
@@ -80,8 +80,8 @@
 class _Limits(_Model, frozen=True):
     max_header_bytes: PositiveInt = 16_384
     max_body_bytes: PositiveInt = 4_194_304
-    header_timeout_ms: Positive = 3000
-    idle_timeout_ms: Positive = 15_000
+    header_timeout_ms: PositiveFloat = 3000
+    idle_timeout_ms: PositiveFloat = 15_000
 
 
 class _Tenant(_Model, frozen=True):
@@ -101,7 +101,7 @@
 class _Rollout(_Model, frozen=True):
     service: str
     target: str
-    duration_s: Positive
+    duration_s: PositiveFloat
 
 
 class _Status(_Model, frozen=True):
@@ -111,7 +111,7 @@
 
 
 class MalformedDocument(Exception):
-    """A document that has no effect; the text names the field."""
+    """A document that is ignored; the message names the field."""
 
 
 def decode_catalogue(value: bytes) -> Catalogue:
@@ -119,8 +119,8 @@
 
     Raises
     ------
-    Malformed
-        When any field is missing or of another type.
+    MalformedDocument
+        If a field is missing or has the wrong type.
     """
     config = _validate(_Config, value)
     by_host: dict[str, list[Route]] = {}
@@ -140,8 +140,8 @@
     limits = CallerLimits(
         config.limits.max_header_bytes,
         config.limits.max_body_bytes,
-        config.limits.header_timeout_ms / MILLISECONDS,
-        config.limits.idle_timeout_ms / MILLISECONDS,
+        config.limits.header_timeout_ms / MILLISECONDS_PER_S,
+        config.limits.idle_timeout_ms / MILLISECONDS_PER_S,
     )
     services = {service.name: _service(service) for service in config.services}
     return Catalogue(config.version, routes, services, accounts, limits)
@@ -152,48 +152,48 @@
 
     Raises
     ------
-    Malformed
-        When any field is missing or of another type.
+    MalformedDocument
+        If a field is missing or has the wrong type.
     """
     order = _validate(_Rollout, value)
     return RolloutOrder(order.service, order.target, order.duration_s, offset)
 
 
 def decode_status(service: str, value: bytes) -> RolloutStatus:
-    """Decode what is recorded of a roll-out.
+    """Decode the recorded status of a roll-out.
 
     Raises
     ------
-    Malformed
-        When any field is missing or of another type.
+    MalformedDocument
+        If a field is missing or has the wrong type.
     """
     status = _validate(_Status, value)
     return RolloutStatus(service, status.target, status.phase)
 
 
 def encode_status(status: RolloutStatus) -> bytes:
-    """Encode what is to be recorded of a roll-out."""
+    """Encode the status of a roll-out."""
     document = {"service": status.service, "target": status.target, "phase": status.phase.value}
     return json.dumps(document).encode()
 
 
 def _route(route: _Route) -> Route:
-    if route.type not in REPEATS:
-        raise MalformedDocument(f"routes.{route.name}.type: {route.type!r} is not known")
+    if route.type not in REPEAT_BY_TYPE:
+        raise MalformedDocument(f"routes.{route.name}.type: unknown type {route.type!r}")
     shares = tuple(Share(split.service, split.weight) for split in route.split)
     if not shares and route.service is not None:
         shares = (Share(route.service, 1.0),)
     if not shares:
-        raise MalformedDocument(f"routes.{route.name}.service: is missing")
+        raise MalformedDocument(f"routes.{route.name}.service: missing, and there is no split")
     return Route(
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        repeat=REPEATS[route.type],
+        repeat=REPEAT_BY_TYPE[route.type],
         pace=Pace(
-            route.timeout_ms / MILLISECONDS,
-            route.target_latency_ms / MILLISECONDS,
-            (route.gap_goal_ms or DEFAULT_GAP_MS) / MILLISECONDS,
+            route.timeout_ms / MILLISECONDS_PER_S,
+            route.target_latency_ms / MILLISECONDS_PER_S,
+            (route.gap_goal_ms or DEFAULT_GAP_MS) / MILLISECONDS_PER_S,
         ),
         rank=route.priority,
         shares=shares,
--- a/poplarrun/platform/_names.py
+++ b/poplarrun/platform/_names.py
@@ -1,16 +1,16 @@
-"""The platform's names on the wire, each with what it holds."""
+"""Names of headers, topics and keys in the platform's protocols."""
 
 # Headers of requests.
 REQUEST_ID = "X-Attempt-Id"
-TIME_LEFT = "X-Deadline-Ms"
+TIME_LEFT_MS = "X-Deadline-Ms"
 RESUME_AFTER = "Last-Event-Id"
 MODEL = "X-Model"
-TOKENS = "X-Token-Usage"
+TOKEN_COUNTS = "X-Token-Usage"
 LENGTH_HINT = "X-Length-Hint"
-PARTS = "X-Prompt-Prefix"
+PROMPT_PARTS = "X-Prompt-Prefix"
 SESSION = "Session"
 AUTHORIZATION = "Authorization"
-# Headers that the system sets for an endpoint.
+# Headers that the system adds for an endpoint.
 EXPECTED_LIFETIME = "X-Expect-Instance"
 ACCOUNT = "X-Tenant"
 PRIORITY = "X-Request-Priority"
@@ -19,7 +19,7 @@
 NOT_RUN = "X-Not-Executed"
 CONFIDENCE = "X-Confidence"
 
-# A caller may not set these for an endpoint: the system does, or leaves them out.
+# Callers' values of these are not forwarded: the system sets them itself, or omits them.
 SYSTEM_HEADERS = frozenset(
     name.lower().encode()
     for name in (
@@ -35,7 +35,7 @@
         "Kv-Fetch",
     )
 )
-# Headers that concern one connection only.
+# Hop-by-hop headers, which concern a single connection.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
--- a/poplarrun/platform/_records.py
+++ b/poplarrun/platform/_records.py
@@ -1,4 +1,4 @@
-"""Records of endpoints in the store, validated and turned into listings."""
+"""Decoding of the records of endpoints in the store."""
 
 from typing import Annotated
 
@@ -10,11 +10,11 @@
 
 READY = "ready"
 DRAINING = "draining"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 
 
-# A field of another type marks a record of another writer, which names no endpoint to use:
-# nothing is converted.
+# Types are strict: a field of another type shows that another writer made the record, and no
+# endpoint should be derived from it.
 class _Record(Struct, frozen=True, rename="camel"):
     service: Annotated[str, Meta(min_length=1)]
     address: Address
@@ -31,7 +31,7 @@
 
 
 def decode_listing(lifetime: str, value: bytes) -> Listing | None:
-    """Decode an endpoint's record; None where it isn't one."""
+    """Decode an endpoint's record; None if it is no valid record of an endpoint."""
     try:
         record = _DECODER.decode(value)
     except (ValidationError, DecodeError, UnicodeDecodeError, RecursionError):
@@ -46,7 +46,7 @@
         version=record.version,
         places=record.slots,
         is_leaving=record.phase == DRAINING,
-        cold_s=max(0.0, record.cold_left_ms) / MILLISECONDS,
+        cold_s=max(0.0, record.cold_left_ms) / MILLISECONDS_PER_S,
         started_ms=record.born,
         sequence=record.sequence,
     )
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the platform, decoded once and encoded for endpoints."""
+"""Decoding of callers' requests and endpoints' answers, and encoding of headers for endpoints."""
 
 import re
 from collections.abc import Iterable
@@ -8,43 +8,43 @@
 from poplarrun.routing import PromptPart, Request, Work
 
 BEARER = "bearer "
-MILLISECONDS = 1000.0
-# Time that a caller waits when it names none, in seconds: the longest of any route.
-DEFAULT_TIME_S = 30.0
-MOST_TIME_S = 3600.0
-NUMBER = re.compile(r"^\d{1,15}$")
-# The platform's scale of urgency at an endpoint is 0 to 9, 0 first.
-LEAST_URGENT = 9
+MILLISECONDS_PER_S = 1000.0
+# Time limit of a caller that states none: the longest of any route.
+DEFAULT_TIME_LEFT_S = 30.0
+MAX_TIME_LEFT_S = 3600.0
+NUMBER_PATTERN = re.compile(r"^\d{1,15}$")
+# Priorities at an endpoint range from 0, the highest, to 9.
+LOWEST_PRIORITY = 9
 
 RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """A request that can't be understood; the text names the field."""
+    """A malformed request; the message names the header."""
 
-    text: str
+    message: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointAnswer:
-    """What the head of an endpoint's answer says.
+    """The head of an endpoint's answer.
 
     Attributes
     ----------
-    is_genuine : bool
-        Whether it bears the endpoint's signature.
+    is_signed : bool
+        Whether it has the endpoint's signature and no content encoding.
     request_id : str, optional
-        The request that it answers.
+        Id of the request that it answers.
     is_not_run : bool
         Whether the endpoint states that it did not run the request.
     confidence : float, optional
-        The model's opinion of the answer, 0 to 1.
+        The model's confidence in its answer, 0 to 1.
     """
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
-    is_genuine: bool
+    is_signed: bool
     request_id: str | None
     is_not_run: bool
     confidence: float | None
@@ -58,120 +58,126 @@
     Parameters
     ----------
     raw_headers : iterable of (bytes, bytes)
-        Names in the caller's own case.
+        Names and values, the names in the case that the caller used.
     """
-    passed_on: list[tuple[bytes, bytes]] = []
-    known: dict[str, str] = {}
+    forwarded: list[tuple[bytes, bytes]] = []
+    by_name: dict[str, str] = {}
     for name, value in raw_headers:
         lower = name.lower()
-        known.setdefault(lower.decode("latin-1"), value.decode("latin-1"))
+        by_name.setdefault(lower.decode("latin-1"), value.decode("latin-1"))
         if lower not in names.CONNECTION_HEADERS and lower not in names.SYSTEM_HEADERS:
-            passed_on.append((name, value))
-    for option in known.get("connection", "").split(","):
-        named = option.strip().lower().encode("latin-1")
-        passed_on = [item for item in passed_on if not named or item[0].lower() != named]
-    # The time left is told anew with each send.
-    time_name = names.TIME_LEFT.lower().encode()
-    passed_on = [item for item in passed_on if item[0].lower() != time_name]
-    request_id = known.get(names.REQUEST_ID.lower(), "")
+            forwarded.append((name, value))
+    for option in by_name.get("connection", "").split(","):
+        connection_header = option.strip().lower().encode("latin-1")
+        forwarded = [
+            item
+            for item in forwarded
+            if not connection_header or item[0].lower() != connection_header
+        ]
+    # Each send to an endpoint states the time that is left by then.
+    time_left_header = names.TIME_LEFT_MS.lower().encode()
+    forwarded = [item for item in forwarded if item[0].lower() != time_left_header]
+    request_id = by_name.get(names.REQUEST_ID.lower(), "")
     if not request_id:
         return BadRequest(f"{names.REQUEST_ID}: is missing")
-    time_left_s = DEFAULT_TIME_S
-    told = known.get(names.TIME_LEFT.lower())
-    if told is not None:
-        if not NUMBER.match(told.strip()):
-            return BadRequest(f"{names.TIME_LEFT}: {told[:40]!r} is not a whole number")
-        time_left_s = min(MOST_TIME_S, int(told) / MILLISECONDS)
-    prompt_tokens, most_tokens = _decode_tokens(known.get(names.TOKENS.lower(), ""))
+    time_left_s = DEFAULT_TIME_LEFT_S
+    time_left_text = by_name.get(names.TIME_LEFT_MS.lower())
+    if time_left_text is not None:
+        if not NUMBER_PATTERN.match(time_left_text.strip()):
+            return BadRequest(
+                f"{names.TIME_LEFT_MS}: {time_left_text[:40]!r} is not a whole number"
+            )
+        time_left_s = min(MAX_TIME_LEFT_S, int(time_left_text) / MILLISECONDS_PER_S)
+    prompt_tokens, most_tokens = _decode_tokens(by_name.get(names.TOKEN_COUNTS.lower(), ""))
     return Request(
         id=request_id,
         method=method,
         target=target,
-        host=known.get("host", "").rsplit(":", 1)[0].lower(),
-        headers=tuple(passed_on),
+        host=by_name.get("host", "").rsplit(":", 1)[0].lower(),
+        headers=tuple(forwarded),
         body=body,
         time_left_s=time_left_s,
-        api_key=_decode_key(known.get(names.AUTHORIZATION.lower())),
-        parts=_decode_parts(known.get(names.PARTS.lower(), "")),
+        api_key=_decode_api_key(by_name.get(names.AUTHORIZATION.lower())),
+        parts=_decode_parts(by_name.get(names.PROMPT_PARTS.lower(), "")),
         prompt_tokens=prompt_tokens,
         most_tokens=most_tokens,
-        hinted_tokens=_decode_number(known.get(names.LENGTH_HINT.lower())),
-        model=known.get(names.MODEL.lower()),
-        session=known.get(names.SESSION.lower()),
-        resume_after=_decode_number(known.get(names.RESUME_AFTER.lower())),
+        hinted_tokens=_decode_number(by_name.get(names.LENGTH_HINT.lower())),
+        model=by_name.get(names.MODEL.lower()),
+        session=by_name.get(names.SESSION.lower()),
+        resume_after=_decode_number(by_name.get(names.RESUME_AFTER.lower())),
     )
 
 
 def encode_request_headers(
-    work: Work, lifetime: str, time_left_s: float, urgency: int
+    work: Work, lifetime: str, time_left_s: float, priority: int
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of one send to an endpoint.
 
     Parameters
     ----------
     lifetime : str
-        The endpoint's lifetime; one that has another answers 421 and runs nothing.
-    urgency : int
-        0 to 9, 0 first.
+        Id of the endpoint; another endpoint at the address answers 421 and runs nothing.
+    priority : int
+        0 to 9; 0 is the highest.
     """
     request = work.request
     replaced = {names.RESUME_AFTER.lower().encode()} if work.last_event is not None else set()
     if work.size is not None:
         replaced.add(names.MODEL.lower().encode())
     headers = [item for item in request.headers if item[0].lower() not in replaced]
-    _add(headers, names.EXPECTED_LIFETIME, lifetime)
-    _add(headers, names.TIME_LEFT, str(max(1, int(time_left_s * MILLISECONDS))))
+    _append_header(headers, names.EXPECTED_LIFETIME, lifetime)
+    _append_header(headers, names.TIME_LEFT_MS, str(max(1, int(time_left_s * MILLISECONDS_PER_S))))
     if work.account is not None:
-        _add(headers, names.ACCOUNT, work.account.name)
+        _append_header(headers, names.ACCOUNT, work.account.name)
     if work.size is not None:
-        _add(headers, names.MODEL, work.size)
-        _add(headers, names.PRIORITY, str(min(LEAST_URGENT, max(0, urgency))))
+        _append_header(headers, names.MODEL, work.size)
+        _append_header(headers, names.PRIORITY, str(min(LOWEST_PRIORITY, max(0, priority))))
     if work.last_event is not None:
-        _add(headers, names.RESUME_AFTER, str(work.last_event))
+        _append_header(headers, names.RESUME_AFTER, str(work.last_event))
     return headers
 
 
 def decode_answer(status: int, raw_headers: RawHeaders) -> EndpointAnswer:
     """Decode the head of an endpoint's answer."""
-    kept: list[tuple[bytes, bytes]] = []
-    known: dict[str, str] = {}
+    forwarded: list[tuple[bytes, bytes]] = []
+    by_name: dict[str, str] = {}
     for name, value in raw_headers:
         lower = name.lower()
-        known.setdefault(lower.decode("latin-1"), value.decode("latin-1"))
+        by_name.setdefault(lower.decode("latin-1"), value.decode("latin-1"))
         if lower not in names.CONNECTION_HEADERS:
-            kept.append((name, value))
-    # Bytes in an encoding that nobody asked for are not the endpoint's own body.
-    is_plain = "content-encoding" not in known
-    confidence = _decode_number(known.get(names.CONFIDENCE.lower()))
+            forwarded.append((name, value))
+    # A body in an encoding that was not requested was not written by the endpoint.
+    is_plain = "content-encoding" not in by_name
+    confidence = _decode_number(by_name.get(names.CONFIDENCE.lower()))
     return EndpointAnswer(
         status=status,
-        headers=tuple(kept),
-        is_genuine=is_plain and bool(known.get(names.SIGNATURE.lower())),
-        request_id=known.get(names.REQUEST_ID.lower()),
-        is_not_run=status == 421 or names.NOT_RUN.lower() in known,
+        headers=tuple(forwarded),
+        is_signed=is_plain and bool(by_name.get(names.SIGNATURE.lower())),
+        request_id=by_name.get(names.REQUEST_ID.lower()),
+        is_not_run=status == 421 or names.NOT_RUN.lower() in by_name,
         confidence=None if confidence is None else confidence / 100.0,
     )
 
 
-def _add(headers: list[tuple[bytes, bytes]], name: str, value: str) -> None:
+def _append_header(headers: list[tuple[bytes, bytes]], name: str, value: str) -> None:
     headers.append((name.encode(), value.encode("latin-1")))
 
 
-def _decode_key(value: str | None) -> str | None:
+def _decode_api_key(value: str | None) -> str | None:
     if value is None or not value.lower().startswith(BEARER):
         return None
     return value[len(BEARER) :].strip()
 
 
 def _decode_number(value: str | None) -> int | None:
-    if value is None or not NUMBER.match(value.strip()):
+    if value is None or not NUMBER_PATTERN.match(value.strip()):
         return None
     return int(value)
 
 
 def _decode_tokens(value: str) -> tuple[int, int]:
-    prompt, _, most = value.partition(",")
-    return _decode_number(prompt) or 0, _decode_number(most) or 0
+    prompt, _, maximum = value.partition(",")
+    return _decode_number(prompt) or 0, _decode_number(maximum) or 0
 
 
 def _decode_parts(value: str) -> tuple[PromptPart, ...]:
--- a/poplarrun/platform/_settings.py
+++ b/poplarrun/platform/_settings.py
@@ -10,12 +10,12 @@
 from poplarrun.platform._validation import Address, InvalidDocument, validate
 
 PATH_VARIABLE = "POPLARRUN_NODE_FILE"
-# The platform reads metrics at a port that the deploy file names, while the ports of the
-# settings are new each day: the deploy file tells the process the same port.
-METRICS_VARIABLE = "POPLARRUN_METRICS_PORT"
-MILLISECONDS = 1000.0
-# Of its descriptors a process has so many for files only.
-FILE_DESCRIPTORS = 200
+# The platform scrapes metrics at the port in the deploy file, while the ports in the settings file
+# change each day; the deploy file passes its port to the process in this variable.
+METRICS_PORT_VARIABLE = "POPLARRUN_METRICS_PORT"
+MILLISECONDS_PER_S = 1000.0
+# Part of the limit on descriptors that is left for files.
+RESERVED_DESCRIPTORS = 200
 
 
 class _Model(Struct, frozen=True, rename="camel", kw_only=True):
@@ -65,57 +65,61 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a host of the platform learns from its settings.
+    """Settings of a host on the platform.
 
     Attributes
     ----------
-    callers, readiness : str
-        ``ip:port`` for callers and for the balancer's question whether it is ready.
-    peers : str
+    caller_address, readiness_address : str
+        ``ip:port`` for callers, and for the load balancer's readiness checks.
+    peer_address : str
         ``ip:port`` for the other hosts.
-    metrics : str
-        ``ip:port`` for counters and histograms.
-    key_bound_s : float, optional
-        Time in which a key that was taken away must be refused; None for none.
-    change_bound_s : float
-        Time in which a leaving endpoint and a new configuration must be known.
-    stop_s : float
+    metrics_address : str
+        ``ip:port`` for metrics.
+    seeds : tuple of str
+        Addresses of some other hosts.
+    key_revocation_s : float, optional
+        Time within which a revoked API key must be refused; None for no such bound.
+    change_propagation_s : float
+        Time within which a leaving endpoint and a new configuration must be known.
+    stop_grace_s : float
         Time from the request to stop until the host is killed.
-    retry_earned, retry_allowance : float
-        Second sends of all hosts together for each request, and beyond that.
+    retries_per_request, retry_allowance : float
+        Retries that all hosts together may make for each request, and in addition to that.
     retry_window_s : float
-        Time over which they are counted.
-    exposure : float
-        Share of a service's requests that a bad version may get.
-    memory_mb, most_sockets : int
-        Memory and open sockets above which the platform stops or hinders the process.
+        Time over which retries are counted.
+    session_s : float
+        Longest pause between two requests of a session.
+    max_exposure_fraction : float
+        Largest fraction of a service's requests that a bad version may get.
+    memory_mb, max_sockets : int
+        Memory and open sockets that the platform allows the process.
     """
 
     name: str
     zone: str
-    callers: str
-    readiness: str
-    peers: str
-    metrics: str
+    caller_address: str
+    readiness_address: str
+    peer_address: str
+    metrics_address: str
     seeds: tuple[str, ...]
-    store: str
-    key_bound_s: float | None
-    change_bound_s: float
-    stop_s: float
-    retry_earned: float
+    store_address: str
+    key_revocation_s: float | None
+    change_propagation_s: float
+    stop_grace_s: float
+    retries_per_request: float
     retry_allowance: float
     retry_window_s: float
     session_s: float
-    exposure: float
+    max_exposure_fraction: float
     memory_mb: int
-    most_sockets: int
+    max_sockets: int
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """Why a settings file can't be used, a line a field."""
+    """Why a settings file can't be used, one line for each field."""
 
-    lines: tuple[str, ...]
+    problems: tuple[str, ...]
 
 
 def load_node_settings(path: Path) -> NodeSettings | InvalidSettings:
@@ -129,20 +133,20 @@
     return NodeSettings(
         name=node.node_name,
         zone=node.zone,
-        callers=node.listen.frontend,
-        readiness=node.listen.readiness,
-        peers=node.listen.control_plane or f"{node.ip}:{first_port}",
-        metrics=f"{node.ip}:{os.environ.get(METRICS_VARIABLE) or last_port}",
+        caller_address=node.listen.frontend,
+        readiness_address=node.listen.readiness,
+        peer_address=node.listen.control_plane or f"{node.ip}:{first_port}",
+        metrics_address=f"{node.ip}:{os.environ.get(METRICS_PORT_VARIABLE) or last_port}",
         seeds=node.seeds,
-        store=node.platform.address,
-        key_bound_s=bounds.revoke_ms / MILLISECONDS if bounds.revoke_strict else None,
-        change_bound_s=min(bounds.drain_ms, bounds.config_apply_ms) / MILLISECONDS,
-        stop_s=bounds.grace_s,
-        retry_earned=bounds.retry_ratio,
+        store_address=node.platform.address,
+        key_revocation_s=bounds.revoke_ms / MILLISECONDS_PER_S if bounds.revoke_strict else None,
+        change_propagation_s=min(bounds.drain_ms, bounds.config_apply_ms) / MILLISECONDS_PER_S,
+        stop_grace_s=bounds.grace_s,
+        retries_per_request=bounds.retry_ratio,
         retry_allowance=bounds.retry_allowance,
         retry_window_s=bounds.retry_window_s,
         session_s=bounds.session_s,
-        exposure=bounds.exposure_share,
+        max_exposure_fraction=bounds.exposure_share,
         memory_mb=node.limits.memory_mb,
-        most_sockets=node.limits.max_fds - FILE_DESCRIPTORS,
+        max_sockets=node.limits.max_fds - RESERVED_DESCRIPTORS,
     )
--- a/poplarrun/platform/_store.py
+++ b/poplarrun/platform/_store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: an append-only log of topics with partitions."""
+"""Client of the platform's store, an append-only log of topics with partitions."""
 
 import asyncio
 import base64
@@ -19,27 +19,27 @@
 )
 
 CONNECT_TIMEOUT_S = 0.5
-# Longest wait for an answer beyond the wait that the call itself asks for, in
-# seconds. A slow store takes about 0.3 s; a connection that has gone silent must be
-# given up well within the bound on the age of keys.
+# Longest wait for an answer beyond the wait that the call itself requests. A slow store takes about
+# 0.3 s; a silent connection must be given up well within the bound on the age of API keys.
 ANSWER_TIMEOUT_S = 1.2
-# The same for a read that the store holds back: the next one has to end within the bound as
-# well, on a new connection.
-HELD_TIMEOUT_S = 0.7
-LENGTH = struct.Struct(">I")
-ENDS = struct.Struct(">QQ")
-MILLISECONDS = 1000.0
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+# The same for a long poll, where the next read, on a new connection, has to end within the bound
+# as well.
+LONG_POLL_MARGIN_S = 0.7
+# Length prefix of a record, and the end and first offsets ahead of the records.
+RECORD_LENGTH = struct.Struct(">I")
+OFFSETS = struct.Struct(">QQ")
+MILLISECONDS_PER_S = 1000.0
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A record with a key.
+    """A keyed record.
 
     Attributes
     ----------
     value : bytes, optional
-        None where the record takes the key away.
+        None if the record removes the key.
     """
 
     key: str
@@ -49,68 +49,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Records of a partition in order, each with its offset.
+    """Consecutive records of a partition.
 
     Attributes
     ----------
-    end, first : int
-        Offset of the next record, and of the oldest one kept.
-    true_at : float
-        When nothing else was there for sure, in seconds of ``boot_time``.
+    end_offset, first_offset : int
+        Offset of the next record to be appended, and of the oldest retained one.
+    current_as_of : float
+        Latest time of ``boot_time`` at which there were surely no further records.
     """
 
     entries: tuple[Entry, ...]
-    end: int
-    first: int
-    true_at: float
+    end_offset: int
+    first_offset: int
+    current_as_of: float
 
 
 @dataclass(frozen=True, slots=True)
 class LatestRecords:
-    """The newest record of each key."""
+    """The newest record of each key, and the offset and time as of which they are current."""
 
     entries: tuple[Entry, ...]
-    end: int
-    true_at: float
+    end_offset: int
+    current_as_of: float
 
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The records are in the log."""
+    """The records were appended."""
 
-    offset: int
-    end: int
+    first_offset: int
+    end_offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """The partition did not end where the append said; nothing was done.
+    """The partition did not end at the expected offset; nothing was appended.
 
     Attributes
     ----------
-    end : int
-        Where it ends.
+    end_offset : int
+        Where the partition ends.
     """
 
-    end: int
+    end_offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class OffsetExpired:
-    """The records from this offset on are no longer kept.
+    """The records from the requested offset on are no longer retained.
 
     Attributes
     ----------
-    first : int
-        Oldest offset that is.
+    first_offset : int
+        Offset of the oldest retained record.
     """
 
-    first: int
+    first_offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The store did nothing: busy, over its limits, or it turns this host away."""
+    """The store rejected the call without effect: busy, over its limits, or barring this host."""
 
     status: int
     reason: str
@@ -118,60 +118,60 @@
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No answer came: a change may have been made, or may be made seconds later."""
+    """No answer arrived: an append may have taken effect, or may do so seconds later."""
 
     reason: str
 
 
-Failure = Refused | NoAnswer
+StoreFailure = Refused | NoAnswer
 
 
 class StoreClient:
-    """Calls of the store; every call ends within its time.
+    """Calls the store; each call ends within its timeout.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the store.
-    record : callable, optional
-        Told of each call's name, outcome and seconds.
+    on_call : callable, optional
+        Called with the name, outcome and duration in seconds of each call.
     """
 
     def __init__(
-        self, address: str, record: Callable[[str, str, float], None] | None = None
+        self, address: str, on_call: Callable[[str, str, float], None] | None = None
     ) -> None:
         self.address = address
-        self._record = record
+        self._on_call = on_call
         self._pool = ConnectionPool()
 
     async def read(
         self, topic: str, offset: int, wait_s: float = 0.0
-    ) -> Records | OffsetExpired | Failure:
-        """Read records with keys, waiting for the first one for some time."""
+    ) -> Records | OffsetExpired | StoreFailure:
+        """Read records from an offset on, waiting up to ``wait_s`` if there are none yet."""
         query: dict[str, Any] = {"topic": topic, "part": 0, "from": offset}
         if wait_s > 0.0:
-            query["waitMs"] = int(wait_s * MILLISECONDS)
+            query["waitMs"] = int(wait_s * MILLISECONDS_PER_S)
         sent_at = boot_time()
-        beyond_s = HELD_TIMEOUT_S if wait_s > 0.0 else ANSWER_TIMEOUT_S
-        answer = await self._call("GET", "/log-read", query, b"", wait_s + beyond_s)
+        margin_s = LONG_POLL_MARGIN_S if wait_s > 0.0 else ANSWER_TIMEOUT_S
+        answer = await self._call("GET", "/log-read", query, b"", wait_s + margin_s)
         match answer:
             case (200, body):
                 entries, end, first = _decode_records(body, offset)
-                # An empty answer was held back for the whole wait, so it is as true
-                # as at its end; any other one is only known to be later than the call.
-                is_waited = not entries and wait_s > 0.0
-                return Records(entries, end, first, sent_at + (wait_s if is_waited else 0.0))
+                # The store held an empty answer for the whole wait, so it is current as of the
+                # end of the wait; any other answer is only known to be later than the call.
+                is_empty_poll = not entries and wait_s > 0.0
+                return Records(entries, end, first, sent_at + (wait_s if is_empty_poll else 0.0))
             case (410, body):
                 return OffsetExpired(int(_decode_json(body).get("first", 0)))
             case (status, body):
-                return Refused(status, _reason(body))
+                return Refused(status, _decode_reason(body))
         return answer
 
-    async def read_latest(self, topic: str) -> LatestRecords | Failure:
+    async def read_latest(self, topic: str) -> LatestRecords | StoreFailure:
         """Read the newest record of each key, page by page.
 
-        Pages are no snapshot: what changes meanwhile is read again from ``end`` on,
-        which is that of the first page.
+        The pages are no consistent snapshot. The end offset returned is that of the first page,
+        so that a read from there on returns what changed meanwhile.
         """
         entries: list[Entry] = []
         after: str | None = None
@@ -189,7 +189,7 @@
                     # A topic is created by its first record.
                     return LatestRecords((), 0, sent_at)
                 case (status, body):
-                    return Refused(status, _reason(body))
+                    return Refused(status, _decode_reason(body))
                 case failure:
                     return failure
             listed = page.get("entries", [])
@@ -200,18 +200,21 @@
             after = listed[-1]["key"]
 
     async def append(
-        self, topic: str, entries: Sequence[tuple[str, bytes | None]], at: int | None = None
-    ) -> Appended | Moved | Failure:
-        """Append records with keys, all or nothing.
+        self,
+        topic: str,
+        entries: Sequence[tuple[str, bytes | None]],
+        expected_end: int | None = None,
+    ) -> Appended | Moved | StoreFailure:
+        """Append keyed records, all or none.
 
         Parameters
         ----------
-        at : int, optional
-            Only if the partition ends there.
+        expected_end : int, optional
+            Append only if the partition ends at this offset.
         """
         query: dict[str, Any] = {"topic": topic, "part": 0}
-        if at is not None:
-            query["at"] = at
+        if expected_end is not None:
+            query["at"] = expected_end
         body = b"".join(_encode_entry(key, value) for key, value in entries)
         answer = await self._call("POST", "/log-append", query, body, ANSWER_TIMEOUT_S)
         match answer:
@@ -221,24 +224,24 @@
             case (412, data):
                 return Moved(int(_decode_json(data).get("end", 0)))
             case (status, data):
-                return Refused(status, _reason(data))
+                return Refused(status, _decode_reason(data))
         return answer
 
     async def _call(
         self, method: str, path: str, query: dict[str, Any], body: bytes, timeout_s: float
     ) -> tuple[int, bytes] | NoAnswer:
-        """Make one call, and tell how long it took."""
-        began_at = boot_time()
-        answer = await self._exchange(method, path, query, body, timeout_s)
-        if self._record is not None:
+        """Make one call and report its outcome and duration."""
+        started_at = boot_time()
+        answer = await self._request(method, path, query, body, timeout_s)
+        if self._on_call is not None:
             outcome = "no_answer" if isinstance(answer, NoAnswer) else str(answer[0])
-            self._record(path.lstrip("/"), outcome, boot_time() - began_at)
+            self._on_call(path.lstrip("/"), outcome, boot_time() - started_at)
         return answer
 
-    async def _exchange(
+    async def _request(
         self, method: str, path: str, query: dict[str, Any], body: bytes, timeout_s: float
     ) -> tuple[int, bytes] | NoAnswer:
-        """Send and read once; a connection without an answer is never used again."""
+        """Send a request and read its answer; a connection without an answer is not reused."""
         connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(timeout_s):
@@ -248,7 +251,7 @@
                 target = f"{path}?{urlencode(query)}".encode()
                 headers = [(b"Host", self.address.encode())]
                 if not connection.send(method.encode(), target, headers, body):
-                    return NoAnswer("closed before the call")
+                    return NoAnswer("connection closed before the call was sent")
                 head, data = await _read_whole(connection)
         except (TimeoutError, ConnectFailed, Broken) as error:
             if connection is not None:
@@ -269,33 +272,33 @@
     while (data := await connection.read_data()) is not None:
         parts.append(data)
         size += len(data)
-        if size > MOST_ANSWER_BYTES:
-            raise Broken("the answer is too large")
+        if size > MAX_ANSWER_BYTES:
+            raise Broken("the answer exceeds the size limit")
     return head, b"".join(parts)
 
 
 def _encode_entry(key: str, value: bytes | None) -> bytes:
     name = key.encode()
     content = bytes([len(name)]) + name + (value or b"")
-    return LENGTH.pack(len(content)) + content
+    return RECORD_LENGTH.pack(len(content)) + content
 
 
 def _decode_records(body: bytes, offset: int) -> tuple[tuple[Entry, ...], int, int]:
-    if len(body) < ENDS.size:
+    if len(body) < OFFSETS.size:
         return (), offset, 0
-    end, first = ENDS.unpack_from(body)
+    end, first = OFFSETS.unpack_from(body)
     entries = []
-    place = ENDS.size
-    while place + LENGTH.size <= len(body):
-        (size,) = LENGTH.unpack_from(body, place)
-        content = body[place + LENGTH.size : place + LENGTH.size + size]
-        entries.append(_decode_content(content, offset))
-        place += LENGTH.size + size
+    position = OFFSETS.size
+    while position + RECORD_LENGTH.size <= len(body):
+        (size,) = RECORD_LENGTH.unpack_from(body, position)
+        content = body[position + RECORD_LENGTH.size : position + RECORD_LENGTH.size + size]
+        entries.append(_decode_record(content, offset))
+        position += RECORD_LENGTH.size + size
         offset += 1
     return tuple(entries), end, first
 
 
-def _decode_content(content: bytes, offset: int) -> Entry:
+def _decode_record(content: bytes, offset: int) -> Entry:
     size = content[0] if content else 0
     key = content[1 : 1 + size].decode("utf-8", "replace")
     return Entry(key, content[1 + size :] or None, offset)
@@ -314,5 +317,5 @@
     return value if isinstance(value, dict) else {}
 
 
-def _reason(body: bytes) -> str:
+def _decode_reason(body: bytes) -> str:
     return str(_decode_json(body).get("reason", "")) or body[:80].decode("latin-1")
