--- a/features/documents.feature
+++ b/features/documents.feature
@@ -1,32 +1,30 @@
-Feature: The documents say what is so
+Feature: The documentation matches the code
 
-  Scenario: Each test that the promises name exists
-    # A promise without its test is a claim. A renamed scenario would leave the
-    # page pointing at nothing.
+  Scenario: Every scenario named in docs/PROMISES.md exists
+    # Guards against a renamed or removed scenario that leaves a guarantee without its test.
     Then every scenario that docs/PROMISES.md names exists
 
-  Scenario: The capacity page is the one that the measurements give
-    # A slope that changed while the page did not would be a figure that nobody
-    # measured.
-    Then docs/CAPACITY.md is what the committed measurements render to
+  Scenario: The capacity page matches the committed measurements
+    # Guards against a measured slope that changes while the page keeps its old figure.
+    Then docs/CAPACITY.md equals the page rendered from the committed measurements
 
-  Scenario: A line is fitted with its error
+  Scenario: A line fit returns the error of its slope
     Given points on the line 3 + 2 x, one of them 0.4 too high
     Then the fitted slope is 2 within its error
 
-  Scenario: Every package stands in the picture
+  Scenario: The architecture page names every package
     Then docs/ARCHITECTURE.md names every package
 
-  Scenario: A host of the gateway loads only what it serves with
-    # All hosts lose power at once and start anew. Callers get nothing until the program is
-    # loaded, and what it loads besides would double that time.
-    When the program of the gateway is loaded
-    Then it has not loaded "pydantic, urllib3, prometheus_client, cherrypy, numpy"
-    And it has not loaded "poplarrun.contracts, poplarrun.clients, poplarrun.endpoints"
+  Scenario: The gateway imports only the modules that it needs
+    # After a power failure all hosts start at once, and callers get no answer until the modules
+    # are loaded. Unneeded ones would double that time.
+    When the gateway's main module is imported
+    Then the modules "pydantic, urllib3, prometheus_client, cherrypy, numpy" are not loaded
+    And the modules "poplarrun.contracts, poplarrun.clients, poplarrun.endpoints" are not loaded
 
   Scenario Outline: Library examples run
     When the library example "<name>" runs
-    Then it ends well and prints "<text>"
+    Then it succeeds and prints "<text>"
 
     Examples:
       | name         | text                    |
@@ -37,17 +35,16 @@
       | membership   | a2 is held dead         |
       | keepers      | its lease gone: True    |
 
-  Scenario: Each counter stands in a page with its meaning
-    # Somebody is called at night by a counter. A name that no page explains
-    # leaves them to read the code; one that the code lost never fires.
-    Then docs/operating/counters.md explains every counter of the code, and no other
+  Scenario: Every counter is documented
+    # Guards against a counter that alerts an operator and is explained nowhere, and against a
+    # documented counter that the code doesn't increment any more.
+    Then docs/operating/counters.md documents exactly the counters in the code
 
-  Scenario: A counter that the page lacks is found
-    Given code that counts "a_new_event" and "some_family_" with an ending
-    When it is compared with the page
-    Then the page lacks "a_new_event, some_family_*"
+  Scenario: An undocumented counter is detected
+    Given code that counts "a_new_event" and "some_family_" with a variable suffix
+    When it is compared with docs/operating/counters.md
+    Then the counters "a_new_event, some_family_*" are undocumented
 
-  Scenario: The platform's names stand in its adapter alone
-    # A name of the platform's pages outside the adapter would make each change of the
-    # pages a change of the decisions.
-    Then no name on the platform's wire stands in poplarrun/ outside poplarrun/platform/
+  Scenario: Names of the platform's protocols occur only in its adapter
+    # Guards against changes of the platform's interfaces that require changes outside the adapter.
+    Then no name of the platform's protocols occurs in poplarrun/ outside poplarrun/platform/
--- a/features/shared_reading.feature
+++ b/features/shared_reading.feature
@@ -1,64 +1,64 @@
 Feature: One host of a zone reads the store for the others
 
-  Scenario: One host reads, and the others go on by what it proves
-    # Each call of the store is paid for. Of many hosts that hear each other one reads.
-    Given 6 hosts of a zone that hear each other
-    Then one of them reads "endpoints" now
+  Scenario: One host reads, and the others rely on its proofs
+    # Calls of the store are billed, so only one of many connected hosts should read.
+    Given 6 hosts of a zone that receive each other's digests
+    Then exactly one of them reads "endpoints" now
     And the others wait 1.4 to 1.7 s after the last proof
 
-  Scenario: A host that hears nothing of its zone reads for itself
-    Given 6 hosts of a zone of which one hears nobody
-    Then that one reads "endpoints" now
+  Scenario: A host that receives no digests from its zone reads for itself
+    Given 6 hosts of a zone of which one receives no digests
+    Then that host reads "endpoints" now
 
-  Scenario: A host that a peer is ahead of reads at once
-    Given 6 hosts of a zone that hear each other
-    When a peer has more than one of the others
-    Then that one reads at once, and only once
+  Scenario: A host that is behind a peer reads at once
+    Given 6 hosts of a zone that receive each other's digests
+    When a peer is ahead of one of the others
+    Then that host reads at once, and only once
 
-  Scenario: What the reader tells is taken in once and in order
-    # Messages come twice, late, or not at all. An endpoint that has left must not come
-    # back by an old message, and a gap is filled from the store.
-    Given a follower of endpoints that has read the records 0 to 1
-    When it is told of the records 2 to 3, then again of 1 to 3
-    Then it knows the endpoints of the records 0 to 3, each once
-    When it is told of the records 6 to 7
-    Then it knows the endpoints of the records 0 to 3, each once
+  Scenario: Records from the reader are applied once and in order
+    # Messages may be duplicated, delayed or lost. A delayed message must not restore an endpoint
+    # that has left, and missing records are read from the store.
+    Given a listing follower that has read records 0 to 1
+    When it receives records 2 to 3, then 1 to 3 from a peer
+    Then it lists the endpoints of records 0 to 3, each once
+    When it receives records 6 to 7 from a peer
+    Then it lists the endpoints of records 0 to 3, each once
     And it reads the store at once from record 4
 
-  Scenario: A proof counts only for who has read as much
-    # A peer proves that nothing was there beyond what it had read. A host that has read less
-    # would else take its own old list for the newest, and use an endpoint that left.
-    Given a follower of endpoints that has read the records 0 to 1
-    When a peer that has read up to record 1 proves its list true at 50.0
-    Then its list is the newest at 50.0
-    When a peer that has read up to record 3 proves its list true at 60.0
-    Then its list is the newest at 50.0
+  Scenario: A proof counts only for a host that has read as far
+    # A peer proves that there were no records after those that it had read. A host that has read
+    # fewer must not take its list for current, or it would use an endpoint that has left.
+    Given a listing follower that has read records 0 to 1
+    When a peer that has read up to record 1 proves its list current at 50.0
+    Then its list is proven current as of 50.0
+    When a peer that has read up to record 3 proves its list current at 60.0
+    Then its list is proven current as of 50.0
     And it reads the store at once from record 2
 
-  Scenario: What lapsed in an outage is told as that
-    # The store was away, and the records of endpoints that live lapsed. The reader of the
-    # zone knows; the others have not called the store. They must keep the endpoint too.
-    Given a follower of endpoints that has read the records 0 to 1
-    When it is told that record 2 takes endpoint 0 away by a lapse
-    Then it knows the endpoints of the records 0 to 1, each once
+  Scenario: Records that expired in an outage are marked as such
+    # The store had an outage, and records of live endpoints expired. The zone's reader has noticed
+    # that; the other hosts have not called the store, and must keep the endpoint as well.
+    Given a listing follower that has read records 0 to 1
+    When it receives from a peer that record 2 removes endpoint 0 after an outage
+    Then it lists the endpoints of records 0 to 1, each once
 
   @fixture.zone_trio
   Scenario: Readers are killed one after the other
-    # Whichever host reads for the zone, its callers and those of the others must not be sent
-    # to an endpoint that left, and a new configuration must come into force.
-    When host 0 is killed and "stock-1" takes the place of "stock-0"
+    # Whichever host reads for the zone, no host may send callers to an endpoint that has left, and
+    # a new configuration must take effect.
+    When host 0 is killed and "stock-1" replaces "stock-0"
     Then soon all calls of "/lookup/ring" at hosts "1, 2" reach "stock-1"
-    When host 1 is killed and "stock-2" takes the place of "stock-1"
+    When host 1 is killed and "stock-2" replaces "stock-1"
     Then soon all calls of "/lookup/ring" at hosts "2" reach "stock-2"
     And a new configuration is soon in force at hosts "2"
 
   @fixture.zone_trio
   Scenario Outline: A reader is suspended
-    # A host that stands still proves nothing, and the others take over.
-    When host <victim> is suspended and "stock-1" takes the place of "stock-0"
+    # A suspended host sends no proofs, and another host must take over.
+    When host <victim> is suspended and "stock-1" replaces "stock-0"
     Then soon all calls of "/lookup/ring" at hosts "<others>" reach "stock-1"
     And a new configuration is soon in force at hosts "<others>"
-    When host <victim> goes on
+    When host <victim> is resumed
     Then soon all calls of "/lookup/ring" at hosts "<victim>" reach "stock-1"
 
     Examples:
@@ -68,9 +68,9 @@
       | 2      | 0, 1   |
 
   @fixture.zone_trio
-  Scenario Outline: A reader is turned away by the store
-    # Its reads fail while it hears its zone: another one reads, and tells it.
-    When the store turns host <victim> away and "stock-1" takes the place of "stock-0"
+  Scenario Outline: A reader is rejected by the store
+    # Its reads fail while it hears its zone: another host must read and inform it.
+    When the store rejects host <victim> and "stock-1" replaces "stock-0"
     Then soon all calls of "/lookup/ring" at hosts "0, 1, 2" reach "stock-1"
     And a new configuration is soon in force at hosts "0, 1, 2"
 
@@ -80,12 +80,13 @@
       | 1      |
       | 2      |
 
-  Scenario: What leaves after a host was cut off is no lapse
-    # Guards against requests to an endpoint that left, from a host that took its own cut for an outage.
-    Given a follower of endpoints that has read the records 0 to 1
-    When it reaches the store after 8.0 s, and reads that record 2 takes endpoint 0 away
-    Then it knows the endpoints of the records 0 to 1, each once
-    When a peer tells that the store answered it for the last 3.0 s
-    Then it knows the endpoints of the records 0 to 1, each once
-    When a peer tells that the store answered it for the last 60.0 s
-    Then it knows the endpoints of the records 1 to 1, each once
+  Scenario: An endpoint that leaves after a host was cut off has not expired
+    # Guards against requests to an endpoint that has left, sent by a host that mistook its own
+    # loss of connection for an outage of the store.
+    Given a listing follower that has read records 0 to 1
+    When it reaches the store again after 8.0 s, and reads that record 2 removes endpoint 0
+    Then it lists the endpoints of records 0 to 1, each once
+    When a peer reports that the store has answered it for the last 3.0 s
+    Then it lists the endpoints of records 0 to 1, each once
+    When a peer reports that the store has answered it for the last 60.0 s
+    Then it lists the endpoints of records 1 to 1, each once
--- a/features/steps/documents.py
+++ b/features/steps/documents.py
@@ -10,7 +10,8 @@
 from scripts.capacity import PAGE, fit_line, render_page
 
 ROOT = Path(__file__).resolve().parents[2]
-NAMED = re.compile(r"`([a-z_]+): ([^`]+)`")
+# A scenario in docs/PROMISES.md: the name of its feature file and its title.
+SCENARIO_REFERENCE = re.compile(r"`([a-z_]+): ([^`]+)`")
 
 
 def scenarios_of(feature):
@@ -21,13 +22,13 @@
 
 @then("every scenario that docs/PROMISES.md names exists")
 def step_promises(context):
-    named = NAMED.findall((ROOT / "docs" / "PROMISES.md").read_text())
+    named = SCENARIO_REFERENCE.findall((ROOT / "docs" / "PROMISES.md").read_text())
     assert len(named) > 20
     missing = [(f, s) for f, s in named if s not in scenarios_of(f)]
     assert not missing, missing
 
 
-@then("docs/CAPACITY.md is what the committed measurements render to")
+@then("docs/CAPACITY.md equals the page rendered from the committed measurements")
 def step_capacity(context):
     assert PAGE.read_text() == render_page(), "run make capacity"
 
@@ -52,7 +53,7 @@
     assert not missing, missing
 
 
-@when("the program of the gateway is loaded")
+@when("the gateway's main module is imported")
 def step_load(context):
     code = "import sys, poplarrun.gateway.__main__; print(*sys.modules)"
     done = subprocess.run(
@@ -62,7 +63,7 @@
     assert "poplarrun.gateway" in context.loaded
 
 
-@then('it has not loaded "{names}"')
+@then('the modules "{names}" are not loaded')
 def step_not_loaded(context, names):
     loaded = context.loaded & set(names.split(", "))
     assert not loaded, loaded
@@ -79,22 +80,22 @@
     )
 
 
-@then('it ends well and prints "{text}"')
+@then('it succeeds and prints "{text}"')
 def step_example_ends(context, text):
     assert context.done.returncode == 0, context.done.stderr
     assert text in context.done.stdout, context.done.stdout
 
 
-@then("docs/operating/counters.md explains every counter of the code, and no other")
+@then("docs/operating/counters.md documents exactly the counters in the code")
 def step_counters(context):
     found = counters.find_counters()
     assert len(found.names) > 80 and not found.unclear, found.unclear
     lacking, unknown = counters.compare(found, counters.list_explained())
-    assert not lacking, f"explain in docs/operating/counters.md: {lacking}"
-    assert not unknown, f"not counted any more: {unknown}"
+    assert not lacking, f"undocumented in docs/operating/counters.md: {lacking}"
+    assert not unknown, f"documented, but not in the code: {unknown}"
 
 
-@given('code that counts "{name}" and "{beginning}" with an ending')
+@given('code that counts "{name}" and "{beginning}" with a variable suffix')
 def step_new_counter(context, name, beginning):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
@@ -103,24 +104,24 @@
     context.found = counters.find_counters(Path(folder.name))
 
 
-@when("it is compared with the page")
+@when("it is compared with docs/operating/counters.md")
 def step_compare_counters(context):
     context.lacking, _ = counters.compare(context.found, counters.list_explained())
 
 
-@then('the page lacks "{names}"')
+@then('the counters "{names}" are undocumented')
 def step_lacking(context, names):
     assert context.lacking == names.split(", "), context.lacking
 
 
-@then("no name on the platform's wire stands in poplarrun/ outside poplarrun/platform/")
+@then("no name of the platform's protocols occurs in poplarrun/ outside poplarrun/platform/")
 def step_wire_names(context):
     from poplarrun.platform import _names
 
     values = [value for name, value in vars(_names).items() if name.isupper()]
     headers = {value for value in values if isinstance(value, str) and "-" in value}
     headers |= {name.decode() for name in _names.SYSTEM_HEADERS} | {"pathPrefix", "apiKeys"}
-    # Standard names of HTTP belong to everybody, and topics are reached by constants.
+    # Standard HTTP names may occur anywhere, and topics are imported as constants.
     headers -= {"authorization"}
     assert len(headers) > 12
     words = re.compile("|".join(re.escape(header) for header in sorted(headers)), re.IGNORECASE)
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -13,8 +13,8 @@
 NOW = 100.0
 
 
-def make_book(number, count, now):
-    """Return the book of one host that has just heard all others of its zone."""
+def make_peer_table(number, count, now):
+    """Return the peer table of one host that has just received a digest of each other host."""
     peer_table = PeerTable(f"10.0.0.{number}:1", "a")
     for other in range(count):
         if other != number:
@@ -23,55 +23,55 @@
     return peer_table
 
 
-@given("{count:d} hosts of a zone that hear each other")
+@given("{count:d} hosts of a zone that receive each other's digests")
 def step_zone(context, count):
-    context.books = [make_book(number, count, NOW) for number in range(count)]
+    context.peer_tables = [make_peer_table(number, count, NOW) for number in range(count)]
 
 
-@given("{count:d} hosts of a zone of which one hears nobody")
+@given("{count:d} hosts of a zone of which one receives no digests")
 def step_alone(context, count):
-    context.books = [PeerTable("10.0.0.0:1", "a")]
+    context.peer_tables = [PeerTable("10.0.0.0:1", "a")]
 
 
-def wait_of(peer_table, true_at, topic=ENDPOINTS):
-    return ReadSchedule().wait_s(peer_table.reader_rank(topic, NOW), true_at, NOW)
+def wait_of(peer_table, current_as_of, topic=ENDPOINTS):
+    return ReadSchedule().wait_s(peer_table.reader_rank(topic, NOW), current_as_of, NOW)
 
 
-@then('one of them reads "{topic}" now')
+@then('exactly one of them reads "{topic}" now')
 def step_one_reads(context, topic):
-    waits = [wait_of(peer_table, NOW, topic) for peer_table in context.books]
+    waits = [wait_of(peer_table, NOW, topic) for peer_table in context.peer_tables]
     assert waits.count(0.0) == 1, waits
 
 
 @then("the others wait {least:f} to {most:f} s after the last proof")
 def step_others_wait(context, least, most):
-    waits = sorted(wait_of(peer_table, NOW) for peer_table in context.books)
+    waits = sorted(wait_of(peer_table, NOW) for peer_table in context.peer_tables)
     assert all(least - 1e-6 <= wait_s <= most + 1e-6 for wait_s in waits[1:]), waits
-    assert not any(wait_of(peer_table, NOW - most - 1e-6) for peer_table in context.books)
+    assert not any(wait_of(peer_table, NOW - most - 1e-6) for peer_table in context.peer_tables)
 
 
-@then('that one reads "{topic}" now')
-def step_that_one(context, topic):
-    assert wait_of(context.books[0], NOW, topic) == 0.0
+@then('that host reads "{topic}" now')
+def step_that_host(context, topic):
+    assert wait_of(context.peer_tables[0], NOW, topic) == 0.0
 
 
-@when("a peer has more than one of the others")
+@when("a peer is ahead of one of the others")
 def step_ahead(context):
-    peer_table = next(peer_table for peer_table in context.books if wait_of(peer_table, NOW))
-    context.duty, context.place = ReadSchedule(is_behind=True), peer_table.reader_rank(
+    peer_table = next(peer_table for peer_table in context.peer_tables if wait_of(peer_table, NOW))
+    context.schedule, context.rank = ReadSchedule(is_behind=True), peer_table.reader_rank(
         ENDPOINTS, NOW
     )
 
 
-@then("that one reads at once, and only once")
+@then("that host reads at once, and only once")
 def step_at_once(context):
-    assert context.duty.wait_s(context.place, NOW, NOW) == 0.0
-    context.duty.is_behind = False
-    assert context.duty.wait_s(context.place, NOW, NOW) > 0.0
+    assert context.schedule.wait_s(context.rank, NOW, NOW) == 0.0
+    context.schedule.is_behind = False
+    assert context.schedule.wait_s(context.rank, NOW, NOW) > 0.0
 
 
-class OneList:
-    """A store that lists two endpoints and keeps the offsets of later reads."""
+class TwoEndpointStore:
+    """Store double that lists two endpoints and records the offsets of later reads."""
 
     def __init__(self):
         self.reads = []
@@ -104,16 +104,16 @@
     )
 
 
-@given("a follower of endpoints that has read the records 0 to 1")
+@given("a listing follower that has read records 0 to 1")
 def step_follower(context):
-    # Another host of its zone comes first in line.
+    # A host that another host of its zone precedes as reader.
     numbers = range(20)
     peer_table = next(
         peer_table
-        for peer_table in (make_book(number, 20, boot_time()) for number in numbers)
+        for peer_table in (make_peer_table(number, 20, boot_time()) for number in numbers)
         if peer_table.reader_rank(ENDPOINTS, boot_time()) > 0
     )
-    context.store, context.directory = OneList(), Directory()
+    context.store, context.directory = TwoEndpointStore(), Directory()
     context.follower = ListingFollower(
         context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
@@ -121,31 +121,31 @@
     context.follower.current_as_of = 0.0
 
 
-@when("it is told of the records {first:d} to {last:d}")
-def step_told(context, first, last):
+@when("it receives records {first:d} to {last:d} from a peer")
+def step_records(context, first, last):
     context.follower.take_changes(make_entries(first, last), False)
 
 
-@when("it is told of the records {first:d} to {last:d}, then again of {again:d} to {end:d}")
-def step_told_again(context, first, last, again, end):
+@when("it receives records {first:d} to {last:d}, then {again:d} to {end:d} from a peer")
+def step_records_twice(context, first, last, again, end):
     context.follower.take_changes(make_entries(first, last), False)
     context.follower.take_changes(make_entries(again, end), False)
 
 
-@when("it is told that record {number:d} takes endpoint {gone:d} away by a lapse")
-def step_told_lapse(context, number, gone):
+@when("it receives from a peer that record {number:d} removes endpoint {gone:d} after an outage")
+def step_expiry(context, number, gone):
     context.follower.take_changes((Entry(f"engine-{gone}", None, number),), True)
 
 
-@then("it knows the endpoints of the records {first:d} to {last:d}, each once")
-def step_knows(context, first, last):
+@then("it lists the endpoints of records {first:d} to {last:d}, each once")
+def step_listed(context, first, last):
     known = [listing.lifetime for listing in context.directory.listings()]
     assert sorted(known) == [f"engine-{n}" for n in range(first, last + 1)], known
 
 
 @when(
-    "it reaches the store after {cut:f} s,"
-    " and reads that record {number:d} takes endpoint {gone:d} away"
+    "it reaches the store again after {cut:f} s, and reads that record {number:d} removes "
+    "endpoint {gone:d}"
 )
 def step_cut(context, cut, number, gone):
     now = boot_time()
@@ -155,19 +155,19 @@
     context.follower._take_records((Entry(f"engine-{gone}", None, number),), now)
 
 
-@when("a peer tells that the store answered it for the last {steady:f} s")
+@when("a peer reports that the store has answered it for the last {steady:f} s")
 def step_steady(context, steady):
     now = boot_time()
     context.follower.note_steady(now - steady, now)
 
 
-@when("a peer that has read up to record {last:d} proves its list true at {at:f}")
+@when("a peer that has read up to record {last:d} proves its list current at {at:f}")
 def step_proves(context, last, at):
     context.follower.note_proof(last + 1, at)
 
 
-@then("its list is the newest at {at:f}")
-def step_newest(context, at):
+@then("its list is proven current as of {at:f}")
+def step_current(context, at):
     assert context.follower.current_as_of == at
 
 
@@ -183,7 +183,7 @@
     assert context.store.reads == [number], context.store.reads
 
 
-@when('host {number:d} is killed and "{new}" takes the place of "{old}"')
+@when('host {number:d} is killed and "{new}" replaces "{old}"')
 def step_kill(context, number, new, old):
     process = context.installation.processes.pop(number)
     process.kill()
@@ -191,20 +191,20 @@
     replace(context.installation, new, old)
 
 
-@when('host {number:d} is suspended and "{new}" takes the place of "{old}"')
+@when('host {number:d} is suspended and "{new}" replaces "{old}"')
 def step_suspend(context, number, new, old):
     context.installation.signal_host(number, "SIGSTOP")
     replace(context.installation, new, old)
 
 
-@when('the store turns host {number:d} away and "{new}" takes the place of "{old}"')
-def step_turn_away(context, number, new, old):
+@when('the store rejects host {number:d} and "{new}" replaces "{old}"')
+def step_reject(context, number, new, old):
     context.installation.turn_away(number)
     replace(context.installation, new, old)
 
 
-@when("host {number:d} goes on")
-def step_go_on(context, number):
+@when("host {number:d} is resumed")
+def step_resume(context, number):
     context.installation.signal_host(number, "SIGCONT")
 
 
