--- a/features/steps/hosts.py
+++ b/features/steps/hosts.py
@@ -46,17 +46,17 @@
     start_fleet(context, zones, hosts)
 
 
-@given("{zones:d} zones of {hosts:d} hosts, links that lose {loss:f} and vary by {jitter:f} s")
+@given("{zones:d} zones of {hosts:d} hosts, links with loss {loss:f} and jitter {jitter:f} s")
 def step_lossy_fleet(context, zones, hosts, loss, jitter):
     faults = LinkFaults(jitter_s=jitter, loss_probability=loss)
     start_fleet(context, zones, hosts, faults)
     context.virtual.network.zone_faults = faults
 
 
-@given("they have met")
-@when("they have met")
+@given("all hosts have discovered each other")
+@when("all hosts have discovered each other")
 def step_met(context):
-    wait(context, context.virtual.agree, "the hosts have met", 30)
+    wait(context, context.virtual.agree, "the hosts have discovered each other", 30)
 
 
 @when("{seconds:d} s pass")
@@ -86,28 +86,28 @@
     run(context, context.virtual.peers.pop(name).leave())
 
 
-@when('messages of host "{name}" are lost')
+@when('all messages from host "{name}" are lost')
 def step_one_way(context, name):
     context.virtual.network.cut([name], "abc", one_way=True)
 
 
-@when('zone "{zone}" is cut off')
+@when('zone "{zone}" is partitioned from the others')
 def step_cut_zone(context, zone):
     context.virtual.network.cut(zone, [z for z in context.virtual.zones if z != zone])
 
 
-@when('zones "{a}" and "{b}" lose each other')
-@when('hosts "{a}" and "{b}" lose each other')
+@when('zones "{a}" and "{b}" are partitioned from each other')
+@when('hosts "{a}" and "{b}" are partitioned from each other')
 def step_cut_pair(context, a, b):
     context.virtual.network.cut(names(a), names(b))
 
 
-@when("the links heal")
+@when("the partition heals")
 def step_heal(context):
     context.virtual.network.heal()
 
 
-@when('host "{name}" sees its clock jump by {seconds:d} s')
+@when('the clock of host "{name}" jumps by {seconds:d} s')
 def step_jump(context, name, seconds):
     peers = context.virtual.peers[name]
     peers.gossip.tick(context.loop.time() + seconds)
@@ -121,13 +121,13 @@
     run(context, announce())
 
 
-@when("every host publishes the load of its number")
+@when("every host publishes its number as its load")
 def step_publish(context):
     for name, peers in context.virtual.peers.items():
         peers.publish(LOAD, name[1:].encode())
 
 
-@when('host "{asker}" asks "{name}" for its echo')
+@when('host "{asker}" sends an echo request to "{name}"')
 def step_ask(context, asker, name):
     if name in context.virtual.peers:
 
@@ -140,33 +140,33 @@
 
 @when('{count:d} random and mutated messages reach host "{name}"')
 def step_fuzz(context, count, name):
-    source = random.Random(11)
-    seen = []
+    rng = random.Random(11)
+    received = []
     links = context.virtual.links[name]
     receive = links.receive
-    links.receive = lambda data: (seen.append(data), receive(data))
+    links.receive = lambda data: (received.append(data), receive(data))
     run(context, asyncio.sleep(5))
     links.receive = receive
 
     async def send_all():
         for _ in range(count):
-            data = bytearray(source.choice(seen))
-            # The sender's fields are left whole: a forged incarnation is the
-            # business of the certificates, not of the decoder.
-            for _ in range(source.randint(1, 8)):
-                data[source.randrange(min(3, len(data)))] = source.randrange(256)
+            data = bytearray(rng.choice(received))
+            # The fields of the sender stay intact: forged incarnations are prevented by the
+            # certificates, not by the decoder.
+            for _ in range(rng.randint(1, 8)):
+                data[rng.randrange(min(3, len(data)))] = rng.randrange(256)
             receive(bytes(data))
-            receive(source.randbytes(source.randint(0, 300)))
+            receive(rng.randbytes(rng.randint(0, 300)))
 
     run(context, send_all())
 
 
-@then("every host holds just the running hosts to be live")
+@then("every host takes exactly the running hosts to be live")
 def step_agree(context):
     wait(context, context.virtual.agree, "the hosts agree", 10)
 
 
-@then("within {seconds:d} s every host holds just the running hosts to be live")
+@then("within {seconds:d} s every host takes exactly the running hosts to be live")
 def step_agree_within(context, seconds):
     wait(context, context.virtual.agree, "the hosts agree", seconds)
 
@@ -189,17 +189,17 @@
     return other in [peer.name for peer in context.virtual.peers[host].live()]
 
 
-@then('host "{host}" does not hold "{other}" to be live')
+@then('host "{host}" does not take "{other}" to be live')
 def step_not_live(context, host, other):
     assert not is_live(context, host, other)
 
 
-@then('within {seconds:d} s host "{host}" does not hold "{other}" to be live')
+@then('within {seconds:d} s host "{host}" does not take "{other}" to be live')
 def step_not_live_within(context, seconds, host, other):
     wait(context, lambda: not is_live(context, host, other), "held dead", seconds)
 
 
-@then('host "{host}" holds {count:d} hosts to be live')
+@then('host "{host}" takes {count:d} hosts to be live')
 def step_count_live(context, host, count):
     assert len(context.virtual.peers[host].live()) == count
 
@@ -213,32 +213,32 @@
     return next(v.silent for v in context.virtual.peers[host].zones() if v.zone == zone)
 
 
-@then('within {seconds:d} s host "{host}" shows zone "{zone}" silent')
+@then('within {seconds:d} s host "{host}" reports zone "{zone}" as silent')
 def step_silent(context, seconds, host, zone):
     wait(context, lambda: is_silent(context, host, zone), "silent", seconds)
 
 
-@then('host "{host}" shows zone "{zone}" heard')
-def step_heard(context, host, zone):
+@then('host "{host}" does not report zone "{zone}" as silent')
+def step_not_silent(context, host, zone):
     assert not is_silent(context, host, zone)
 
 
-@then("within {seconds:d} s every host has heard number {number:d}")
-def step_heard_number(context, seconds, number):
+@then("within {seconds:d} s every host has received number {number:d}")
+def step_received(context, seconds, number):
     peers = context.virtual.peers.values()
     wait(
         context,
         lambda: all(p.highest_announced("topic") == number for p in peers),
-        "heard",
+        "received",
         seconds,
     )
 
 
-@then('within {seconds:d} s host "{host}" holds loads "{own}" and zones "{others}"')
+@then('within {seconds:d} s host "{host}" has host loads "{own}" and zone loads "{others}"')
 def step_loads(context, seconds, host, own, others):
     def shown():
-        gathered = context.virtual.peers[host].collect_summaries(LOAD)
-        return (text(gathered.own_zone), text(gathered.other_zones)) == (own, others)
+        collected = context.virtual.peers[host].collect_summaries(LOAD)
+        return (text(collected.own_zone), text(collected.other_zones)) == (own, others)
 
     def text(payloads):
         return ", ".join(f"{key}={value.decode()}" for key, value in sorted(payloads.items()))
@@ -251,7 +251,7 @@
     assert context.answer == text.encode(), context.answer
 
 
-@then('the peer is silent by "{reason}"')
+@then('the request fails with "{reason}"')
 def step_peer_silent(context, reason):
     assert isinstance(context.answer, PeerSilent)
     assert context.answer.reason == reason, msgspec.to_builtins(context.answer)
--- a/poplarrun/hosts/__init__.py
+++ b/poplarrun/hosts/__init__.py
@@ -1,4 +1,4 @@
-"""The other entry hosts: who is live, messages to them, who usually does a job."""
+"""Membership of entry hosts, requests and announcements between them, and shared polling."""
 
 from poplarrun.hosts._listed import ListedHostTable, ListedState, describe_host_state
 from poplarrun.hosts._memory import MemoryPeerNetwork, MemoryPeers
--- a/poplarrun/hosts/_gossip.py
+++ b/poplarrun/hosts/_gossip.py
@@ -1,51 +1,52 @@
-"""One host's side of all talk between hosts, as a state machine without sockets."""
+"""Gossip protocol of one host, as a state machine without sockets."""
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from poplarrun.hosts._items import ByteBudget, Item, ItemStore, Rumors, repeat_count
+from poplarrun.hosts._items import BroadcastQueue, ByteBudget, Item, ItemStore, transmission_count
 from poplarrun.hosts._membership import (
     MEMBER_PREFIX,
     Membership,
     MemberState,
-    Outgoing,
+    OutgoingMessage,
 )
 from poplarrun.hosts._peers import Peer
-from poplarrun.hosts._summaries import SUMMARY_FACTOR, SUMMARY_PREFIX, Summaries
+from poplarrun.hosts._summaries import SUMMARY_PREFIX, SUMMARY_TRANSMISSION_FACTOR, Summaries
 from poplarrun.hosts._wire import (
     SCHEMA,
     Ack,
-    Carry,
     Envelope,
     Ping,
     PingRequest,
+    Push,
     Sync,
-    Wants,
+    SyncReply,
 )
 from poplarrun.hosts._zones import ZONE_PREFIX, Zones
 
-MESSAGE_ITEMS_BYTES = 1200
-SYNC_ITEMS_BYTES = 48 * 1024
-BULK_BYTES_PER_S = 2400.0
-BULK_BURST_BYTES = 48_000.0
-SYNC_PERIOD_S = 10.0
-REJOIN_PERIOD_S = 5.0
-# Before any other host is known, seeds are tried this often.
-JOIN_PERIOD_S = 0.5
-JOINING_S = 30.0
+# Bytes of items that a ping or ack carries, and that a reply to a sync carries.
+MAX_MESSAGE_ITEMS_BYTES = 1200
+MAX_SYNC_ITEMS_BYTES = 48 * 1024
+MAX_BULK_BYTES_PER_S = 2400.0
+MAX_BULK_BURST_BYTES = 48_000.0
+SYNC_INTERVAL_S = 10.0
+REJOIN_INTERVAL_S = 5.0
+# Interval of joins while no other host is known, at most for the join window after the start.
+JOIN_INTERVAL_S = 0.5
+JOIN_WINDOW_S = 30.0
 JOIN_FANOUT = 3
-MEMBER_FACTOR = 3
-ZONE_FACTOR = 3
-ANNOUNCEMENT_FACTOR = 4
+MEMBER_TRANSMISSION_FACTOR = 3
+ZONE_TRANSMISSION_FACTOR = 3
+ANNOUNCEMENT_TRANSMISSION_FACTOR = 4
 ANNOUNCEMENT_FANOUT = 3
-EVERYWHERE = "*"
-ANNOUNCEMENT_PREFIX = f"{ZONE_PREFIX}{EVERYWHERE}/"
+ALL_ZONES = "*"
+ANNOUNCEMENT_PREFIX = f"{ZONE_PREFIX}{ALL_ZONES}/"
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """An envelope and where to send it."""
+    """An envelope and its destination."""
 
     address: str
     envelope: Envelope
@@ -54,18 +55,20 @@
 class Gossip:
     """Membership, zones, summaries and announcements of one host.
 
-    Every call takes the time and returns what to send.
+    Each method takes the time and returns the datagrams to send.
 
     Parameters
     ----------
     me : Peer
-        The own host.
+        This host.
     address : str
-        Where it receives.
+        Address at which it receives.
     seeds : tuple of str
         Addresses of some hosts.
     count : callable
-        Called with the name of an event to count.
+        Called with the name of each event to count.
+    rng : random.Random
+        Chooses among hosts.
     """
 
     def __init__(
@@ -74,154 +77,162 @@
         address: str,
         seeds: tuple[str, ...],
         count: Callable[[str], None],
-        source: random.Random,
+        rng: random.Random,
         now: float,
     ) -> None:
         self.address = address
         self.store = ItemStore()
-        self.on_announced: list[Callable[[Item], None]] = []
-        self._urgent = Rumors()
-        self._bulk = Rumors()
-        self._budget = ByteBudget(BULK_BYTES_PER_S, BULK_BURST_BYTES, now)
+        self.announcement_callbacks: list[Callable[[Item], None]] = []
+        self._urgent = BroadcastQueue()
+        self._bulk = BroadcastQueue()
+        self._bulk_budget = ByteBudget(MAX_BULK_BYTES_PER_S, MAX_BULK_BURST_BYTES, now)
         self._seeds = tuple(seed for seed in seeds if seed != address)
-        self._random = source
-        self._members_known = 1
-        self.membership = Membership(me, address, self.store, self._spread, count, source, now)
-        self.zones = Zones(me, self.store, self._spread, source, now)
-        self.summaries = Summaries(self.store, self.zones, self._spread)
-        self._next_sync_at = now + source.random() * SYNC_PERIOD_S
+        self._rng = rng
+        self._member_count = 1
+        self.membership = Membership(me, address, self.store, self._enqueue, count, rng, now)
+        self.zones = Zones(me, self.store, self._enqueue, rng, now)
+        self.summaries = Summaries(self.store, self.zones, self._enqueue)
+        self._next_sync_at = now + rng.random() * SYNC_INTERVAL_S
         self._next_join_at = now
-        self._began_at = now
+        self._started_at = now
         self._count = count
 
     @property
     def me(self) -> Peer:
-        """The own host."""
+        """Identity of this host."""
         return self.membership.me
 
     def announce(self, topic: str, number: int, payload: bytes, now: float) -> list[Datagram]:
-        """Tell every host of every zone at once; the highest number of a topic wins."""
+        """Send an announcement to all hosts of all zones; the highest number of a topic wins."""
         item = Item(ANNOUNCEMENT_PREFIX + topic, number, 0, payload)
         if not self.store.put(item):
             return []
-        return self._pass_announcement(item, now)
+        return self._forward_announcement(item, now)
 
-    def highest_announced(self, topic: str) -> Item | None:
-        """Return the highest announcement of a topic that was heard."""
+    def latest_announcement(self, topic: str) -> Item | None:
+        """Return the announcement of a topic with the highest number known; None if none is."""
         return self.store.get(ANNOUNCEMENT_PREFIX + topic)
 
     def tick(self, now: float) -> list[Datagram]:
-        """Do what is due."""
-        live = self.membership.live()
-        self._members_known = len(live)
+        """Run the periodic tasks that are due."""
+        live = self.membership.live_members()
+        self._member_count = len(live)
         self.summaries.tick(self.me, len(live), now)
         outgoing = self.membership.tick(now)
-        outgoing += self.zones.tick(live, lambda: self.summaries.merged(live), now)
+        outgoing += self.zones.tick(live, lambda: self.summaries.merge_zone(live), now)
         if now >= self._next_sync_at:
-            self._next_sync_at = now + SYNC_PERIOD_S
-            outgoing += self._sync_with_member()
-        datagrams = [self._wrap(out, now) for out in outgoing]
+            self._next_sync_at = now + SYNC_INTERVAL_S
+            outgoing += self._begin_sync()
+        datagrams = [self._make_datagram(out, now) for out in outgoing]
         if now >= self._next_join_at:
-            # A zone of one host stays alone: it goes on at the slow pace.
-            is_new = now - self._began_at < JOINING_S
-            alone = len(live) == 1 and (is_new or not self.zones.others())
-            self._next_join_at = now + (JOIN_PERIOD_S if alone else REJOIN_PERIOD_S)
-            datagrams += self._join(alone, now)
+            # A zone that has only one host would stay in this state, so it uses the slow interval.
+            is_joining = now - self._started_at < JOIN_WINDOW_S
+            is_alone = len(live) == 1 and (is_joining or not self.zones.other_zones())
+            self._next_join_at = now + (JOIN_INTERVAL_S if is_alone else REJOIN_INTERVAL_S)
+            datagrams += self._send_joins(is_alone, now)
         return datagrams
 
-    def receive(self, envelope: Envelope, now: float) -> list[Datagram]:
-        """Take a message of another host."""
-        datagrams = self._take_items(envelope, now)
+    def handle_envelope(self, envelope: Envelope, now: float) -> list[Datagram]:
+        """Apply a message of another host and return the replies."""
+        datagrams = self._apply_items(envelope, now)
         match envelope.body:
             case Ping() as ping:
-                outgoing = self.membership.answer_ping(ping, envelope.address)
+                outgoing = self.membership.handle_ping(ping, envelope.address)
             case Ack(number=number):
-                self.membership.note_ack(number)
+                self.membership.handle_ack(number)
                 outgoing = []
             case PingRequest() as request:
-                outgoing = self.membership.answer_request(request, envelope.address)
+                outgoing = self.membership.handle_ping_request(request, envelope.address)
             case Sync() as sync:
-                return datagrams + self._answer_sync(sync, envelope, now)
-            case Wants() as wants:
-                return datagrams + self._answer_wants(wants, envelope, now)
+                return datagrams + self._handle_sync(sync, envelope, now)
+            case SyncReply() as reply:
+                return datagrams + self._handle_sync_reply(reply, envelope, now)
             case _:
                 outgoing = []
-        datagrams += [self._wrap(out, now) for out in outgoing]
-        return datagrams + self._correct_sender(envelope)
+        datagrams += [self._make_datagram(out, now) for out in outgoing]
+        return datagrams + self._notify_sender(envelope)
 
     def leave(self, now: float) -> list[Datagram]:
-        """Tell some members that this host stops; they pass it on."""
-        others = [m for m in self.membership.live() if m.peer.name != self.me.name]
+        """Tell some members that this host leaves; they gossip it further."""
+        others = [m for m in self.membership.live_members() if m.peer.name != self.me.name]
         self.membership.leave(now)
-        chosen = self._random.sample(others, min(ANNOUNCEMENT_FANOUT, len(others)))
+        chosen = self._rng.sample(others, min(ANNOUNCEMENT_FANOUT, len(others)))
         own = [self.membership.own_item]
-        return [Datagram(m.address, self.envelope(Carry(), own)) for m in chosen]
+        return [Datagram(m.address, self.make_envelope(Push(), own)) for m in chosen]
 
     def address_of(self, name: str) -> str | None:
-        """Return where a host receives; None when it is not known."""
+        """Return the address of a host; None if it is not known."""
         member = self.membership.find(name)
         if member is not None:
             return member.address
-        for zone in self.zones.others():
-            for told in self.zones.members(zone):
-                if told.name == name:
-                    return told.address
+        for zone in self.zones.other_zones():
+            for listed in self.zones.members(zone):
+                if listed.name == name:
+                    return listed.address
         return None
 
     def live_peers(self, now: float) -> tuple[Peer, ...]:
         """Return the live hosts of all zones that are not silent, by name."""
-        peers = [member.peer for member in self.membership.live()]
-        for zone in self.zones.others():
+        peers = [member.peer for member in self.membership.live_members()]
+        for zone in self.zones.other_zones():
             if not self.zones.is_silent(zone, now):
                 members = self.zones.members(zone)
                 peers += [Peer(m.name, zone, m.region, m.incarnation) for m in members]
         return tuple(sorted(peers))
 
-    def envelope(self, body: object, items: list[Item]) -> Envelope:
-        """Put a body into an envelope of this host."""
+    def make_envelope(self, body: object, items: list[Item]) -> Envelope:
+        """Return an envelope of this host with a body and items."""
         me = self.me
         return Envelope(SCHEMA, me.name, me.zone, self.address, me.incarnation, body, items)  # type: ignore[arg-type]
 
-    def _wrap(self, out: Outgoing, now: float) -> Datagram:
-        """Let news ride along, within the byte budget."""
+    def _make_datagram(self, out: OutgoingMessage, now: float) -> Datagram:
+        """Add queued items to pings and acks inside the zone, within the byte budget."""
         if not isinstance(out.body, Ping | Ack) or out.address not in self._zone_addresses():
-            return Datagram(out.address, self.envelope(out.body, []))
-        items = self._urgent.take(self.store, MESSAGE_ITEMS_BYTES)
-        room = min(MESSAGE_ITEMS_BYTES, self._budget.available(now))
-        bulk = self._bulk.take(self.store, room) if room > 0 else []
-        self._budget.spend(sum(item.size_bytes for item in bulk))
-        return Datagram(out.address, self.envelope(out.body, items + bulk))
+            return Datagram(out.address, self.make_envelope(out.body, []))
+        items = self._urgent.select_items(self.store, MAX_MESSAGE_ITEMS_BYTES)
+        room = min(MAX_MESSAGE_ITEMS_BYTES, self._bulk_budget.available(now))
+        bulk = self._bulk.select_items(self.store, room) if room > 0 else []
+        self._bulk_budget.spend(sum(item.size_bytes for item in bulk))
+        return Datagram(out.address, self.make_envelope(out.body, items + bulk))
 
     def _zone_addresses(self) -> set[str]:
-        return {member.address for member in self.membership.all()}
+        return {member.address for member in self.membership.all_members()}
 
-    def _spread(self, item: Item) -> None:
-        """Pass a new item on with the next messages."""
+    def _enqueue(self, item: Item) -> None:
+        """Queue a new item for gossip with the next messages."""
         if item.key.startswith(MEMBER_PREFIX):
-            self._urgent.add(item.key, repeat_count(self._members_known, MEMBER_FACTOR))
+            self._urgent.add(
+                item.key, transmission_count(self._member_count, MEMBER_TRANSMISSION_FACTOR)
+            )
         elif item.key.startswith(ANNOUNCEMENT_PREFIX):
-            self._urgent.add(item.key, repeat_count(self._members_known, ANNOUNCEMENT_FACTOR))
+            self._urgent.add(
+                item.key, transmission_count(self._member_count, ANNOUNCEMENT_TRANSMISSION_FACTOR)
+            )
         elif item.key.startswith(ZONE_PREFIX):
-            self._bulk.add(item.key, repeat_count(self._members_known, ZONE_FACTOR))
+            self._bulk.add(
+                item.key, transmission_count(self._member_count, ZONE_TRANSMISSION_FACTOR)
+            )
         elif item.key.startswith(SUMMARY_PREFIX):
-            self._bulk.add(item.key, repeat_count(self._members_known, SUMMARY_FACTOR))
+            self._bulk.add(
+                item.key, transmission_count(self._member_count, SUMMARY_TRANSMISSION_FACTOR)
+            )
 
-    def _take_items(self, envelope: Envelope, now: float) -> list[Datagram]:
+    def _apply_items(self, envelope: Envelope, now: float) -> list[Datagram]:
         datagrams: list[Datagram] = []
         for item in envelope.items:
-            if not self._may_tell(envelope, item) or not self.store.put(item):
+            if not self._is_authorized(envelope, item) or not self.store.put(item):
                 continue
             if item.key.startswith(ANNOUNCEMENT_PREFIX):
-                datagrams += self._pass_announcement(item, now)
+                datagrams += self._forward_announcement(item, now)
                 continue
-            self._spread(item)
+            self._enqueue(item)
             if item.key.startswith(MEMBER_PREFIX):
-                self._note_member(item, now)
+                self._apply_member(item, now)
             elif item.key.startswith(ZONE_PREFIX):
                 self.zones.apply_item(item, now)
         return datagrams
 
-    def _may_tell(self, envelope: Envelope, item: Item) -> bool:
+    def _is_authorized(self, envelope: Envelope, item: Item) -> bool:
         if item.key.startswith(ZONE_PREFIX):
             return item.key.count("/") >= 2
         if envelope.zone != self.me.zone:
@@ -232,84 +243,90 @@
             return member is None or member.state <= MemberState.SUSPECT
         return item.key.startswith(MEMBER_PREFIX)
 
-    def _note_member(self, item: Item, now: float) -> None:
+    def _apply_member(self, item: Item, now: float) -> None:
         before = self.me
         self.membership.apply_item(item, now)
         if self.me.incarnation != before.incarnation:
-            self.summaries.renew(self.me)
+            self.summaries.republish(self.me)
         member = self.membership.find(item.key[len(MEMBER_PREFIX) :])
         if member is not None and member.state > MemberState.SUSPECT:
-            self.summaries.forget(member.peer.name)
+            self.summaries.remove_host(member.peer.name)
 
-    def _pass_announcement(self, item: Item, now: float) -> list[Datagram]:
-        """Hand a new announcement on at once, inside the zone and, as a gateway, beyond."""
-        self._spread(item)
-        for callback in self.on_announced:
+    def _forward_announcement(self, item: Item, now: float) -> list[Datagram]:
+        """Forward a new announcement at once inside the zone and, as an aggregator, to others."""
+        self._enqueue(item)
+        for callback in self.announcement_callbacks:
             callback(item)
-        live = self.membership.live()
+        live = self.membership.live_members()
         others = [m.address for m in live if m.peer.name != self.me.name]
-        addresses = self._random.sample(others, min(ANNOUNCEMENT_FANOUT, len(others)))
+        addresses = self._rng.sample(others, min(ANNOUNCEMENT_FANOUT, len(others)))
         names = [member.peer.name for member in live]
-        if self.me.name in self.zones.gateways(self.me.zone, names):
-            zones = self.zones.others()
-            chosen = self._random.sample(zones, min(ANNOUNCEMENT_FANOUT, len(zones)))
-            addresses += [a for z in chosen if (a := self.zones.entry_address(z)) is not None]
-        return [Datagram(address, self.envelope(Carry(), [item])) for address in addresses]
-
-    def _sync_with_member(self) -> list[Outgoing]:
-        others = [m for m in self.membership.live() if m.peer.name != self.me.name]
+        if self.me.name in self.zones.aggregators(self.me.zone, names):
+            zones = self.zones.other_zones()
+            chosen = self._rng.sample(zones, min(ANNOUNCEMENT_FANOUT, len(zones)))
+            addresses += [a for z in chosen if (a := self.zones.choose_address(z)) is not None]
+        return [Datagram(address, self.make_envelope(Push(), [item])) for address in addresses]
+
+    def _begin_sync(self) -> list[OutgoingMessage]:
+        others = [m for m in self.membership.live_members() if m.peer.name != self.me.name]
         if not others:
             return []
-        return [Outgoing(self._random.choice(others).address, Sync("", self.store.vector("")))]
+        return [OutgoingMessage(self._rng.choice(others).address, Sync("", self.store.vector("")))]
 
-    def _join(self, alone: bool, now: float) -> list[Datagram]:
-        """Speak to a host that this one does not know to be live.
+    def _send_joins(self, is_alone: bool, now: float) -> list[Datagram]:
+        """Sync with hosts that are not known to be live.
 
-        At the start these are the seeds. Later it joins the halves of a zone
-        again after a cut, when each holds the other dead and pings it no more.
+        After the start these are the seeds. Later this reconnects the halves of a zone after a
+        network partition, when each half holds the other dead and pings it no more.
         """
-        live = {member.address for member in self.membership.live()}
-        for zone in self.zones.others():
+        live = {member.address for member in self.membership.live_members()}
+        for zone in self.zones.other_zones():
             if not self.zones.is_silent(zone, now):
                 live |= {member.address for member in self.zones.members(zone)}
-        told = {member.address for member in self.zones.members(self.me.zone)}
-        dead = {m.address for m in self.membership.all() if m.state is MemberState.DEAD}
-        near = sorted((told | dead) - live)
-        addresses = near if near and alone else sorted((set(self._seeds) | told | dead) - live)
-        count = JOIN_FANOUT if alone else 1
-        chosen = self._random.sample(addresses, min(count, len(addresses)))
+        listed = {member.address for member in self.zones.members(self.me.zone)}
+        dead = {m.address for m in self.membership.all_members() if m.state is MemberState.DEAD}
+        own_zone = sorted((listed | dead) - live)
+        addresses = (
+            own_zone if own_zone and is_alone else sorted((set(self._seeds) | listed | dead) - live)
+        )
+        count = JOIN_FANOUT if is_alone else 1
+        chosen = self._rng.sample(addresses, min(count, len(addresses)))
         vector = self.store.vector("")
         own = [self.membership.own_item]
-        return [Datagram(address, self.envelope(Sync("", vector), own)) for address in chosen]
+        return [Datagram(address, self.make_envelope(Sync("", vector), own)) for address in chosen]
 
-    def _answer_sync(self, sync: Sync, envelope: Envelope, now: float) -> list[Datagram]:
+    def _handle_sync(self, sync: Sync, envelope: Envelope, now: float) -> list[Datagram]:
         same_zone = envelope.zone == self.me.zone
         prefix = sync.prefix if same_zone else ZONE_PREFIX
-        items = self._fit(self.store.newer_than(sync.vector, prefix), now)
-        wanted = self.store.wanted(sync.vector, prefix)
-        return [Datagram(envelope.address, self.envelope(Wants(prefix, wanted), items))]
-
-    def _answer_wants(self, wants: Wants, envelope: Envelope, now: float) -> list[Datagram]:
-        found = [item for key in wants.keys if (item := self.store.get(key)) is not None]
+        items = self._select_within_budget(self.store.find_newer(sync.vector, prefix), now)
+        outdated = self.store.find_outdated_keys(sync.vector, prefix)
+        return [Datagram(envelope.address, self.make_envelope(SyncReply(prefix, outdated), items))]
+
+    def _handle_sync_reply(
+        self, reply: SyncReply, envelope: Envelope, now: float
+    ) -> list[Datagram]:
+        found = [item for key in reply.keys if (item := self.store.get(key)) is not None]
         if envelope.zone != self.me.zone:
             found = [item for item in found if item.key.startswith(ZONE_PREFIX)]
-        items = self._fit(sorted(found, key=lambda item: item.size_bytes), now)
-        return [Datagram(envelope.address, self.envelope(Carry(), items))] if items else []
-
-    def _fit(self, items: list[Item], now: float) -> list[Item]:
-        """Keep what the byte budget allows; what is left goes with a later sync."""
-        room = min(SYNC_ITEMS_BYTES, max(MESSAGE_ITEMS_BYTES, self._budget.available(now)))
-        kept: list[Item] = []
+        items = self._select_within_budget(sorted(found, key=lambda item: item.size_bytes), now)
+        return [Datagram(envelope.address, self.make_envelope(Push(), items))] if items else []
+
+    def _select_within_budget(self, items: list[Item], now: float) -> list[Item]:
+        """Return the items that the byte budget allows; a later sync sends the others."""
+        room = min(
+            MAX_SYNC_ITEMS_BYTES, max(MAX_MESSAGE_ITEMS_BYTES, self._bulk_budget.available(now))
+        )
+        selected: list[Item] = []
         for item in items:
-            if kept and item.size_bytes > room:
+            if selected and item.size_bytes > room:
                 break
-            kept.append(item)
+            selected.append(item)
             room -= item.size_bytes
-        self._budget.spend(sum(item.size_bytes for item in kept))
-        return kept
+        self._bulk_budget.spend(sum(item.size_bytes for item in selected))
+        return selected
 
-    def _correct_sender(self, envelope: Envelope) -> list[Datagram]:
-        """Tell a sender that is held suspect or dead here, so that it refutes that."""
+    def _notify_sender(self, envelope: Envelope) -> list[Datagram]:
+        """Tell a sender that this host holds it suspect or dead, so that it refutes that."""
         if envelope.zone != self.me.zone:
             return []
         member = self.membership.find(envelope.sender)
@@ -317,4 +334,4 @@
             return []
         if member.peer.incarnation > envelope.incarnation:
             return []
-        return [Datagram(envelope.address, self.envelope(Carry(), [member.item()]))]
+        return [Datagram(envelope.address, self.make_envelope(Push(), [member.item()]))]
--- a/poplarrun/hosts/_items.py
+++ b/poplarrun/hosts/_items.py
@@ -1,4 +1,4 @@
-"""Versioned items that spread between hosts: the newest version of a key wins everywhere."""
+"""Versioned items for gossip; for each key the highest version wins at all hosts."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -6,12 +6,12 @@
 
 import msgspec
 
-KEY_LENGTH = 200
-ITEM_BYTES = 64 * 1024
+MAX_KEY_LENGTH = 200
+MAX_ITEM_BYTES = 64 * 1024
 ITEM_OVERHEAD_BYTES = 24
 
-Key = Annotated[str, msgspec.Meta(max_length=KEY_LENGTH)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+Key = Annotated[str, msgspec.Meta(max_length=MAX_KEY_LENGTH)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -20,17 +20,17 @@
     Attributes
     ----------
     key : str
-        What it tells about.
+        What the value is about.
     major, minor : int
-        Its version; compared in this order.
+        The version, compared in this order.
     payload : bytes
         The value.
     """
 
     key: Key
-    major: Number
-    minor: Number
-    payload: Annotated[bytes, msgspec.Meta(max_length=ITEM_BYTES)]
+    major: NonNegativeInt
+    minor: NonNegativeInt
+    payload: Annotated[bytes, msgspec.Meta(max_length=MAX_ITEM_BYTES)]
 
     @property
     def version(self) -> tuple[int, int]:
@@ -39,19 +39,19 @@
 
     @property
     def size_bytes(self) -> int:
-        """About its length on the wire."""
+        """Approximate encoded size."""
         return len(self.key) + len(self.payload) + ITEM_OVERHEAD_BYTES
 
 
-Vector = dict[Key, tuple[Number, Number]]
+VersionVector = dict[Key, tuple[NonNegativeInt, NonNegativeInt]]
 
 
-# What a host needs first to find its place: members, then zones, then summaries.
-_URGENCY = {"m": 0, "z": 1, "s": 2}
+# Order of items in a sync: a joining host needs members first, then zones, then summaries.
+_SYNC_ORDER = {"m": 0, "z": 1, "s": 2}
 
 
-def _urgency(key: str) -> int:
-    return _URGENCY.get(key[:1], len(_URGENCY))
+def _sync_order(key: str) -> int:
+    return _SYNC_ORDER.get(key[:1], len(_SYNC_ORDER))
 
 
 class ItemStore:
@@ -61,7 +61,7 @@
         self._items: dict[str, Item] = {}
 
     def put(self, item: Item) -> bool:
-        """Keep an item unless it is not newer than the known one; tell whether it was."""
+        """Store an item if it is newer than the known one; return whether it was."""
         known = self._items.get(item.key)
         if known is not None and known.version >= item.version:
             return False
@@ -69,28 +69,28 @@
         return True
 
     def get(self, key: str) -> Item | None:
-        """Return the item of a key."""
+        """Return the item of a key, or None."""
         return self._items.get(key)
 
     def remove(self, key: str) -> None:
-        """Forget a key."""
+        """Remove the item of a key."""
         self._items.pop(key, None)
 
     def items(self, prefix: str) -> list[Item]:
-        """Return the items whose keys begin so."""
+        """Return the items whose keys have a prefix."""
         return [item for key, item in self._items.items() if key.startswith(prefix)]
 
-    def vector(self, prefix: str) -> Vector:
-        """Return the version of each key that begins so."""
+    def vector(self, prefix: str) -> VersionVector:
+        """Return the version of each key with a prefix."""
         return {item.key: item.version for item in self.items(prefix)}
 
-    def newer_than(self, vector: Mapping[str, tuple[int, int]], prefix: str) -> list[Item]:
-        """Return what the owner of a vector lacks: members, then zones, then summaries."""
+    def find_newer(self, vector: Mapping[str, tuple[int, int]], prefix: str) -> list[Item]:
+        """Return items newer than in a vector: members first, then zones, then summaries."""
         found = [i for i in self.items(prefix) if i.version > vector.get(i.key, (-1, -1))]
-        return sorted(found, key=lambda item: (_urgency(item.key), item.size_bytes))
+        return sorted(found, key=lambda item: (_sync_order(item.key), item.size_bytes))
 
-    def wanted(self, vector: Mapping[str, tuple[int, int]], prefix: str) -> list[str]:
-        """Return the keys of which the owner of a vector knows more."""
+    def find_outdated_keys(self, vector: Mapping[str, tuple[int, int]], prefix: str) -> list[str]:
+        """Return the keys of which a vector has a newer version than this store."""
         newer = []
         for key, version in vector.items():
             known = self._items.get(key)
@@ -105,52 +105,52 @@
     Parameters
     ----------
     bytes_per_s, burst_bytes : float
-        Rate, and the most that may be saved up.
+        Rate and capacity.
     """
 
     def __init__(self, bytes_per_s: float, burst_bytes: float, now: float) -> None:
         self._rate = bytes_per_s
         self._burst = burst_bytes
         self._level = burst_bytes
-        self._at = now
+        self._updated_at = now
 
     def available(self, now: float) -> float:
-        """Return the bytes that may be spent now; below zero after an overdraft."""
-        self._level = min(self._burst, self._level + (now - self._at) * self._rate)
-        self._at = now
+        """Return the bytes that may be sent now; negative after an overdraft."""
+        self._level = min(self._burst, self._level + (now - self._updated_at) * self._rate)
+        self._updated_at = now
         return self._level
 
     def spend(self, size_bytes: float) -> None:
-        """Spend bytes."""
+        """Withdraw the bytes that were sent."""
         self._level -= size_bytes
 
 
-class Rumors:
-    """Which items are still to be passed on, and how often.
+class BroadcastQueue:
+    """Items to gossip, and how often each one is still to be sent.
 
-    An item is passed on a number of times that grows with the logarithm of
-    the members, so that the cost of one host does not grow with them.
+    The number of transmissions grows with the logarithm of the number of members, so that the
+    cost for one host hardly grows with the zone.
     """
 
     def __init__(self) -> None:
-        self._left: dict[str, int] = {}
+        self._remaining: dict[str, int] = {}
 
     def add(self, key: str, times: int) -> None:
-        """Pass a key on so many times from now."""
-        self._left.pop(key, None)
-        self._left[key] = times
+        """Send a key's item this many times from now."""
+        self._remaining.pop(key, None)
+        self._remaining[key] = times
 
     def discard(self, key: str) -> None:
-        """Pass a key on no more."""
-        self._left.pop(key, None)
+        """Stop sending a key's item."""
+        self._remaining.pop(key, None)
 
-    def take(self, store: ItemStore, limit_bytes: float) -> list[Item]:
-        """Choose items for one message: those least often passed on come first."""
+    def select_items(self, store: ItemStore, limit_bytes: float) -> list[Item]:
+        """Choose items for one message, those with the most remaining transmissions first."""
         taken: list[Item] = []
-        for key, _ in sorted(self._left.items(), key=lambda pair: -pair[1]):
+        for key, _ in sorted(self._remaining.items(), key=lambda pair: -pair[1]):
             item = store.get(key)
             if item is None:
-                del self._left[key]
+                del self._remaining[key]
                 continue
             if taken and item.size_bytes > limit_bytes:
                 continue
@@ -158,20 +158,20 @@
                 break
             taken.append(item)
             limit_bytes -= item.size_bytes
-            self._note_sent(key)
+            self._record_sent(key)
         return taken
 
-    def _note_sent(self, key: str) -> None:
-        self._left[key] -= 1
-        if self._left[key] <= 0:
-            del self._left[key]
+    def _record_sent(self, key: str) -> None:
+        self._remaining[key] -= 1
+        if self._remaining[key] <= 0:
+            del self._remaining[key]
 
 
-def repeat_count(members: int, factor: int) -> int:
-    """Return how often to pass an item on among so many members."""
+def transmission_count(members: int, factor: int) -> int:
+    """Return how often a host sends an item in a zone of this many members."""
     return max(1, factor * math.ceil(math.log10(members + 1)))
 
 
 def total_bytes(items: Iterable[Item]) -> int:
-    """Return about the length of items on the wire."""
+    """Return the approximate encoded size of items."""
     return sum(item.size_bytes for item in items)
--- a/poplarrun/hosts/_listed.py
+++ b/poplarrun/hosts/_listed.py
@@ -1,4 +1,4 @@
-"""The platform's list of entry hosts, held against what membership sees."""
+"""The platform's list of entry hosts, compared with membership."""
 
 import enum
 from collections.abc import Callable, Iterable, Mapping
@@ -6,13 +6,13 @@
 from poplarrun.clients import HostKind, HostState, ListedHost
 from poplarrun.hosts._peers import ZoneView
 
-# The list lags by less than this; what differs for longer an operator should see.
-LAG_S = 60.0
-DIFFERS = "host_list_differs"
+# The list lags by less than this; a difference that lasts longer is counted for the operator.
+MAX_LAG_S = 60.0
+DIFFERS_EVENT = "host_list_differs"
 
 
 class ListedState(enum.Enum):
-    """What the list says of one host; ``UNKNOWN`` when it names no entry host at all."""
+    """What the list says of a host; ``UNKNOWN`` if it has no entry hosts at all."""
 
     LIVE = "listed live"
     LEAVING = "listed leaving"
@@ -20,45 +20,45 @@
     UNKNOWN = "unknown"
 
 
-def describe_host_state(listing: ListedState, seen: str | None) -> str | None:
-    """Return what ``status`` shows of a host; None for one that is not shown.
+def describe_host_state(listed_state: ListedState, observed: str | None) -> str | None:
+    """Return what ``status`` shows of a host; None if it isn't shown.
 
-    Membership decides who is a peer: it sees in seconds what the list tells
-    late, or wrongly while the platform is cut off. So the list takes no peer
-    away and adds none; where it says something else, both are shown.
+    Membership decides which hosts are peers: it notices within seconds what the list shows late,
+    or wrongly while the platform is unreachable. The list therefore adds and removes no peers;
+    where it differs from membership, both are shown.
 
     Parameters
     ----------
-    listing : Listing
+    listed_state : ListedState
         What the list says.
-    seen : str, optional
-        alive, suspect, dead, left or silent; None when never seen.
+    observed : str, optional
+        What membership says: alive, suspect, dead, left or silent; None if it never saw the host.
     """
-    match listing, seen:
+    match listed_state, observed:
         case ListedState.LIVE, None:
-            return f"not seen, {listing.value}"
+            return f"not seen, {listed_state.value}"
         case _, None:
             return None
         case ListedState.LIVE, "dead" | "left":
-            return f"{seen}, {listing.value}"
+            return f"{observed}, {listed_state.value}"
         case ListedState.LEAVING, "alive":
-            return f"alive, {listing.value}"
+            return f"alive, {listed_state.value}"
         case ListedState.LEAVING, "dead":
-            # It ended as planned and was too quick to say so.
+            # A planned stop that ended before the host could announce that it leaves.
             return "left"
         case ListedState.ABSENT, "alive":
-            return f"alive, {listing.value}"
+            return f"alive, {listed_state.value}"
         case _:
-            return seen
+            return observed
 
 
 class ListedHostTable:
-    """Keeps the listed entry hosts, and tells where they differ from what is seen.
+    """The listed entry hosts, and where they differ from membership.
 
     Parameters
     ----------
     count : callable
-        Counts a host that differs for longer than the list lags, once.
+        Called once for each host that differs for longer than the list lags.
     """
 
     def __init__(self, count: Callable[[str], None]) -> None:
@@ -70,26 +70,26 @@
     def apply_list(
         self, listed: Iterable[ListedHost], views: Iterable[ZoneView], now: float
     ) -> None:
-        """Take over a list that was just read."""
+        """Replace the list by a newly read one, and count hosts that differ for long."""
         self._listed = {host.name: host for host in listed if host.kind is HostKind.ENTRY}
         shown = {name: text for view in views for name, text in self.describe_zone(view).items()}
         differing = {name for name, text in shown.items() if ", " in text}
         self._differs_since = {n: self._differs_since.get(n, now) for n in differing}
-        lasting = {n for n, since in self._differs_since.items() if now - since >= LAG_S}
+        lasting = {n for n, since in self._differs_since.items() if now - since >= MAX_LAG_S}
         for _ in lasting - self._counted:
-            self._count(DIFFERS)
+            self._count(DIFFERS_EVENT)
         self._counted = lasting
 
     def describe_zone(self, view: ZoneView) -> Mapping[str, str]:
-        """Return the states of a zone's hosts, those that are only listed among them."""
+        """Return the states of a zone's hosts, including hosts that are only listed."""
         listed_here = [name for name, host in self._listed.items() if host.zone == view.zone]
         shown = {
-            name: describe_host_state(self._listing_of(name), view.hosts.get(name))
+            name: describe_host_state(self._listed_state(name), view.hosts.get(name))
             for name in sorted({*view.hosts, *listed_here})
         }
         return {name: text for name, text in shown.items() if text is not None}
 
-    def _listing_of(self, name: str) -> ListedState:
+    def _listed_state(self, name: str) -> ListedState:
         if not self._listed:
             return ListedState.UNKNOWN
         match self._listed.get(name):
--- a/poplarrun/hosts/_memory.py
+++ b/poplarrun/hosts/_memory.py
@@ -1,4 +1,4 @@
-"""Peers in memory, with links that can be cut, for tests and for embedding."""
+"""In-memory ``Peers`` with links that can be cut, for tests and for embedding."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -14,18 +14,18 @@
 
 
 class MemoryPeerNetwork:
-    """Joins ``MemoryPeers`` of one process.
+    """Connects the ``MemoryPeers`` of one process.
 
     Attributes
     ----------
     cut_links : set of (str, str)
-        Pairs of host names, sender first, between which nothing passes.
+        Pairs of host names, sender first, between which messages are lost.
     down : set of str
         Hosts that are dead.
     paused : set of str
-        Hosts that are taken to be live and answer nothing.
+        Hosts that are taken to be live but answer nothing.
     delay_s : float
-        Time that a message takes one way, in seconds.
+        One-way delay of a message.
     """
 
     def __init__(self, delay_s: float = 0.0) -> None:
@@ -36,24 +36,24 @@
         self.members: dict[str, MemoryPeers] = {}
 
     def passes(self, sender: str, receiver: str) -> bool:
-        """Tell whether a message would arrive."""
+        """Tell whether a message would be delivered."""
         if {sender, receiver} & self.down:
             return False
         return (sender, receiver) not in self.cut_links
 
-    def cut(self, some: Iterable[str], others: Iterable[str]) -> None:
-        """Cut two groups of hosts off from each other, both ways."""
-        for a in list(some):
-            for b in list(others):
+    def cut(self, group: Iterable[str], other_group: Iterable[str]) -> None:
+        """Lose all messages between two groups of hosts, in both directions."""
+        for a in list(group):
+            for b in list(other_group):
                 self.cut_links |= {(a, b), (b, a)}
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """Deliver all messages again."""
         self.cut_links.clear()
 
 
 class MemoryPeers:
-    """A ``Peers`` of one host on a ``MemoryPeerNetwork``; membership is exact."""
+    """The ``Peers`` of one host on a ``MemoryPeerNetwork``; membership is exact."""
 
     def __init__(self, network: MemoryPeerNetwork, me: Peer) -> None:
         self._network = network
@@ -68,18 +68,18 @@
 
     @property
     def me(self) -> Peer:
-        """The own host."""
+        """Identity of this host."""
         return self._me
 
     def live(self) -> tuple[Peer, ...]:
-        """Return the hosts that are taken to be live, this one included, by name."""
+        """Return the hosts that are taken to be live, including this one, ordered by name."""
         members = sorted(self._network.members.values(), key=lambda member: member.me)
-        return tuple(member.me for member in members if self._reaches(member.me.name))
+        return tuple(member.me for member in members if self._is_reachable(member.me.name))
 
     async def ask(
         self, peer: str, kind: str, payload: bytes, timeout_s: float
     ) -> bytes | PeerSilent:
-        """Send one message to a peer and wait for its answer."""
+        """Send a request to a peer and wait for its answer."""
         await asyncio.sleep(self._network.delay_s)
         is_reached = self._network.passes(self._me.name, peer) and peer not in self._network.paused
         if peer not in self._network.members or not is_reached:
@@ -95,7 +95,7 @@
         return answer
 
     def serve(self, kind: str, handler: Handler) -> None:
-        """Answer messages of a kind: the handler gets the sender's name and the payload."""
+        """Register the handler of a kind of request; it gets the sender's name and the payload."""
         self._handlers[kind] = handler
 
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
@@ -103,9 +103,9 @@
         self._summaries[topic.name] = payload
 
     def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
-        """Return the summaries of a topic that have been heard."""
+        """Return the summaries of a topic that have been received."""
         own: dict[str, bytes] = {}
-        others: dict[str, list[bytes]] = {}
+        other_group: dict[str, list[bytes]] = {}
         for peer in self.live():
             payload = self._network.members[peer.name]._summaries.get(topic.name)
             if payload is None:
@@ -113,46 +113,46 @@
             if peer.zone == self._me.zone:
                 own[peer.name] = payload
             else:
-                others.setdefault(peer.zone, []).append(payload)
+                other_group.setdefault(peer.zone, []).append(payload)
         return CollectedSummaries(
-            own, {zone: topic.merge(payloads) for zone, payloads in others.items()}
+            own, {zone: topic.merge(payloads) for zone, payloads in other_group.items()}
         )
 
     def start(self) -> None:
-        """Begin to talk; nothing is needed here."""
+        """Do nothing: the network delivers from the beginning."""
 
     async def leave(self) -> None:
-        """Leave the network, as a planned stop does."""
+        """Leave the network, as for a planned stop."""
         self._network.members.pop(self._me.name, None)
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Tell every host that is reached at once; the highest number of a topic wins."""
+        """Send an announcement to all reachable hosts; the highest number of a topic wins."""
         for peer in self.live():
-            self._network.members[peer.name]._hear(topic, number)
+            self._network.members[peer.name]._apply_announcement(topic, number)
 
     def highest_announced(self, topic: str) -> int:
-        """Return the highest number announced of a topic; -1 when none was heard."""
+        """Return the highest announced number of a topic; -1 if there is none."""
         return self._announced.get(topic, -1)
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
-        """Call back with topic and number of each new announcement."""
+        """Register a callback that gets topic and number of each new announcement."""
         self._callbacks.append(callback)
 
     def zones(self) -> tuple[ZoneView, ...]:
-        """Return what this host holds of each zone, the own one first."""
+        """Return what this host knows of each zone, its own zone first."""
         found: dict[str, dict[str, str]] = {self._me.zone: {}}
         for peer in self.live():
             found.setdefault(peer.zone, {})[peer.name] = "alive"
         return tuple(ZoneView(zone, False, 0.0, hosts) for zone, hosts in found.items())
 
-    def _hear(self, topic: str, number: int) -> None:
+    def _apply_announcement(self, topic: str, number: int) -> None:
         if number <= self.highest_announced(topic):
             return
         self._announced[topic] = number
         for callback in self._callbacks:
             callback(topic, number)
 
-    def _reaches(self, other: str) -> bool:
+    def _is_reachable(self, other: str) -> bool:
         if other == self._me.name:
             return True
         there = self._network.passes(self._me.name, other)
--- a/poplarrun/hosts/_network.py
+++ b/poplarrun/hosts/_network.py
@@ -1,4 +1,4 @@
-"""``Peers`` over links: asking and serving, and the turns of the gossip."""
+"""``Peers`` over network links: requests to other hosts, and the gossip loop."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
     ZoneView,
 )
 from poplarrun.hosts._wire import (
-    PAYLOAD_BYTES,
+    MAX_PAYLOAD_BYTES,
     Envelope,
     Reply,
     Request,
@@ -29,28 +29,28 @@
 from poplarrun.logs import part_logger
 from poplarrun.metrics import Metrics
 
-TICK_S = 0.1
-CLOSE_IDLE_PERIOD_S = 5.0
-MAX_SERVED_AT_ONCE = 256
+TICK_INTERVAL_S = 0.1
+CLOSE_IDLE_INTERVAL_S = 5.0
+MAX_CONCURRENT_REQUESTS = 256
 
 
 class NetworkPeers:
-    """A ``Peers`` that talks to the other hosts over links.
+    """A ``Peers`` that communicates with the other hosts over links.
 
     Parameters
     ----------
     me : Peer
-        The own host.
+        This host.
     links : Links
         The transport.
     seeds : tuple of str
-        Addresses of some hosts; the rest is learnt.
+        Addresses of some hosts; the others are discovered.
     metrics : Metrics
-        Counts what goes wrong.
-    source : random.Random
+        Counts failures.
+    rng : random.Random
         Chooses among peers.
     clock : callable
-        Seconds, monotonic.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -59,76 +59,76 @@
         links: Links,
         seeds: tuple[str, ...],
         metrics: Metrics,
-        source: random.Random,
+        rng: random.Random,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._links = links
         self._metrics = metrics
         self._clock = clock
-        self.gossip = Gossip(me, links.address, seeds, metrics.count_event, source, clock())
+        self.gossip = Gossip(me, links.address, seeds, metrics.count_event, rng, clock())
         self._handlers: dict[str, Handler] = {}
-        self._waiting: dict[int, asyncio.Future[bytes | None]] = {}
-        self._number = 0
-        self._serving: set[asyncio.Task[None]] = set()
-        self._turns: asyncio.Task[None] | None = None
-        self._close_idle_at = 0.0
+        self._pending_replies: dict[int, asyncio.Future[bytes | None]] = {}
+        self._last_request_number = 0
+        self._request_tasks: set[asyncio.Task[None]] = set()
+        self._tick_task: asyncio.Task[None] | None = None
+        self._next_close_idle_at = 0.0
         self._log = part_logger("hosts")
 
     @property
     def me(self) -> Peer:
-        """The own host."""
+        """Identity of this host."""
         return self.gossip.me
 
     def start(self) -> None:
-        """Begin to talk; called on the loop."""
+        """Start receiving and gossiping; called on the event loop."""
         self._links.start(self._receive)
-        self._turns = asyncio.get_running_loop().create_task(self._take_turns())
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
 
     async def leave(self) -> None:
-        """Tell the others of the planned stop, then be silent."""
+        """Tell the other hosts of a planned stop, then stop."""
         self._send_all(self.gossip.leave(self._clock()))
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(TICK_INTERVAL_S)
         self.stop()
 
     def stop(self) -> None:
-        """Be silent at once."""
-        if self._turns is not None:
-            self._turns.cancel()
-        for task in self._serving:
+        """Stop at once, without telling the other hosts."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
+        for task in self._request_tasks:
             task.cancel()
         self._links.stop()
 
     def live(self) -> tuple[Peer, ...]:
-        """Return the hosts that are taken to be live, this one included, by name."""
+        """Return the hosts that are taken to be live, including this one, ordered by name."""
         return self.gossip.live_peers(self._clock())
 
     async def ask(
         self, peer: str, kind: str, payload: bytes, timeout_s: float
     ) -> bytes | PeerSilent:
-        """Send one message to a peer and wait for its answer."""
+        """Send a request to a peer and wait for its answer."""
         if peer == self.me.name:
             return await self._ask_self(kind, payload)
         address = self.gossip.address_of(peer)
         if address is None:
-            return self._silent(peer, "not known")
-        if len(payload) > PAYLOAD_BYTES:
-            return self._silent(peer, "too large")
-        self._number += 1
-        number = self._number
-        answered: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = answered
+            return self._record_silent(peer, "not known")
+        if len(payload) > MAX_PAYLOAD_BYTES:
+            return self._record_silent(peer, "too large")
+        self._last_request_number += 1
+        number = self._last_request_number
+        reply_future: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
+        self._pending_replies[number] = reply_future
         try:
             if not self._send(Datagram(address, self._envelope(Request(number, kind, payload)))):
-                return self._silent(peer, "not sent")
-            answer = await asyncio.wait_for(answered, timeout_s)
+                return self._record_silent(peer, "not sent")
+            answer = await asyncio.wait_for(reply_future, timeout_s)
         except TimeoutError:
-            return self._silent(peer, "timeout")
+            return self._record_silent(peer, "timeout")
         finally:
-            del self._waiting[number]
-        return self._silent(peer, "no handler") if answer is None else answer
+            del self._pending_replies[number]
+        return self._record_silent(peer, "no handler") if answer is None else answer
 
     def serve(self, kind: str, handler: Handler) -> None:
-        """Answer messages of a kind: the handler gets the sender's name and the payload."""
+        """Register the handler of a kind of request; it gets the sender's name and the payload."""
         self._handlers[kind] = handler
 
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
@@ -136,23 +136,25 @@
         self.gossip.summaries.publish(topic, payload)
 
     def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
-        """Return the summaries of a topic that have been heard."""
+        """Return the summaries of a topic that have been received."""
         return self.gossip.summaries.collect_summaries(
-            topic, self.me, self.gossip.membership.live()
+            topic, self.me, self.gossip.membership.live_members()
         )
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Tell every host of every zone at once; the highest number of a topic wins."""
+        """Send an announcement to all hosts of all zones; the highest number of a topic wins."""
         self._send_all(self.gossip.announce(topic, number, payload, self._clock()))
 
     def highest_announced(self, topic: str) -> int:
-        """Return the highest number announced of a topic; -1 when none was heard."""
-        item = self.gossip.highest_announced(topic)
+        """Return the highest announced number of a topic; -1 if there is none."""
+        item = self.gossip.latest_announcement(topic)
         return -1 if item is None else item.major
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
-        """Call back with topic and number of each new announcement."""
-        self.gossip.on_announced.append(lambda item: callback(_topic(item), item.major))
+        """Register a callback that gets topic and number of each new announcement."""
+        self.gossip.announcement_callbacks.append(
+            lambda item: callback(_topic_of(item), item.major)
+        )
 
     @property
     def bytes_sent(self) -> int:
@@ -165,12 +167,12 @@
         return self._links.bytes_received
 
     def zones(self) -> tuple[ZoneView, ...]:
-        """Return what this host holds of each zone, the own one first."""
+        """Return what this host knows of each zone, its own zone first."""
         gossip, now = self.gossip, self._clock()
-        members = gossip.membership.all()
+        members = gossip.membership.all_members()
         own = {m.peer.name: MemberState(m.state).name.lower() for m in members}
         views = [ZoneView(self.me.zone, False, 0.0, own)]
-        for zone in gossip.zones.others():
+        for zone in gossip.zones.other_zones():
             silent = gossip.zones.is_silent(zone, now)
             state = "silent" if silent else "alive"
             hosts = {member.name: state for member in gossip.zones.members(zone)}
@@ -180,27 +182,27 @@
     async def _ask_self(self, kind: str, payload: bytes) -> bytes | PeerSilent:
         handler = self._handlers.get(kind)
         if handler is None:
-            return self._silent(self.me.name, "no handler")
+            return self._record_silent(self.me.name, "no handler")
         return await handler(self.me.name, payload)
 
-    def _silent(self, peer: str, reason: str) -> PeerSilent:
+    def _record_silent(self, peer: str, reason: str) -> PeerSilent:
         self._metrics.count_event(f"peer_silent_{reason.replace(' ', '_')}")
         return PeerSilent(peer, reason)
 
-    async def _take_turns(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             try:
-                self._take_turn()
+                self._tick()
             except Exception:
                 self._metrics.count_event("task_failed")
-                self._log.error("A turn failed.", exc_info=True)
-            await asyncio.sleep(TICK_S)
+                self._log.error("Gossip tick failed.", exc_info=True)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _take_turn(self) -> None:
+    def _tick(self) -> None:
         now = self._clock()
         self._send_all(self.gossip.tick(now))
-        if now >= self._close_idle_at:
-            self._close_idle_at = now + CLOSE_IDLE_PERIOD_S
+        if now >= self._next_close_idle_at:
+            self._next_close_idle_at = now + CLOSE_IDLE_INTERVAL_S
             self._links.close_idle(now)
 
     def _receive(self, data: bytes) -> None:
@@ -208,26 +210,26 @@
             case Unreadable(reason=reason):
                 self._metrics.count_event(reason)
             case Envelope(body=Request() as request) as envelope:
-                self._begin_serving(request, envelope)
+                self._start_request(request, envelope)
             case Envelope(body=Reply() as reply):
-                self._take_reply(reply)
+                self._handle_reply(reply)
             case envelope:
-                self._send_all(self.gossip.receive(envelope, self._clock()))
+                self._send_all(self.gossip.handle_envelope(envelope, self._clock()))
 
-    def _take_reply(self, reply: Reply) -> None:
-        waiting = self._waiting.get(reply.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(reply.payload if reply.served else None)
+    def _handle_reply(self, reply: Reply) -> None:
+        reply_future = self._pending_replies.get(reply.number)
+        if reply_future is not None and not reply_future.done():
+            reply_future.set_result(reply.payload if reply.is_handled else None)
 
-    def _begin_serving(self, request: Request, envelope: Envelope) -> None:
-        if len(self._serving) >= MAX_SERVED_AT_ONCE:
+    def _start_request(self, request: Request, envelope: Envelope) -> None:
+        if len(self._request_tasks) >= MAX_CONCURRENT_REQUESTS:
             self._metrics.count_event("peer_request_dropped")
             return
-        task = asyncio.get_running_loop().create_task(self._serve(request, envelope))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        task = asyncio.get_running_loop().create_task(self._handle_request(request, envelope))
+        self._request_tasks.add(task)
+        task.add_done_callback(self._request_tasks.discard)
 
-    async def _serve(self, request: Request, envelope: Envelope) -> None:
+    async def _handle_request(self, request: Request, envelope: Envelope) -> None:
         handler = self._handlers.get(request.kind)
         reply = Reply(request.number, False, b"")
         if handler is not None:
@@ -235,13 +237,15 @@
                 payload = await handler(envelope.sender, request.payload)
             except Exception:
                 self._metrics.count_event("peer_handler_failed")
-                self._log.error("A handler failed.", exc_info=True, extra={"kind": request.kind})
+                self._log.error(
+                    "Handler of a peer request failed.", exc_info=True, extra={"kind": request.kind}
+                )
                 return
             reply = Reply(request.number, True, payload)
         self._send(Datagram(envelope.address, self._envelope(reply)))
 
     def _envelope(self, body: Request | Reply) -> Envelope:
-        return self.gossip.envelope(body, [])
+        return self.gossip.make_envelope(body, [])
 
     def _send_all(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
@@ -254,5 +258,5 @@
         return sent
 
 
-def _topic(item: Item) -> str:
+def _topic_of(item: Item) -> str:
     return item.key.split("/", 2)[2]
--- a/poplarrun/hosts/_peers.py
+++ b/poplarrun/hosts/_peers.py
@@ -1,4 +1,4 @@
-"""What the parts of a host may ask of the other hosts."""
+"""Interface to the other hosts for the components of a host."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Peer:
-    """An entry host, this one included.
+    """Identity of an entry host.
 
     Attributes
     ----------
     name, zone, region
-        As in its settings.
+        From the host's settings.
     incarnation : int
-        Rises with each start of the host.
+        Higher after each start of the host.
     """
 
     name: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSilent:
-    """No answer came from a peer; the message may have had its effect there."""
+    """No answer arrived from a peer; the request may have taken effect there."""
 
     peer: str
     reason: str
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SummaryTopic:
-    """A kind of summary that every host keeps current.
+    """A kind of summary that every host keeps up to date.
 
-    Inside a zone each host's summary travels as it is; between zones only the
-    merged one does, so that bytes don't grow with the fleet squared.
+    Inside a zone the summaries are exchanged per host; between zones only a merged one is, so
+    that the bytes don't grow with the square of the fleet.
 
     Attributes
     ----------
     name : str
         Unique name.
     merge : callable
-        Merges summaries into one; commutative, and associative.
+        Merges summaries into one; commutative and associative.
     """
 
     name: str
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectedSummaries:
-    """The summaries of one topic that a host holds.
+    """The summaries of one topic that a host knows.
 
     Attributes
     ----------
     own_zone : mapping of host name to bytes
-        Each live host of the own zone, this one included.
+        Summary of each live host of this zone, including this host.
     other_zones : mapping of zone name to bytes
-        Each other zone's merged summary, as last heard.
+        Latest merged summary of each other zone.
     """
 
     own_zone: Mapping[str, bytes]
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """What a host holds of one zone.
+    """What a host knows of one zone.
 
     Attributes
     ----------
     silent : bool
-        Whether nothing was heard of it for long.
+        Whether nothing was heard from the zone for a timeout.
     silence_s : float
-        Seconds since its last sign of life.
+        Seconds since the zone was last heard from.
     hosts : mapping of host name to state
         alive, suspect, dead, left or silent.
     """
@@ -90,7 +90,7 @@
 
 
 class Peers(Protocol):
-    """The other hosts, as the parts on the loop see them."""
+    """Communication with the other hosts; used on the event loop."""
 
     @property
     def bytes_sent(self) -> int:
@@ -102,42 +102,42 @@
 
     @property
     def me(self) -> Peer:
-        """The own host."""
+        """Identity of this host."""
 
     def live(self) -> tuple[Peer, ...]:
-        """Return the hosts that are taken to be live, this one included, by name."""
+        """Return the hosts that are taken to be live, including this one, ordered by name."""
 
     async def ask(
         self, peer: str, kind: str, payload: bytes, timeout_s: float
     ) -> bytes | PeerSilent:
-        """Send one message to a peer and wait for its answer."""
+        """Send a request to a peer and wait for its answer."""
 
     def serve(self, kind: str, handler: Handler) -> None:
-        """Answer messages of a kind: the handler gets the sender's name and the payload."""
+        """Register the handler of a kind of request; it gets the sender's name and the payload."""
 
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
         """Replace this host's summary of a topic."""
 
     def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
-        """Return the summaries of a topic that have been heard."""
+        """Return the summaries of a topic that have been received."""
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Tell every host of every zone at once; the highest number of a topic wins.
+        """Send an announcement to all hosts of all zones; the highest number of a topic wins.
 
         For rare events of a few bytes, such as a new configuration.
         """
 
     def highest_announced(self, topic: str) -> int:
-        """Return the highest number announced of a topic; -1 when none was heard."""
+        """Return the highest announced number of a topic; -1 if there is none."""
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
-        """Call back with topic and number of each new announcement."""
+        """Register a callback that gets topic and number of each new announcement."""
 
     def zones(self) -> tuple[ZoneView, ...]:
-        """Return what this host holds of each zone, the own one first."""
+        """Return what this host knows of each zone, its own zone first."""
 
     def start(self) -> None:
-        """Begin to talk; called on the loop."""
+        """Start receiving and gossiping; called on the event loop."""
 
     async def leave(self) -> None:
-        """Tell the others of a planned stop, then be silent."""
+        """Tell the other hosts of a planned stop, then stop."""
--- a/poplarrun/hosts/_polls.py
+++ b/poplarrun/hosts/_polls.py
@@ -1,4 +1,4 @@
-"""When a host reads a stream of the log again: the hosts take turns and tell each other."""
+"""Polling of log streams: the hosts share the reads and announce new records."""
 
 import asyncio
 import random
@@ -6,91 +6,94 @@
 
 from poplarrun.hosts._peers import Peers
 
-# While all is quiet the hosts together read a stream once in this time, each in its
-# turn; what one of them reads it announces, and the others read at once.
+# Without new records, the hosts together read a stream once in this time, each in its turn. A host
+# announces what it read, and the others then read at once.
 SHARED_POLL_INTERVAL_S = 0.25
-# No host reads more rarely than this, should announcements be lost.
+# Each host reads at least this often, in case announcements are lost.
 MAX_POLL_INTERVAL_S = 2.0
-# After an announcement the reads of all hosts are spread over the time in which the log
-# can serve them.
-READS_PER_S = 200.0
+# After an announcement, the reads of all hosts are spread so that the log gets no more than this.
+MAX_READS_PER_S = 200.0
 
 
 class StreamPoller:
     """Paces the reads of one stream at one host.
 
-    Were each host to poll on its own, 390 hosts that must know of a record within
-    a quarter of a second would read the log 1,560 times a second.
+    If each host polled on its own, 390 hosts that must know of a record within a quarter of a
+    second would read the log 1,560 times a second.
 
     Parameters
     ----------
     peers : Peers
         The other hosts.
     topic : str
-        Topic of the announcements; one for each stream.
-    read_to : callable
+        Topic of the announcements, one for each stream.
+    get_last_offset : callable
         Returns the offset of the last record that this host has read.
-    source : random.Random
-        Random source of the turns.
+    rng : random.Random
+        Spreads the reads after an announcement.
     """
 
     def __init__(
-        self, peers: Peers, topic: str, read_to: Callable[[], int], source: random.Random
+        self, peers: Peers, topic: str, get_last_offset: Callable[[], int], rng: random.Random
     ) -> None:
         self._peers = peers
         self._topic = topic
-        self._read_to = read_to
-        self._random = source
-        self._woken = asyncio.Event()
-        self._is_own_news = False
-        self._is_after_news = True
-        peers.on_announced(self._note_announcement)
+        self._get_last_offset = get_last_offset
+        self._rng = rng
+        self._wake_event = asyncio.Event()
+        self._is_own_wake = False
+        self._is_turn_reset = True
+        peers.on_announced(self._handle_announcement)
 
     def announce(self) -> None:
-        """Tell the others how far this host has read."""
-        self._peers.announce(self._topic, self._read_to(), b"")
+        """Announce to the other hosts up to which offset this host has read."""
+        self._peers.announce(self._topic, self._get_last_offset(), b"")
 
     def wake(self) -> None:
-        """Read at once: this host has just appended to the stream, or knows of more."""
-        self._is_own_news = True
-        self._woken.set()
+        """Read at once: this host has just appended to the stream, or knows of new records."""
+        self._is_own_wake = True
+        self._wake_event.set()
 
     async def wait(self, is_behind: bool = False) -> None:
-        """Wait for this host's turn, or less when there is news.
+        """Wait for this host's turn to read, or until new records are announced.
 
-        A host that is behind doesn't wait for its turn: the log may be out of its
-        reach, and the peers that it asked may not have had the news yet.
+        A host that is behind waits only a short time instead: the log may be out of its reach,
+        and the peers that it asked may not have had the records yet.
         """
         hosts = len(self._peers.live())
-        is_behind = is_behind or self._peers.highest_announced(self._topic) > self._read_to()
-        turn_s = (
-            max(SHARED_POLL_INTERVAL_S, hosts / READS_PER_S) if is_behind else self._next_turn_s()
+        is_behind = (
+            is_behind or self._peers.highest_announced(self._topic) > self._get_last_offset()
+        )
+        delay_s = (
+            max(SHARED_POLL_INTERVAL_S, hosts / MAX_READS_PER_S)
+            if is_behind
+            else self._next_delay_s()
         )
         try:
-            await asyncio.wait_for(self._woken.wait(), turn_s)
+            await asyncio.wait_for(self._wake_event.wait(), delay_s)
         except TimeoutError:
             return
-        self._woken.clear()
-        self._is_after_news = True
-        if not self._is_own_news:
-            # Not all hosts at the same moment: the log serves a bounded rate.
-            await asyncio.sleep(self._random.random() * hosts / READS_PER_S)
-        self._is_own_news = False
+        self._wake_event.clear()
+        self._is_turn_reset = True
+        if not self._is_own_wake:
+            # The log serves a bounded rate, so the hosts must not all read at the same moment.
+            await asyncio.sleep(self._rng.random() * hosts / MAX_READS_PER_S)
+        self._is_own_wake = False
 
-    def _next_turn_s(self) -> float:
+    def _next_delay_s(self) -> float:
         """Return the time until this host's turn.
 
-        News reaches all hosts at about the same time: from there on they count, each
-        to its own place. Without it they would read together, and then for a whole
-        period nobody would.
+        An announcement reaches all hosts at about the same time, so each host counts its turn
+        from there by its position. Otherwise all hosts would read at the same time, and then
+        none for a whole interval.
         """
         names = [peer.name for peer in self._peers.live()]
-        places = max(1, min(len(names), int(MAX_POLL_INTERVAL_S / SHARED_POLL_INTERVAL_S)))
-        if not self._is_after_news or self._peers.me.name not in names:
-            return SHARED_POLL_INTERVAL_S * places
-        self._is_after_news = False
-        return SHARED_POLL_INTERVAL_S * (1 + names.index(self._peers.me.name) % places)
+        turns = max(1, min(len(names), int(MAX_POLL_INTERVAL_S / SHARED_POLL_INTERVAL_S)))
+        if not self._is_turn_reset or self._peers.me.name not in names:
+            return SHARED_POLL_INTERVAL_S * turns
+        self._is_turn_reset = False
+        return SHARED_POLL_INTERVAL_S * (1 + names.index(self._peers.me.name) % turns)
 
-    def _note_announcement(self, topic: str, number: int) -> None:
-        if topic == self._topic and number > self._read_to():
-            self._woken.set()
+    def _handle_announcement(self, topic: str, number: int) -> None:
+        if topic == self._topic and number > self._get_last_offset():
+            self._wake_event.set()
--- a/poplarrun/hosts/_wire.py
+++ b/poplarrun/hosts/_wire.py
@@ -1,14 +1,14 @@
-"""Messages between hosts, as bytes."""
+"""Gossip messages and their MessagePack encoding."""
 
 from dataclasses import dataclass
 from typing import Annotated
 
 import msgspec
 
-from poplarrun.hosts._items import Item, Key, Number, Vector
+from poplarrun.hosts._items import Item, Key, NonNegativeInt, VersionVector
 
 SCHEMA = 1
-PAYLOAD_BYTES = 240 * 1024
+MAX_PAYLOAD_BYTES = 240 * 1024
 MAX_ITEMS = 4000
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -16,61 +16,61 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks a host whether it lives; ``for_address`` gets the answer, if set."""
+    """Requests an ack, which goes to ``requester_address`` if that is set."""
 
-    number: Number
-    for_address: HostAddress | None = None
-    for_number: Number = 0
+    number: NonNegativeInt
+    requester_address: HostAddress | None = None
+    requester_number: NonNegativeInt = 0
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answers a ping."""
+    """Acknowledges a ping."""
 
-    number: Number
+    number: NonNegativeInt
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks another host to ping one that did not answer."""
+    """Asks another host to ping a host that did not answer the sender."""
 
-    number: Number
+    number: NonNegativeInt
     address: HostAddress
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Tells which versions the sender holds of all keys with a prefix."""
+    """Carries the sender's versions of all keys with a prefix."""
 
     prefix: Key
-    vector: Annotated[Vector, msgspec.Meta(max_length=MAX_ITEMS)]
+    vector: Annotated[VersionVector, msgspec.Meta(max_length=MAX_ITEMS)]
 
 
-class Wants(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Answers a sync: the items ride beside it, the keys are asked back."""
+class SyncReply(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """Answers a sync with newer items, and with the keys of which it requests the items."""
 
     prefix: Key
     keys: Annotated[list[Key], msgspec.Meta(max_length=MAX_ITEMS)]
 
 
-class Carry(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Carries items and nothing else."""
+class Push(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """Carries items only."""
 
 
 class Request(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A message of another part, to be answered."""
+    """A request of another component, to be answered by a reply."""
 
-    number: Number
+    number: NonNegativeInt
     kind: Key
-    payload: Annotated[bytes, msgspec.Meta(max_length=PAYLOAD_BYTES)]
+    payload: Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD_BYTES)]
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The answer; ``served`` is false when no part answers such messages."""
+    """The answer; ``is_handled`` is false if there is no handler for such requests."""
 
-    number: Number
-    served: bool
-    payload: Annotated[bytes, msgspec.Meta(max_length=PAYLOAD_BYTES)]
+    number: NonNegativeInt
+    is_handled: bool
+    payload: Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD_BYTES)]
 
 
-Body = Ping | Ack | PingRequest | Sync | Wants | Carry | Request | Reply
+Body = Ping | Ack | PingRequest | Sync | SyncReply | Push | Request | Reply
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -79,20 +79,20 @@
     Attributes
     ----------
     schema : int
-        Version of this form; another one is not read.
+        Version of the format; messages of other versions are ignored.
     sender, zone, address, incarnation
-        Who sends it, and where it receives.
+        Identity of the sender, and the address at which it receives.
     body : Body
-        What it says.
+        The message proper.
     items : list of Item
-        News that rides along.
+        Items gossiped with it.
     """
 
     schema: int
     sender: Name
     zone: Name
     address: HostAddress
-    incarnation: Number
+    incarnation: NonNegativeInt
     body: Body
     items: Annotated[list[Item], msgspec.Meta(max_length=MAX_ITEMS)] = []
 
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Bytes that are no message of this schema; ``reason`` names a counter."""
+    """Bytes that are no message of this schema; ``reason`` is the name of a counter."""
 
     reason: str
 
@@ -114,12 +114,12 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the bytes of a message."""
+    """Return a message as bytes."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope | Unreadable:
-    """Read a message; anything unexpected has no effect but a counter."""
+    """Decode a message; anything malformed is returned as ``Unreadable``, to be counted."""
     try:
         if _schema_decoder.decode(data).schema != SCHEMA:
             return Unreadable("peer_message_of_other_schema")
