--- a/poplarrun/links/__init__.py
+++ b/poplarrun/links/__init__.py
@@ -1,4 +1,4 @@
-"""Datagrams between hosts: the interface, pynng, and links for tests that fail on order."""
+"""Message transport between hosts: interface, pynng sockets, and in-memory links for tests."""
 
 from poplarrun.links._interface import Links, ReceiveCallback
 from poplarrun.links._memory import LinkFaults, MemoryLinkNetwork, MemoryLinks
--- a/poplarrun/links/_interface.py
+++ b/poplarrun/links/_interface.py
@@ -1,25 +1,25 @@
-"""What the parts on the loop assume of the transport between hosts."""
+"""Interface of the message transport between hosts."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 ReceiveCallback = Callable[[bytes], None]
 
-# Larger messages are dropped by the receiving side before they are decoded.
+# The receiver drops larger messages before they are decoded.
 MAX_MESSAGE_BYTES = 256 * 1024
 
 
 class Links(Protocol):
-    """Sends single messages to addresses; any of them may be lost, late or repeated.
+    """Sends messages to addresses; any of them may be lost, delayed or duplicated.
 
-    Nothing here waits, so a dead peer can't hold the loop.
+    No method blocks, so that a dead peer can't stall the event loop.
 
     Attributes
     ----------
     address : str
-        ``ip:port`` where this host receives.
+        ``ip:port`` at which this host receives.
     bytes_sent, bytes_received : int
-        Bytes of messages so far.
+        Total size of the messages so far.
     """
 
     address: str
@@ -27,13 +27,13 @@
     bytes_received: int
 
     def start(self, receive: ReceiveCallback) -> None:
-        """Begin to receive; called on the loop."""
+        """Start receiving; called on the event loop."""
 
     def send(self, address: str, data: bytes) -> bool:
-        """Hand a message over for sending; False when it was dropped at once."""
+        """Queue a message; return False if it was dropped at once."""
 
     def close_idle(self, now: float) -> int:
-        """Close connections that were not used for a while; return how many."""
+        """Close connections that have been idle for long; return how many."""
 
     def stop(self) -> None:
         """Stop receiving and close everything."""
--- a/poplarrun/links/_memory.py
+++ b/poplarrun/links/_memory.py
@@ -1,4 +1,4 @@
-"""The test transport: links between hosts and zones that delay, drop and cut."""
+"""In-memory transport for tests, with delays, message loss and partitions."""
 
 import asyncio
 import random
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """How the links of a network behave.
+    """Faults that the links of a network inject.
 
     Attributes
     ----------
     delay_s, jitter_s : float
-        Time one way, and the most that is added to it at random, in seconds.
+        One-way delay, and the largest random addition to it.
     loss_probability : float
-        Share of messages that are dropped.
+        Probability with which a message is dropped.
     """
 
     delay_s: float = 0.0005
@@ -26,10 +26,10 @@
 
 
 class MemoryLinkNetwork:
-    """Joins the ``MemoryLinks`` of one loop.
+    """Connects the ``MemoryLinks`` of one event loop.
 
-    Cuts name groups: a host's address, or its zone. A message passes unless
-    (group of the sender, group of the receiver) is cut, in that direction.
+    A cut is a pair of groups, sender first, each of which is the address of a host or a zone. A
+    message is delivered unless a group of its sender and a group of its receiver are cut.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        source: random.Random,
+        rng: random.Random,
         faults: LinkFaults | None = None,
         zone_faults: LinkFaults | None = None,
     ) -> None:
@@ -49,38 +49,40 @@
         self.zone_faults = zone_faults or LinkFaults(delay_s=0.004, jitter_s=0.002)
         self.cuts: set[tuple[str, str]] = set()
         self.links_by_address: dict[str, MemoryLinks] = {}
-        self._random = source
+        self._rng = rng
 
-    def cut(self, some: Iterable[str], others: Iterable[str], one_way: bool = False) -> None:
-        """Cut groups off from each other, or only the first ones' messages."""
-        for a in list(some):
-            for b in list(others):
+    def cut(self, group: Iterable[str], other_group: Iterable[str], one_way: bool = False) -> None:
+        """Drop all messages between groups, or with ``one_way`` only those of the first ones."""
+        for a in list(group):
+            for b in list(other_group):
                 self.cuts.add((a, b))
                 if not one_way:
                     self.cuts.add((b, a))
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """Remove all cuts."""
         self.cuts.clear()
 
     def transmit(self, sender: "MemoryLinks", address: str, data: bytes) -> None:
-        """Deliver a message later, or drop it without a word, as TCP to a dead host does."""
-        end = self.links_by_address.get(address)
-        if end is None or end.receive is None or not self._passes(sender, end):
+        """Deliver a message after a delay, or drop it silently, as TCP to a dead host does."""
+        receiver = self.links_by_address.get(address)
+        if receiver is None or receiver.receive is None or not self._passes(sender, receiver):
             return
-        faults = self.faults if sender.zone == end.zone else self.zone_faults
-        if self._random.random() < faults.loss_probability:
+        faults = self.faults if sender.zone == receiver.zone else self.zone_faults
+        if self._rng.random() < faults.loss_probability:
             return
-        delay_s = faults.delay_s + self._random.random() * faults.jitter_s
-        asyncio.get_running_loop().call_later(delay_s, self._deliver, sender, end, data)
-
-    def _deliver(self, sender: "MemoryLinks", end: "MemoryLinks", data: bytes) -> None:
-        if end.receive is not None and self._passes(sender, end):
-            end.bytes_received += len(data)
-            end.receive(data)
-
-    def _passes(self, sender: "MemoryLinks", end: "MemoryLinks") -> bool:
-        pairs = {(a, b) for a in (sender.address, sender.zone) for b in (end.address, end.zone)}
+        delay_s = faults.delay_s + self._rng.random() * faults.jitter_s
+        asyncio.get_running_loop().call_later(delay_s, self._deliver, sender, receiver, data)
+
+    def _deliver(self, sender: "MemoryLinks", receiver: "MemoryLinks", data: bytes) -> None:
+        if receiver.receive is not None and self._passes(sender, receiver):
+            receiver.bytes_received += len(data)
+            receiver.receive(data)
+
+    def _passes(self, sender: "MemoryLinks", receiver: "MemoryLinks") -> bool:
+        pairs = {
+            (a, b) for a in (sender.address, sender.zone) for b in (receiver.address, receiver.zone)
+        }
         return not (pairs & self.cuts)
 
 
@@ -96,12 +98,12 @@
         self._network = network
 
     def start(self, receive: ReceiveCallback) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.receive = receive
         self._network.links_by_address[self.address] = self
 
     def send(self, address: str, data: bytes) -> bool:
-        """Hand a message over for sending; False when it was dropped at once."""
+        """Queue a message; return False if it was dropped at once."""
         if self.receive is None or len(data) > MAX_MESSAGE_BYTES:
             return False
         self.bytes_sent += len(data)
@@ -109,7 +111,7 @@
         return True
 
     def close_idle(self, now: float) -> int:
-        """Close nothing: there are no connections here."""
+        """Return 0: this transport has no connections."""
         return 0
 
     def stop(self) -> None:
--- a/poplarrun/links/_nng.py
+++ b/poplarrun/links/_nng.py
@@ -1,4 +1,4 @@
-"""Links over TCP or TLS by pynng: one listening PULL socket, one PUSH socket a peer."""
+"""Links over TCP or TLS with pynng: one listening PULL socket, one PUSH socket per peer."""
 
 import asyncio
 import time
@@ -12,14 +12,14 @@
 from poplarrun.logs import part_logger
 
 MAX_CONNECTIONS = 128
-IDLE_CLOSE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 SEND_BUFFER_MESSAGES = 64
 RECEIVE_BUFFER_MESSAGES = 512
-RECONNECT_MIN_MS = 50
-LISTEN_AGAIN_S = 0.2
-RECONNECT_MAX_MS = 2000
-# The name that every host's certificate carries; addresses change with each replacement.
-PEER_NAME = "poplarrun-host"
+MIN_RECONNECT_DELAY_MS = 50
+RECEIVE_RETRY_DELAY_S = 0.2
+MAX_RECONNECT_DELAY_MS = 2000
+# Name in the certificate of every host; addresses change when a host is replaced.
+CERTIFICATE_NAME = "poplarrun-host"
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,39 +29,39 @@
     Attributes
     ----------
     authority : Path
-        Certificates that a peer's certificate must descend from.
+        CA certificates by which a peer's certificate must be signed.
     identity : Path
-        This host's certificate and key, in one PEM file.
+        This host's certificate and private key, in one PEM file.
     """
 
     authority: Path
     identity: Path
 
     @property
-    def changed_at(self) -> float:
-        """When either file last changed, in seconds since the epoch."""
+    def modified_at(self) -> float:
+        """Time of the last change of either file, in seconds since the epoch."""
         return max(self.authority.stat().st_mtime, self.identity.stat().st_mtime)
 
 
 @dataclass(slots=True)
 class _Connection:
     socket: pynng.Push0
-    used_at: float
+    last_used_at: float
 
 
 class NngLinks:
-    """``Links`` over real sockets.
+    """``Links`` over network sockets.
 
-    Sends never wait: pynng buffers a few messages for a peer that is being
-    dialled, and what does not fit is dropped. The number of connections is
-    bounded; the one used longest ago is closed first.
+    Sends never block: pynng buffers a few messages while it connects to a peer, and messages
+    that do not fit are dropped. The number of connections is bounded; the least recently used one
+    is closed first.
 
     Parameters
     ----------
     address : str
         ``ip:port`` to listen on.
     tls : TlsFiles, optional
-        When given, both sides must show a certificate of the authority.
+        If given, both sides must present a certificate signed by the authority.
     """
 
     def __init__(self, address: str, tls: TlsFiles | None = None) -> None:
@@ -69,25 +69,25 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self._tls = tls
-        self._tls_changed_at = 0.0
+        self._tls_modified_at = 0.0
         self._connections: OrderedDict[str, _Connection] = OrderedDict()
-        self._listening: pynng.Pull0 | None = None
+        self._listener: pynng.Pull0 | None = None
         self._stopped = False
         self._task: asyncio.Task[None] | None = None
         self._log = part_logger("links")
 
     @property
     def open_connections(self) -> int:
-        """Connections that this host dialled and keeps."""
+        """Number of outgoing connections that are open."""
         return len(self._connections)
 
     def start(self, receive: ReceiveCallback) -> None:
-        """Listen; called on the loop."""
-        self._listening = self._listen()
-        self._task = asyncio.get_running_loop().create_task(self._receive_all(receive))
+        """Start listening; called on the event loop."""
+        self._listener = self._listen()
+        self._task = asyncio.get_running_loop().create_task(self._receive_loop(receive))
 
     def send(self, address: str, data: bytes) -> bool:
-        """Hand a message over for sending; False when it was dropped at once."""
+        """Queue a message; return False if it was dropped at once."""
         if len(data) > MAX_MESSAGE_BYTES:
             return False
         try:
@@ -98,34 +98,39 @@
         return True
 
     def close_idle(self, now: float) -> int:
-        """Close connections that were not used for a while; take new certificates up."""
+        """Close idle connections, and reload certificates that have changed."""
         self._reload_certificates()
-        idle = [a for a, c in self._connections.items() if now - c.used_at > IDLE_CLOSE_S]
-        for address in idle:
+        idle_addresses = [
+            a for a, c in self._connections.items() if now - c.last_used_at > IDLE_TIMEOUT_S
+        ]
+        for address in idle_addresses:
             self._connections.pop(address).socket.close()
-        return len(idle)
+        return len(idle_addresses)
 
     def stop(self) -> None:
         """Stop receiving and close everything."""
         self._stopped = True
         if self._task is not None:
             self._task.cancel()
-        if self._listening is not None:
-            self._listening.close()
+        if self._listener is not None:
+            self._listener.close()
         self._close_connections()
 
-    async def _receive_all(self, receive: ReceiveCallback) -> None:
+    async def _receive_loop(self, receive: ReceiveCallback) -> None:
         while not self._stopped:
             try:
-                if self._listening is None:
-                    self._listening = self._listen()
-                data = await self._listening.arecv()
+                if self._listener is None:
+                    self._listener = self._listen()
+                data = await self._listener.arecv()
             except pynng.Closed:
-                # Closed on purpose: to stop, or to listen anew with new certificates.
+                # Closed by stop(), or to listen again with new certificates.
                 continue
             except pynng.NNGException as error:
-                self._log.warning("Receiving failed.", extra={"reason": str(error)})
-                await asyncio.sleep(LISTEN_AGAIN_S)
+                self._log.warning(
+                    "Receiving messages from peers failed; retrying.",
+                    extra={"reason": str(error)},
+                )
+                await asyncio.sleep(RECEIVE_RETRY_DELAY_S)
                 continue
             self.bytes_received += len(data)
             receive(data)
@@ -138,15 +143,15 @@
                 self._connections.popitem(last=False)[1].socket.close()
             connection = _Connection(self._dial(address), now)
             self._connections[address] = connection
-        connection.used_at = now
+        connection.last_used_at = now
         self._connections.move_to_end(address)
         return connection
 
     def _dial(self, address: str) -> pynng.Push0:
         socket = pynng.Push0(
             send_buffer_size=SEND_BUFFER_MESSAGES,
-            reconnect_time_min=RECONNECT_MIN_MS,
-            reconnect_time_max=RECONNECT_MAX_MS,
+            reconnect_time_min=MIN_RECONNECT_DELAY_MS,
+            reconnect_time_max=MAX_RECONNECT_DELAY_MS,
         )
         if self._tls is not None:
             socket.tls_config = self._tls_config(pynng.TLSConfig.MODE_CLIENT)
@@ -158,7 +163,7 @@
             recv_buffer_size=RECEIVE_BUFFER_MESSAGES, recv_max_size=MAX_MESSAGE_BYTES
         )
         if self._tls is not None:
-            self._tls_changed_at = self._tls.changed_at
+            self._tls_modified_at = self._tls.modified_at
             socket.tls_config = self._tls_config(pynng.TLSConfig.MODE_SERVER)
         socket.listen(self._url(self.address))
         return socket
@@ -173,30 +178,33 @@
             ca_files=[str(self._tls.authority)],
             cert_key_file=str(self._tls.identity),
             auth_mode=pynng.TLSConfig.AUTH_MODE_REQUIRED,
-            server_name=PEER_NAME if mode == pynng.TLSConfig.MODE_CLIENT else None,
+            server_name=CERTIFICATE_NAME if mode == pynng.TLSConfig.MODE_CLIENT else None,
         )
 
     def _reload_certificates(self) -> None:
-        """Listen and dial anew once the certificate files have changed.
+        """Listen and connect again once the certificate files have changed.
 
-        nng reads certificates once. Without this a host would fail every
-        connection once its certificate has lapsed, and need a restart. Peers
-        dial again by themselves; a few messages are lost, as on any link.
+        nng reads certificates only once. Without this, a host would fail every connection once
+        its certificate has expired, and need a restart. Peers reconnect by themselves; a few
+        messages are lost, as on any link.
         """
-        if self._tls is None or self._listening is None:
+        if self._tls is None or self._listener is None:
             return
         try:
-            if self._tls.changed_at == self._tls_changed_at:
+            if self._tls.modified_at == self._tls_modified_at:
                 return
             self._tls_config(pynng.TLSConfig.MODE_SERVER)
         except (OSError, pynng.NNGException) as error:
-            self._log.warning("New certificates can't be read.", extra={"reason": str(error)})
+            self._log.warning(
+                "Changed certificates can't be read; the previous ones stay in use.",
+                extra={"reason": str(error)},
+            )
             return
-        self._tls_changed_at = self._tls.changed_at
-        old, self._listening = self._listening, None
+        self._tls_modified_at = self._tls.modified_at
+        old, self._listener = self._listener, None
         old.close()
         self._close_connections()
-        self._log.info("New certificates are in use.")
+        self._log.info("Changed certificates are in use.")
 
     def _close_connections(self) -> None:
         for connection in self._connections.values():
