--- a/features/gateway_faults.feature
+++ b/features/gateway_faults.feature
@@ -1,11 +1,11 @@
 @each.installation
 Feature: Endpoints that fail while a caller waits
 
-  Scenario Outline: An order whose endpoint <does> is sent once and its outcome told as it is
-    # An order may not be repeated. The caller gets 502, which promises nothing,
-    # because the endpoint may have run it; another endpoint is not asked.
+  Scenario Outline: An order whose endpoint <does> is sent once and its outcome reported as unknown
+    # An order must not be repeated. The caller gets 502, which makes no promise, because the
+    # endpoint may have run the order; no other endpoint may be tried.
     Given a second endpoint "stock-2" of "stock"
-    When the endpoints of "stock" meet the next order with "<fault>"
+    When the endpoints of "stock" answer the next order with the fault "<fault>"
     Then the caller's order gets 502
     And exactly one endpoint ran it
 
@@ -17,26 +17,26 @@
       | answers without its signature | UNSIGNED |
 
   Scenario: An order whose endpoint fails gets that failure
-    When the endpoints of "stock" meet the next order with "ERROR"
+    When the endpoints of "stock" answer the next order with the fault "ERROR"
     Then the caller's order gets 500
     And the answer is signed by "stock-1"
 
   Scenario: An order that was not run is sent to another endpoint
-    # The first endpoint is full and says that it ran nothing, so a second send can't
-    # run the order twice. The caller sees one good answer.
+    # The first endpoint is full and states that it ran nothing, so a second send can't run the
+    # order twice. The caller must get one good answer.
     Given a second endpoint "stock-2" of "stock"
-    When the endpoints of "stock" meet the next order with "NOT_RUN"
+    When the endpoints of "stock" answer the next order with the fault "NOT_RUN"
     Then the caller's order gets 200
     And exactly one endpoint ran it
 
   Scenario: An order that no endpoint ran is refused as not run
-    When the endpoints of "stock" meet the next 9 orders with "NOT_RUN"
+    When the endpoints of "stock" answer the next 9 orders with the fault "NOT_RUN"
     Then the caller's order gets 503
     And no endpoint ran it
 
   Scenario Outline: A lookup survives an endpoint that <does>
     Given a second endpoint "stock-2" of "stock"
-    When the endpoints of "stock" meet the next lookup with "<fault>"
+    When the endpoints of "stock" answer the next lookup with the fault "<fault>"
     Then the caller's lookup gets 200
 
     Examples:
@@ -48,41 +48,41 @@
       | answers without its signature | UNSIGNED |
       | says nothing                  | MUTE     |
 
-  Scenario: A second answer behind a whole one reaches nobody
-    # The endpoint answers twice on a kept connection. The bytes belong to no request:
-    # the connection is not used again and the next caller gets its own answer.
-    When the endpoints of "stock" meet the next lookup with "EXTRA"
+  Scenario: A second answer after a complete one reaches no caller
+    # The endpoint answers twice on a persistent connection. The additional bytes belong to no
+    # request: the connection must not be reused, and the next caller must get its own answer.
+    When the endpoints of "stock" answer the next lookup with the fault "EXTRA"
     Then the caller's lookup gets 200
     And 5 lookups are answered by "stock-1"
 
-  Scenario: A stream goes on at another endpoint within the same answer
-    # The first endpoint breaks off inside event 3. The caller sees one answer with
-    # each event once: the second endpoint goes on behind the last whole one.
+  Scenario: A stream is resumed at another endpoint within the same answer
+    # The first endpoint aborts inside event 3. The caller must get one answer with each event once:
+    # the second endpoint resumes after the last complete event.
     Given a second endpoint "engine-2" of "engines"
-    When the endpoints of "engines" meet the next draft with "CUT"
+    When the endpoints of "engines" answer the next draft with the fault "CUT"
     Then the answer has the events 1 to 5 of the model "small"
-    And the second endpoint was asked to go on after event 2
+    And the second endpoint was asked to resume after event 2
 
-  Scenario: A stream that can't go on does not look whole
-    When the endpoints of "engines" meet the next 9 drafts with "CUT"
-    Then the answer is broken off
+  Scenario: A stream that can't be resumed does not look complete
+    When the endpoints of "engines" answer the next 9 drafts with the fault "CUT"
+    Then the answer is aborted
 
-  Scenario: A caller that goes on itself gets the rest only
-    When a caller asks for a draft after event 3
+  Scenario: A caller that resumes a stream gets only the rest
+    When a caller requests a draft after event 3
     Then the answer has the events 4 to 5 of the model "small"
 
-  Scenario: A caller that leaves stops its endpoint
-    # The caller closes its connection in the middle of a stream, and before the first
-    # event of another. Both endpoints see their connections close within half a second.
+  Scenario: A caller that disconnects stops its endpoint
+    # The caller closes its connection in the middle of a stream, and before the first event of
+    # another one. In both cases the connection to the endpoint must close within half a second.
     Given the endpoints stream slowly
-    When a caller leaves in the middle of a draft
-    Then its endpoint sees it leave within half a second
+    When a caller disconnects in the middle of a draft
+    Then its endpoint is disconnected within half a second
 
-  Scenario: A caller that leaves before the first event stops its endpoint too
-    When the endpoints of "engines" meet the next draft with "MUTE" and its caller leaves
-    Then its endpoint sees it leave within half a second
+  Scenario: A caller that disconnects before the first event stops its endpoint too
+    When the endpoints of "engines" answer the next draft with the fault "MUTE" and its caller disconnects
+    Then its endpoint is disconnected within half a second
 
-  Scenario: A request that was given up is answered at once
-    # No endpoint is listed any more. The caller hears so now, not at its time limit.
-    When the endpoints of "stock" are all taken away
+  Scenario: A request without any endpoint is refused at once
+    # No endpoint is listed any more. The caller must learn that now, not at its time limit.
+    When all endpoints of "stock" are removed
     Then a lookup is answered with 503 within one second
--- a/features/gateway_parts.feature
+++ b/features/gateway_parts.feature
@@ -1,84 +1,83 @@
-Feature: Parts of the gateway: peers, events, log lines
+Feature: Components of the gateway: peer table, event streams, log output
 
-  Scenario: Freshness that a peer proves is no younger than its facts
-    # A peer's digest lay unread while this host was suspended. Its facts count from the
-    # stamp that it echoes, not from the moment at which it is read.
-    Given a book of peers
-    When a digest arrives at 109.0 that echoes 100.0 after 0.5 s, facts 0.2 s old
-    Then the facts are proven true at 100.3
+  Scenario: A peer's proof is no more recent than its facts
+    # A peer's digest was unread while this host was suspended. Its facts must count from the stamp
+    # that it echoes, not from the time at which it is read.
+    Given an empty peer table
+    When a digest with facts 0.2 s old arrives at 109.0 and echoes 100.0 after 0.5 s
+    Then the facts are proven as of 100.3
 
-  Scenario: The address of a host that was killed is taken out
-    # A host is killed and leaves its address in the store. After two minutes without a
-    # word it counts as gone; one that is heard now and then doesn't.
-    Given a book of peers
-    When "10.0.0.2:1" and "10.0.0.3:1" are read at 10.0 and "10.0.0.3:1" is heard at 100.0
+  Scenario: The address of a killed host is removed
+    # A killed host leaves its address in the store. After two minutes without a digest it must count
+    # as gone; a host that is heard in between must not.
+    Given an empty peer table
+    When the addresses "10.0.0.2:1" and "10.0.0.3:1" are read at 10.0 and "10.0.0.3:1" is heard at 100.0
     Then at 131.0 only "10.0.0.2:1" is gone
 
-  Scenario: A zone that is cut off is known as silent after one lost digest
-    # Hosts of other zones tell once a second. Requests that go into a zone which was cut
-    # off wait in vain, so it must not take three digests to notice.
-    Given a book of peers
-    When two hosts of "b" were heard last at 100.0 and 101.0
+  Scenario: A zone that is cut off counts as silent after one lost digest
+    # Hosts of other zones send a digest every second. Requests into a zone that was cut off get no
+    # answer, so it must not take three digests to notice.
+    Given an empty peer table
+    When the last digests of two hosts of "b" arrived at 100.0 and 101.0
     Then "b" is not silent at 102.6, and silent at 102.8
 
-  Scenario: Connections without acknowledgement end, to endpoints sooner than to callers
-    # A zone is cut off without a reset. A request to its endpoint is given up while there
-    # is time for another one; a caller behind a bad link is waited for.
-    Then bytes to an endpoint wait 800 ms for their acknowledgement, and to a caller 2000 ms
+  Scenario: Connections without acknowledgements fail, to endpoints sooner than to callers
+    # A zone is cut off without a reset of connections. A request to its endpoint must be given up
+    # while there is time for another endpoint; a caller behind a bad link gets more time.
+    Then a connection fails without acknowledgements for 800 ms by an endpoint, and for 2000 ms by a caller
 
-  Scenario: The first read after a failure is not held back
-    # The store was silent and answers again. A read that it holds back until something
-    # changes would prove only at its end that keys still hold, and callers with keys
-    # would be refused until then.
-    Given a follower of documents whose store says nothing to the second read
+  Scenario: The first read after a failure is no long poll
+    # The store was silent and answers again. A long poll would prove only at its end that API keys
+    # are still valid, and requests with keys would be refused until then.
+    Given a document follower whose store does not answer the second read
     When it reads 4 times
     Then the reads may wait for 0.8, 0.8, 0.0 and 0.8 s
 
-  Scenario: Events are cut whole from any bytes
-    Given a stream of 50 events in pieces of 1 to 30 bytes
-    Then the cutter gives 50 events with the ids in order, and none is torn
+  Scenario: Events are parsed from chunks of any size
+    Given a stream of 50 events in chunks of 1 to 30 bytes
+    Then the parser returns 50 complete events with their ids in order
 
-  Scenario: Lines that nobody reads are left out and counted
-    # Standard output is a full pipe. The loop writes on without waiting; notable lines
-    # go before usual ones, and a line tells how many were left out.
-    Given a log whose reader has stopped
+  Scenario: Lines that nobody reads are dropped and counted
+    # Standard output is a full pipe. The event loop must not block on it; notable lines take
+    # precedence over usual ones, and a line reports how many were dropped.
+    Given log output whose reader has stopped
     When 5000 usual lines and 100 notable ones are written
-    Then the loop never waited, and the lines left out are counted by event
+    Then the event loop never blocked, and the dropped lines are counted by event
 
-  Scenario: Lines are written whole
-    # A collector reads the lines of many hosts. A line that is divided between two writes
-    # would have another host's line inside it, and the story of its request would lack it.
-    Given a log that keeps what is written at once
+  Scenario: Lines are written as a whole
+    # A collector reads the lines of many hosts. A line that is split between two writes would have
+    # another host's line inside it, and would be lost for the timeline of its request.
+    Given log output that records each write
     When 80 lines of 50 to 900 characters are written
-    Then each write holds whole lines, and 4096 characters at the most
+    Then each write contains complete lines, and at most 4096 characters
 
-  Scenario: Every line is counted, also one that was left out
-    # Operators see in the counters how often the host changed its mind, however few of
-    # the lines that say so were written.
-    Given a log whose reader has stopped
+  Scenario: Every line is counted, including dropped ones
+    # The counters must show operators how often the host decided something, however few of the
+    # lines about it were written.
+    Given log output whose reader has stopped
     When 900 usual lines and 3 notable ones are written
-    Then the metrics tell of 900 "Usual" and 3 "Notable" lines
+    Then the metrics count 900 "Usual" and 3 "Notable" lines
 
-  Scenario: Each event of the log stands in a page with its meaning
-    Then docs/OPERATIONS.md explains every event, and no other
-    And each event is written somewhere in the product
+  Scenario: Every log event is documented
+    Then docs/OPERATIONS.md documents exactly the events in the code
+    And each event is written somewhere in the code
 
-  Scenario: A host takes on what its memory and its sockets allow
-    # With fewer descriptors the host would run out of sockets under a burst, and with
-    # less memory the platform would kill it with all requests that it has open.
+  Scenario: A host admits what its memory and its sockets allow
+    # With fewer descriptors the host would run out of sockets under a burst, and with less memory
+    # the platform would kill it together with all its open requests.
     Given a host of 150 MB and 3900 sockets
-    Then it has about 770 requests open at the most, of 2340 callers
-    And one of 150 MB and 800 sockets has 280, and one of 88 MB has 350
+    Then it admits about 770 open requests, and 2340 connections of callers
+    And one of 150 MB and 800 sockets admits 280, and one of 88 MB admits 350
 
-  Scenario Outline: A record of another writer names no endpoint
-    # Somebody else writes into the list of endpoints. A host that took it for an endpoint
-    # would send callers there; one that fails at it would end, and so would all hosts.
+  Scenario Outline: No endpoint is derived from a record of another writer
+    # Somebody else writes into the list of endpoints. A host that took the record for an endpoint
+    # would send callers there; if decoding it raised an error, all hosts would exit.
     Given a record of an endpoint <made>
-    Then it names no endpoint
+    Then no endpoint is derived from it
 
     Examples:
       | made                                     |
       | whose address ends with a line break     |
-      | with 100000 lists inside each other      |
-      | that is cut off                          |
-      | whose places are a text                  |
+      | with 100000 nested lists                 |
+      | that is truncated                        |
+      | whose slots are a string                 |
--- a/features/gateway_peers.feature
+++ b/features/gateway_peers.feature
@@ -1,26 +1,26 @@
-Feature: Hosts on the users' platform help each other
+Feature: Hosts on the platform rely on each other's reads of the store
 
   @fixture.host_pair
-  Scenario: A host that the store turns away goes on by what its peer proves
-    # The store answers 503 to one host only. The other one, in another zone, tells it
-    # what is in force, so its callers with keys are served past the bound on keys, and
-    # a key that is taken away meanwhile is refused there as well.
-    When the store turns host 1 away for longer than keys may be trusted
+  Scenario: A host that the store rejects relies on the proofs of its peer
+    # The store answers 503 to one host only. The other host, in another zone, proves to it which
+    # configuration is in force. Its callers with keys must be served for longer than the bound on
+    # revocation, and a key that is revoked meanwhile must be refused there as well.
+    When the store rejects host 1 for longer than API keys may be trusted
     Then calls of "/lookup/ring" at host 1 are answered with 200
-    And once the key "second-key" is taken away it gets 401 at host 1
+    And once the API key "second-key" is revoked it gets 401 at host 1
 
   @fixture.host_pair
-  Scenario: A host that the store turns away hears of endpoints by its peer
-    # An endpoint is removed while the store turns the host away. It must get nothing
-    # more from this host within the time for leaving endpoints.
-    When the store turns host 1 away for longer than keys may be trusted
-    And the endpoint "stock-2" takes the place of "stock-1"
+  Scenario: A host that the store rejects learns of endpoints from its peer
+    # An endpoint is removed while the store rejects the host. It must get no requests from this host
+    # after the time in which leaving endpoints must be known.
+    When the store rejects host 1 for longer than API keys may be trusted
+    And the endpoint "stock-2" replaces "stock-1"
     Then soon all calls of "/lookup/ring" at host 1 reach "stock-2"
 
   @fixture.host_pair
-  Scenario: A host that hears neither store nor peer refuses keyed requests
-    # The store turns it away and its only peer dies. Nobody can tell it that keys still
-    # hold, so it says 503, not run, with a time to come back.
-    When the store turns host 1 away for longer than keys may be trusted
-    And host 0 is killed and the bound on keys passes
-    Then a call of "/lookup/ring" at host 1 is answered with 503 and a time to come back
+  Scenario: A host that reaches neither store nor peer refuses requests with keys
+    # The store rejects the host and its only peer dies. Nobody can prove to it that keys are still
+    # valid, so it answers 503, which promises that the request has not run, with a time to retry.
+    When the store rejects host 1 for longer than API keys may be trusted
+    And host 0 is killed and API keys may be trusted no longer
+    Then a call of "/lookup/ring" at host 1 is answered with 503 and a Retry-After header
--- a/features/large_fleets.feature
+++ b/features/large_fleets.feature
@@ -1,12 +1,12 @@
-Feature: Hosts that hear each other, from six to four hundred
+Feature: Exchange of digests between six to four hundred hosts
 
-  Scenario Outline: All hosts know each other and the sum of what they run
-    # Guards against living hosts that count as dead, and messages that grow with the fleet.
+  Scenario Outline: All hosts know each other and their total load
+    # Guards against alive hosts that count as dead, and messages that grow with the fleet.
     Given <hosts> hosts in the zones "<zones>" that each run 3 requests at 2 endpoints
-    When they have talked for <seconds> s
-    Then every host takes all others to be alive, and knows what they run
-    And one host of each zone reads each topic, and one host has each duty
-    And a host sends at most <messages> messages a second, and at most <far> of all pass between zones
+    When they have exchanged digests for <seconds> s
+    Then every host takes all others to be alive, and knows their total load
+    And one host of each zone reads each topic, and one host does each job
+    And a host sends at most <messages> messages per second, and zones exchange at most <far> per second
 
     Examples:
       | hosts | zones   | seconds | messages | far |
@@ -15,74 +15,74 @@
       | 195   | abcde   | 5.0     | 8        | 120 |
       | 392   | abcdefg | 5.0     | 8        | 240 |
 
-  Scenario: Both relays of a zone are killed at once
-    # Guards against a zone that nobody adds up for, and whose living hosts count as dead with its relays.
+  Scenario: Both aggregators of a zone are killed at once
+    # Guards against a zone without aggregators whose other hosts count as dead with them.
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
-    When they have talked for 5.0 s
-    And the relays of zone "a" are killed
-    Then within 6.0 s all that are left take each other, and nobody else, to be alive
+    When they have exchanged digests for 5.0 s
+    And the aggregators of zone "a" are killed
+    Then within 6.0 s the remaining hosts take exactly each other to be alive
     And every living host was taken to be alive all the time
 
-  Scenario: A relay is suspended
-    # Guards against a relay that wakes with what it knew before, and hides what others run.
+  Scenario: An aggregator is suspended
+    # Guards against an aggregator that resumes with outdated totals and hides the load of others.
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
-    When they have talked for 5.0 s
-    And a relay of zone "b" is suspended for 4.0 s
-    Then within 4.0 s every host takes all others to be alive, and knows what they run
+    When they have exchanged digests for 5.0 s
+    And an aggregator of zone "b" is suspended for 4.0 s
+    Then within 4.0 s every host takes all others to be alive, and knows their total load
 
   Scenario: Half of all hosts are killed at once
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
-    When they have talked for 5.0 s
+    When they have exchanged digests for 5.0 s
     And every second host is killed
-    Then within 10.0 s all that are left take each other, and nobody else, to be alive
+    Then within 10.0 s the remaining hosts take exactly each other to be alive
 
-  Scenario: A zone is cut off
-    # Guards against hosts of a cut zone that count as alive in the others, and a zone that does not come back.
+  Scenario: A zone is partitioned from the others
+    # Guards against hosts of the zone that stay alive in the others, and a zone that does not return.
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
-    When they have talked for 5.0 s
-    And the hosts of zone "c" are cut off
+    When they have exchanged digests for 5.0 s
+    And the hosts of zone "c" are partitioned from the others
     Then within 2.6 s all hosts of the zones "ab" take zone "c" to be silent
-    And within 6.0 s the hosts of the zones "ab" take each other, and nobody else, to be alive
-    When the hosts of zone "c" are joined again
-    Then within 4.0 s every host takes all others to be alive, and knows what they run
+    And within 6.0 s the hosts of the zones "ab" take exactly each other to be alive
+    When the partition of zone "c" heals
+    Then within 4.0 s every host takes all others to be alive, and knows their total load
 
-  Scenario: A zone is cut in two
-    # Guards against two parts of a zone, each with relays of its own, that never find each other again.
+  Scenario: A zone is partitioned into two halves
+    # Guards against halves, each with its own aggregators, that never find each other again.
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
-    When they have talked for 5.0 s
-    And the hosts of zone "a" are cut in two halves for 12.0 s
-    Then within 8.0 s every host takes all others to be alive, and knows what they run
+    When they have exchanged digests for 5.0 s
+    And the hosts of zone "a" are partitioned into two halves for 12.0 s
+    Then within 8.0 s every host takes all others to be alive, and knows their total load
 
   Scenario: Links lose one message in twenty
     Given 66 hosts in the zones "abc" that each run 3 requests at 2 endpoints
     And links that lose 0.05 of the messages
-    When they have talked for 5.0 s
+    When they have exchanged digests for 5.0 s
     Then every living host is taken to be alive for the next 5.0 s
 
-  Scenario: A share counts once in the sum that its host gets back
+  Scenario: A host's own totals are subtracted from the totals that it receives
     # Guards against a host that takes its own requests for those of others.
-    Given a host that told 2 requests at an endpoint, and later 5
-    When a relay tells a sum of 9 in which the first of these counts
-    Then the others run 7 requests there
-    When a relay tells a sum of 12 in which the second of these counts
-    Then the others run 7 requests there
+    Given a host that reported 2 requests at an endpoint, and later 5
+    When an aggregator sends totals of 9 that include the first of these reports
+    Then the other hosts run 7 requests there
+    When an aggregator sends totals of 12 that include the second of these reports
+    Then the other hosts run 7 requests there
 
-  Scenario: The sum over most hosts counts
-    # Guards against a relay that has just begun, and hides what the fleet runs.
-    Given a host that told 2 requests at an endpoint, and later 5
-    When a relay tells a sum of 40 over 20 hosts, and a newer one a sum of 4 over 2
-    Then the others run 40 requests there
+  Scenario: The totals over the most hosts are used
+    # Guards against an aggregator that has just started and hides the load of the fleet.
+    Given a host that reported 2 requests at an endpoint, and later 5
+    When an aggregator sends totals of 40 over 20 hosts, and a newer one totals of 4 over 2
+    Then the other hosts run 40 requests there
 
-  Scenario Outline: A message that is no digest of a peer changes nothing
-    # Guards against damaged messages, and those of other versions, that change sums or rosters.
-    Given a host that talks with a peer
-    When it gets a message that is <kind>
-    Then it knows and runs on as before, and the message is <outcome>
+  Scenario Outline: A message that is no valid digest of a peer changes nothing
+    # Guards against damaged messages, and those of other versions, that change totals or rosters.
+    Given a host that exchanges digests with a peer
+    When it receives a message that is <kind>
+    Then its state is unchanged, and the message is <outcome>
 
     Examples:
       | kind                     | outcome    |
-      | cut in the middle        | unreadable |
+      | truncated                | unreadable |
       | of an unknown tag        | unreadable |
-      | with a damaged share     | unreadable |
-      | older than the last one  | passed over |
-      | a roster nobody asked of | passed over |
+      | with damaged totals      | unreadable |
+      | older than the last one  | ignored    |
+      | an unrequested roster    | ignored    |
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -9,7 +9,7 @@
 from standins.installation import Fault
 from standins.installation._installation import HOST_NAME, KEY
 
-FLOOD_TIME_MS = 60_000
+FLOOD_TIMEOUT_MS = 60_000
 EVENT = re.compile(rb"id: (\d+)\ndata: (\w+) \d+\n\n")
 
 
@@ -17,12 +17,12 @@
     return [(int(number), model.decode()) for number, model in EVENT.findall(answer.body)]
 
 
-def wait_status(context, path, status, **more):
-    def is_so():
+def wait_for_status(context, path, status, **more):
+    def has_status():
         context.answer = context.installation.call(path, method="GET", **more)
         return context.answer.status == status
 
-    context.installation.wait_for(is_so, f"{path} is answered with {status}")
+    context.installation.wait_for(has_status, f"{path} is answered with {status}")
 
 
 def open_raw(context, path, key=KEY, attempt="raw-1", within_ms=4000):
@@ -42,7 +42,7 @@
 
 
 def read_status(connection):
-    """Read one whole answer of a kept connection and return its status."""
+    """Read one complete answer from a persistent connection and return its status."""
     received = b""
     while b"\r\n\r\n" not in received:
         received += connection.recv(65536)
@@ -59,19 +59,19 @@
 
 
 @when('a caller looks up "{lookup}" and orders "{order}"')
-def step_calm(context, lookup, order):
+def step_lookup_and_order(context, lookup, order):
     context.lookup = context.installation.call(lookup, method="GET", X_Attempt_Id="look-1")
     context.order = context.installation.call(order, body=b"one ring", X_Attempt_Id="order-1")
 
 
-@then("both answers are whole, signed and of status 200")
+@then("both answers are complete and signed, with status 200")
 def step_both(context):
     for answer in (context.lookup, context.order):
         assert answer.status == 200 and answer.is_whole, answer
         assert answer.headers["x-instance-signature"] == "signed-stock-1", answer
 
 
-@then("the endpoint saw the path, the body and the id as the caller sent them")
+@then("the endpoint received the path, the body and the request id unchanged")
 def step_unchanged(context):
     look, order = context.installation.runners["stock-1"].seen
     assert (look.method, look.target) == (b"GET", b"/lookup/ring?size=5"), look
@@ -80,19 +80,19 @@
     assert 0 < int(look.headers["x-deadline-ms"]) <= 4000
 
 
-@then('the endpoint saw the account "{account}" and no key')
+@then('the endpoint received the account "{account}" and no API key')
 def step_account(context, account):
     for seen in context.installation.runners["stock-1"].seen:
         assert seen.headers["x-tenant"] == account
         assert "authorization" not in seen.headers
 
 
-@when("a caller asks for a draft")
+@when("a caller requests a draft")
 def step_draft(context):
     draft(context)
 
 
-@when("a caller asks for a draft after event {number:d}")
+@when("a caller requests a draft after event {number:d}")
 def step_draft_after(context, number):
     draft(context, Last_Event_Id=str(number))
 
@@ -104,20 +104,20 @@
     assert events_of(context.answer) == expected, events_of(context.answer)
 
 
-@given('the model "{one}" is sure by {low:d} and the model "{other}" by {high:d}')
+@given('the model "{one}" has confidence {low:d} and the model "{other}" {high:d}')
 def step_confidence(context, one, low, other, high):
     for runner in context.installation.runners.values():
         runner.confidence = {one: low, other: high}
 
 
-@then('the counters have retries for "{reason}"')
+@then('a retry for "{reason}" is counted')
 def step_counters(context, reason):
     assert (
         f'poplarrun_retries_total{{reason="{reason}"}} 1.0' in context.installation.read_metrics()
     )
 
 
-@when("a caller calls a path without a route, and one with a key that nobody holds")
+@when("a caller requests a path without a route, and another one uses an unknown API key")
 def step_denied(context):
     call = context.installation.call
     context.answers = [call("/nowhere/x"), call("/lookup/x", key="stolen", method="GET")]
@@ -134,12 +134,12 @@
     assert [answer.status for answer in context.answers] == [first, second], context.answers
 
 
-@then("no endpoint saw either")
+@then("no endpoint received either request")
 def step_unseen(context):
     assert not any(runner.seen for runner in context.installation.runners.values())
 
 
-@when('the operators add the path "{path}" and an older version is written after it')
+@when('the operators add a route for "{path}", and an older configuration is written after it')
 def step_new_route(context, path):
     installation = context.installation
     old = json.dumps(installation.config).encode()
@@ -160,10 +160,10 @@
 
 @then('a call of "{path}" is answered with {status:d}')
 def step_call_status(context, path, status):
-    wait_status(context, path, status)
+    wait_for_status(context, path, status)
 
 
-@when('the key "{key}" is taken away while its caller keeps a connection')
+@when('the API key "{key}" is revoked while its caller keeps a connection open')
 def step_revoke(context, key):
     installation = context.installation
     context.connection = open_raw(context, "/order/ring", key)
@@ -176,27 +176,27 @@
     send_raw(context.connection, "/order/ring", key, "raw-2")
 
 
-@then("the caller's next request is answered with 401 and no endpoint saw it")
+@then("the caller's next request is answered with 401 and reaches no endpoint")
 def step_revoked(context):
     assert read_status(context.connection) == 401
     assert len(context.installation.runners["stock-1"].seen) == context.before
     context.connection.close()
 
 
-@when("the store says nothing for longer than keys may be trusted")
+@when("the store is silent for longer than API keys may be trusted")
 def step_silent(context):
     context.installation.store.is_silent = True
-    wait_status(context, "/lookup/ring", 503)
+    wait_for_status(context, "/lookup/ring", 503)
 
 
-@when("the store says nothing for longer than routes may be denied")
+@when("the store is silent for longer than unknown routes may be denied")
 def step_silent_short(context):
     context.installation.store.is_silent = True
-    wait_status(context, "/nowhere/ring", 503)
+    wait_for_status(context, "/nowhere/ring", 503)
 
 
-@then('a call of "{path}" is answered with 503 and a time to come back')
-def step_come_back(context, path):
+@then('a call of "{path}" is answered with 503 and a Retry-After header')
+def step_retry_after(context, path):
     answer = context.installation.call(path, method="GET")
     assert answer.status == 503, answer
     assert float(answer.headers["retry-after"]) > 0.0, answer
@@ -205,7 +205,7 @@
 @then('once the store answers again a call of "{path}" is answered with 200')
 def step_store_back(context, path):
     context.installation.store.is_silent = False
-    wait_status(context, path, 200)
+    wait_for_status(context, path, 200)
 
 
 @given('a second endpoint "{lifetime}" of "{service}"')
@@ -217,7 +217,7 @@
     assert runner.lifetime == lifetime
 
 
-@when('the endpoint "{lifetime}" says that it leaves')
+@when('the endpoint "{lifetime}" announces that it is leaving')
 def step_leaves(context, lifetime):
     installation = context.installation
     runner = installation.runners[lifetime]
@@ -235,8 +235,8 @@
     assert len(context.leaving.seen) == context.before
 
 
-@when('the endpoint "{lifetime}" has started anew under another id, unlisted')
-def step_anew(context, lifetime):
+@when('an unlisted endpoint takes over the address of "{lifetime}"')
+def step_taken_over(context, lifetime):
     context.installation.runners[lifetime].lifetime = "somebody-else"
 
 
@@ -249,7 +249,7 @@
 
 
 @given("the endpoints stream slowly")
-def step_slowly(context):
+def step_slow_streams(context):
     for runner in context.installation.runners.values():
         runner.faults.extend([Fault.SLOW] * 9)
 
@@ -268,7 +268,7 @@
     context.code = installation.processes[0].wait(timeout=15)
 
 
-@then("the draft is whole and the host ends with code {code:d}")
+@then("the draft is complete and the host exits with code {code:d}")
 def step_stopped(context, code):
     assert context.received.endswith(b"0\r\n\r\n"), context.received[-200:]
     assert [int(number) for number, _ in EVENT.findall(_dechunk(context.received))] == [
@@ -287,23 +287,23 @@
     )
 
 
-@then("the host was not ready while it stopped")
+@then("the host reported that it was not ready while it stopped")
 def step_not_ready(context):
     assert context.statuses and 200 not in context.statuses[1:], context.statuses
 
 
-@when("the settings file is spoilt and the host gets SIGHUP")
-def step_spoilt(context):
+@when("the settings file becomes invalid and the host receives SIGHUP")
+def step_invalid_settings(context):
     context.installation.spoil_settings()
     context.installation.signal_host(0, "SIGHUP")
 
 
-@when("the settings file is spoilt without a signal")
-def step_spoilt_silently(context):
+@when("the settings file becomes invalid without a signal")
+def step_invalid_settings_silently(context):
     context.installation.spoil_settings()
 
 
-@then('the log tells "{text}"')
+@then('the log contains "{text}"')
 def step_log(context, text):
     context.installation.wait_for(lambda: text in context.installation.log_of(), text)
 
@@ -321,7 +321,10 @@
     context.installation.runners[lifetime].faults.extend([Fault.ERROR] * 1000)
 
 
-@when('the operators order "{version}" within {within:d} s, and callers ask for drafts meanwhile')
+@when(
+    'the operators order a roll-out of "{version}" within {within:d} s, while callers '
+    "request drafts"
+)
 def step_order_version(context, version, within):
     installation = context.installation
     order = {"service": "engines", "target": version, "durationS": within}
@@ -336,7 +339,7 @@
     return None if entry is None else json.loads(entry[1])["phase"]
 
 
-@then('the store holds "{phase}" for the service "{service}"')
+@then('the store records the phase "{phase}" for the service "{service}"')
 def step_phase(context, phase, service):
     context.installation.wait_for(lambda: _phase(context) == phase, f"{service} is {phase}")
 
@@ -352,11 +355,11 @@
     return int(re.search(r"VmRSS:\s+(\d+) kB", status).group(1)) / 1000.0
 
 
-@given("the endpoint floods {drafts:d} drafts with {events:d} events of 4 KB")
+@given("the endpoint answers {drafts:d} drafts with {events:d} events of 4 KB without pauses")
 def step_flood(context, drafts, events):
     installation = context.installation
-    # A busy machine must not run into the time limits before the callers read.
-    installation.config["routes"][0]["timeoutMs"] = FLOOD_TIME_MS
+    # On a busy machine, the time limits must not be reached before the callers read.
+    installation.config["routes"][0]["timeoutMs"] = FLOOD_TIMEOUT_MS
     installation.publish()
     text = f'"version": {installation.config["version"]}'
     installation.wait_for(lambda: text in installation.log_of(), "the version is in force")
@@ -365,17 +368,17 @@
     runner.faults.extend([Fault.FLOOD] * drafts)
 
 
-@when("{count:d} callers ask for drafts and read nothing until the endpoint is held back")
+@when("{count:d} callers request drafts and read nothing until the endpoint is blocked")
 def step_read_nothing(context, count):
     runner = context.installation.runners["engine-1"]
     context.before_mb = memory_mb(context)
     context.connections = [
-        open_raw(context, "/draft/brief", attempt=f"flood-{number}", within_ms=FLOOD_TIME_MS)
+        open_raw(context, "/draft/brief", attempt=f"flood-{number}", within_ms=FLOOD_TIMEOUT_MS)
         for number in range(count)
     ]
     context.installation.wait_for(lambda: len(runner.seen) == count, "all drafts run")
-    # Held back: the endpoint has pushed nothing more between two looks.
-    context.installation.wait_for(lambda: is_steady(context), "the endpoint is held back")
+    # The endpoint is blocked when it has sent nothing more between two measurements.
+    context.installation.wait_for(lambda: is_steady(context), "the endpoint is blocked")
 
 
 def is_steady(context):
@@ -384,13 +387,13 @@
     return abs(memory_mb(context) - first) < 0.2
 
 
-@then("the host has grown by less than {bound:d} MB")
+@then("the memory of the host has grown by less than {bound:d} MB")
 def step_grown(context, bound):
     grown = memory_mb(context) - context.before_mb
     assert grown < bound, grown
 
 
-@then("a caller that reads at last gets the events {first:d} to {last:d}")
+@then("a caller that starts reading gets the events {first:d} to {last:d}")
 def step_reads_at_last(context, first, last):
     received = bytearray()
     while not received.endswith(b"0\r\n\r\n"):
@@ -420,7 +423,7 @@
     context.received = received
 
 
-@then("the draft is whole and the first idle connection was closed")
+@then("the draft is complete and the first idle connection was closed")
 def step_idle_closed(context):
     numbers = [int(number) for number, _ in EVENT.findall(_dechunk(context.received))]
     assert numbers == [1, 2, 3, 4, 5], context.received[-200:]
--- a/features/steps/gateway_faults.py
+++ b/features/steps/gateway_faults.py
@@ -6,61 +6,61 @@
 from standins.installation import Fault
 
 
-def ran(context, service):
+def executions_of(context, service):
     runners = [r for r in context.installation.runners.values() if r.service == service]
     return [seen for runner in runners for seen in runner.seen if seen.is_run]
 
 
 def set_faults(context, service, fault, count=1):
-    """Arm all endpoints of a service; which one is asked is the host's choice."""
+    """Set a fault at all endpoints of a service, since the host chooses among them."""
     context.runners = [r for r in context.installation.runners.values() if r.service == service]
     if count > 1 or len(context.runners) == 1:
         for runner in context.runners:
             runner.faults.extend([Fault[fault]] * count)
         return
-    # One fault for whichever endpoint is asked first.
+    # The endpoints share one fault, which the first one to be sent a request uses.
     shared = context.runners[0].faults
     for runner in context.runners:
         runner.faults = shared
     shared.append(Fault[fault])
 
 
-@when('the endpoints of "{service}" meet the next {count:d} {what} with "{fault}"')
-def step_many_faults(context, service, count, what, fault):
+@when('the endpoints of "{service}" answer the next {count:d} {request} with the fault "{fault}"')
+def step_many_faults(context, service, count, request, fault):
     set_faults(context, service, fault, count)
     for runner in context.runners:
-        # Longer than all attempts together come to before they break.
+        # More events than all attempts together send before they abort.
         runner.events = 20
-    _call_what(context, what.rstrip("s"))
+    _send_request(context, request.rstrip("s"))
 
 
-@when('the endpoints of "{service}" meet the next {what:w} with "{fault:w}"')
-def step_one_fault(context, service, what, fault):
+@when('the endpoints of "{service}" answer the next {request:w} with the fault "{fault:w}"')
+def step_one_fault(context, service, request, fault):
     set_faults(context, service, fault)
-    _call_what(context, what)
+    _send_request(context, request)
 
 
-def _call_what(context, what):
-    if what == "draft":
+def _send_request(context, request):
+    if request == "draft":
         draft(context)
         return
-    method = "POST" if what == "order" else "GET"
-    context.answer = context.installation.call(f"/{what}/ring", method=method)
+    method = "POST" if request == "order" else "GET"
+    context.answer = context.installation.call(f"/{request}/ring", method=method)
 
 
-@then("the caller's {what:w} gets {status:d}")
-def step_answered(context, what, status):
+@then("the caller's {request:w} gets {status:d}")
+def step_answered(context, request, status):
     assert context.answer.status == status, context.answer
 
 
 @then("exactly one endpoint ran it")
 def step_one_ran(context):
-    assert len(ran(context, "stock")) == 1, ran(context, "stock")
+    assert len(executions_of(context, "stock")) == 1, executions_of(context, "stock")
 
 
 @then("no endpoint ran it")
 def step_none_ran(context):
-    assert not ran(context, "stock")
+    assert not executions_of(context, "stock")
 
 
 @then('the answer is signed by "{lifetime}"')
@@ -68,27 +68,30 @@
     assert context.answer.headers["x-instance-signature"] == f"signed-{lifetime}", context.answer
 
 
-@then("the second endpoint was asked to go on after event {number:d}")
+@then("the second endpoint was asked to resume after event {number:d}")
 def step_resumed(context, number):
     asked = [s.headers.get("last-event-id") for r in context.runners for s in r.seen]
     assert sorted(asked, key=str) == [str(number), None], asked
 
 
-@then("the answer is broken off")
-def step_broken(context):
+@then("the answer is aborted")
+def step_aborted(context):
     assert not context.answer.is_whole, context.answer
 
 
-@when("a caller leaves in the middle of a draft")
-def step_leave(context):
+@when("a caller disconnects in the middle of a draft")
+def step_disconnect(context):
     connection = open_raw(context, "/draft/brief")
     connection.recv(65536)
     connection.close()
     context.left_at = time.monotonic()
 
 
-@when('the endpoints of "{service}" meet the next draft with "MUTE" and its caller leaves')
-def step_leave_early(context, service):
+@when(
+    'the endpoints of "{service}" answer the next draft with the fault "MUTE" and its '
+    "caller disconnects"
+)
+def step_disconnect_early(context, service):
     set_faults(context, service, "MUTE")
     connection = open_raw(context, "/draft/brief")
     runner = context.installation.runners["engine-1"]
@@ -97,14 +100,16 @@
     context.left_at = time.monotonic()
 
 
-@then("its endpoint sees it leave within half a second")
-def step_left(context):
+@then("its endpoint is disconnected within half a second")
+def step_disconnected(context):
     runner = context.installation.runners["engine-1"]
-    context.installation.wait_for(lambda: any(seen.is_left for seen in runner.seen), "it left")
+    context.installation.wait_for(
+        lambda: any(seen.is_left for seen in runner.seen), "the caller has disconnected"
+    )
 
 
-@when('the endpoints of "{service}" are all taken away')
-def step_taken_away(context, service):
+@when('all endpoints of "{service}" are removed')
+def step_all_removed(context, service):
     installation = context.installation
     for lifetime in [r.lifetime for r in installation.runners.values() if r.service == service]:
         installation.remove_runner(lifetime)
@@ -114,7 +119,7 @@
 
 @then("a lookup is answered with {status:d} within one second")
 def step_at_once(context, status):
-    # The caller would wait 4 s; the answer comes with a time to come back long before.
+    # The caller's time limit is 4 s; the answer must arrive long before it, with Retry-After.
     answer = context.installation.call("/lookup/ring", method="GET")
     assert answer.status == status, answer
     assert float(answer.headers["retry-after"]) < 1.0, answer
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -24,25 +24,25 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-@given("a book of peers")
-def step_book(context):
+@given("an empty peer table")
+def step_peer_table(context):
     context.peer_table = PeerTable("10.0.0.1:1", "a")
 
 
-@when("a digest arrives at {at:f} that echoes {stamp:f} after {held:f} s, facts {age:f} s old")
+@when("a digest with facts {age:f} s old arrives at {at:f} and echoes {stamp:f} after {held:f} s")
 def step_digest(context, at, stamp, held, age):
     context.digest = Digest("10.0.0.2:1", "b", 5000.0, stamp, held, 3, age, 0.1)
     assert context.peer_table.apply_digest(context.digest, at)
 
 
-@then("the facts are proven true at {at:f}")
+@then("the facts are proven as of {at:f}")
 def step_proven(context, at):
     assert (
         abs(context.peer_table.proven_at(context.digest, context.digest.config_age_s) - at) < 1e-6
     )
 
 
-@when('"{one}" and "{two}" are read at {at:f} and "{heard}" is heard at {then_at:f}')
+@when('the addresses "{one}" and "{two}" are read at {at:f} and "{heard}" is heard at {then_at:f}')
 def step_addresses(context, one, two, at, heard, then_at):
     context.addresses = (one, two)
     for address in context.addresses:
@@ -56,7 +56,7 @@
     assert gone == [address], gone
 
 
-@when('two hosts of "{zone}" were heard last at {first:f} and {second:f}')
+@when('the last digests of two hosts of "{zone}" arrived at {first:f} and {second:f}')
 def step_heard_last(context, zone, first, second):
     for number, at in enumerate((first, second)):
         digest = Digest(f"10.0.0.{number + 2}:1", zone, at, 0.0, 0.0, 1, 0.0, 0.0)
@@ -70,16 +70,16 @@
 
 
 @then(
-    "bytes to an endpoint wait {endpoint:d} ms for their acknowledgement, "
-    "and to a caller {caller:d} ms"
+    "a connection fails without acknowledgements for {endpoint:d} ms by an endpoint, and "
+    "for {caller:d} ms by a caller"
 )
-def step_unacked(context, endpoint, caller):
-    waits = asyncio.run(find_unacked_ms())
+def step_user_timeouts(context, endpoint, caller):
+    waits = asyncio.run(read_user_timeouts_ms())
     assert waits == (endpoint, caller), waits
 
 
-async def find_unacked_ms():
-    """Return the time for acknowledgements on both sides of a connection."""
+async def read_user_timeouts_ms():
+    """Return the TCP user timeouts of a connection, at the client's and at the server's side."""
     server = CallerServer(lambda *_: None, print)
     address = f"127.0.0.1:{free_port()}"
     await server.listen(address)
@@ -98,8 +98,8 @@
     return waits
 
 
-class SilentOnce:
-    """A store that says nothing to one read and has nothing new."""
+class SilentOnceStore:
+    """Store double that leaves one read unanswered and has no new records."""
 
     def __init__(self, silent):
         self.waits = []
@@ -115,9 +115,9 @@
         return Records((), 0, 0, 0.0)
 
 
-@given("a follower of documents whose store says nothing to the second read")
+@given("a document follower whose store does not answer the second read")
 def step_follower(context):
-    context.store = SilentOnce(silent=2)
+    context.store = SilentOnceStore(silent=2)
     reading = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
         context.store, Knowledge(), Rollouts(), lambda: None, reading
@@ -127,7 +127,7 @@
 @when("it reads {count:d} times")
 def step_read(context, count):
     async def read():
-        # The first step reads the newest records.
+        # The first step reads the latest records.
         for _ in range(count + 1):
             await context.follower._step()
 
@@ -139,22 +139,22 @@
     assert context.store.waits == [first, second, third, fourth], context.store.waits
 
 
-@given("a stream of {count:d} events in pieces of {least:d} to {most:d} bytes")
-def step_pieces(context, count, least, most):
-    whole = b"".join(f"id: {n}\ndata: text {n}\n\n".encode() for n in range(1, count + 1))
-    source, cutter = random.Random(5), EventParser()
-    context.events, context.whole = [], whole
-    while whole:
-        size = source.randint(least, most)
-        context.events += cutter.feed(whole[:size])
-        whole = whole[size:]
-    assert cutter.is_between
+@given("a stream of {count:d} events in chunks of {least:d} to {most:d} bytes")
+def step_chunks(context, count, least, most):
+    stream = b"".join(f"id: {n}\ndata: text {n}\n\n".encode() for n in range(1, count + 1))
+    rng, parser = random.Random(5), EventParser()
+    context.events, context.stream = [], stream
+    while stream:
+        size = rng.randint(least, most)
+        context.events += parser.feed(stream[:size])
+        stream = stream[size:]
+    assert parser.is_between
 
 
-@then("the cutter gives {count:d} events with the ids in order, and none is torn")
-def step_cut(context, count):
+@then("the parser returns {count:d} complete events with their ids in order")
+def step_parsed(context, count):
     assert [event.id for event in context.events] == list(range(1, count + 1))
-    assert b"".join(event.data for event in context.events) == context.whole
+    assert b"".join(event.data for event in context.events) == context.stream
 
 
 @given("a host of {memory:d} MB and {sockets:d} sockets")
@@ -163,23 +163,24 @@
     context.sockets = sockets
 
 
-@then("it has about {requests:d} requests open at the most, of {callers:d} callers")
+@then("it admits about {requests:d} open requests, and {callers:d} connections of callers")
 def step_capacity(context, requests, callers):
     assert abs(context.capacity.requests - requests) <= 10, context.capacity
     assert context.capacity.callers == callers, context.capacity
 
 
 @then(
-    "one of {memory:d} MB and {few:d} sockets has {fewer:d}, and one of {small:d} MB has {less:d}"
+    "one of {memory:d} MB and {few:d} sockets admits {fewer:d}, and one of {small:d} MB "
+    "admits {less:d}"
 )
 def step_small(context, memory, few, fewer, small, less):
     assert abs(compute_capacity(memory, few).requests - fewer) <= 10
     assert abs(compute_capacity(small, context.sockets).requests - less) <= 10
 
 
-@given("a log whose reader has stopped")
+@given("log output whose reader has stopped")
 def step_stopped_reader(context):
-    # The thread that writes stays at its first write, as at a full pipe.
+    # The writing thread blocks in its first write, as at a full pipe.
     import threading
 
     reads = threading.Event()
@@ -197,13 +198,13 @@
         logger.info("notable", extra={"event": "Notable", "is_usual": False})
 
 
-@then("the loop never waited, and the lines left out are counted by event")
-def step_left_out(context):
+@then("the event loop never blocked, and the dropped lines are counted by event")
+def step_dropped(context):
     assert context.handler.left_out["Usual"] > 4000
     assert context.handler.left_out["Notable"] == 0
 
 
-@then("docs/OPERATIONS.md explains every event, and no other")
+@then("docs/OPERATIONS.md documents exactly the events in the code")
 def step_events_page(context):
     text = (ROOT / "docs" / "OPERATIONS.md").read_text()
     explained = sorted(re.findall(r"^\| `([A-Z]\w+)` \|", text, re.MULTILINE))
@@ -211,14 +212,14 @@
     assert explained == named, set(explained) ^ set(named)
 
 
-@then("each event is written somewhere in the product")
+@then("each event is written somewhere in the code")
 def step_events_written(context):
     code = "".join(path.read_text() for path in (ROOT / "poplarrun").rglob("*.py"))
     unwritten = [event for event in EVENTS if f"events.{event.__name__}(" not in code]
     assert not unwritten, unwritten
 
 
-@then('the metrics tell of {usual:d} "{one}" and {notable:d} "{other}" lines')
+@then('the metrics count {usual:d} "{one}" and {notable:d} "{other}" lines')
 def step_counted(context, usual, one, notable, other):
     metrics = Metrics()
     metrics.expose_lines(context.handler.counts)
@@ -227,22 +228,22 @@
         assert f'poplarrun_log_lines_total{{event="{event}"}} {count}.0' in text, text
 
 
-@given("a log that keeps what is written at once")
-def step_kept_writes(context):
+@given("log output that records each write")
+def step_recorded_writes(context):
     context.writes = []
     context.handler = BoundedHandler(context.writes.append)
 
 
 @when("{count:d} lines of {least:d} to {most:d} characters are written")
 def step_long_lines(context, count, least, most):
-    source = random.Random(3)
-    context.lines = ["x" * source.randint(least, most) for _ in range(count)]
+    rng = random.Random(3)
+    context.lines = ["x" * rng.randint(least, most) for _ in range(count)]
     for line in context.lines:
         context.handler._waiting.append(line)
     context.handler.flush()
 
 
-@then("each write holds whole lines, and {most:d} characters at the most")
+@then("each write contains complete lines, and at most {most:d} characters")
 def step_whole_lines(context, most):
     assert "".join(context.writes) == "\n".join(context.lines) + "\n"
     assert all(text.endswith("\n") and len(text) <= most for text in context.writes)
@@ -257,20 +258,20 @@
     "slots": 8,
     "phase": "ready",
 }
-SPOILT_RECORDS = {
+INVALID_RECORDS = {
     "whose address ends with a line break": json.dumps(RECORD | {"address": "10.0.0.1:80\n"}),
-    "with 100000 lists inside each other": '{"x":' + "[" * 100_000 + "]" * 100_000 + "}",
-    "that is cut off": json.dumps(RECORD)[:-5],
-    "whose places are a text": json.dumps(RECORD | {"slots": "8"}),
+    "with 100000 nested lists": '{"x":' + "[" * 100_000 + "]" * 100_000 + "}",
+    "that is truncated": json.dumps(RECORD)[:-5],
+    "whose slots are a string": json.dumps(RECORD | {"slots": "8"}),
 }
 
 
-@given("a record of an endpoint {made}")
-def step_record(context, made):
+@given("a record of an endpoint {kind}")
+def step_record(context, kind):
     assert decode_listing("engine-1", json.dumps(RECORD).encode()) is not None
-    context.record = SPOILT_RECORDS[made].encode()
+    context.record = INVALID_RECORDS[kind].encode()
 
 
-@then("it names no endpoint")
+@then("no endpoint is derived from it")
 def step_no_endpoint(context):
     assert decode_listing("engine-1", context.record) is None
--- a/features/steps/gateway_peers.py
+++ b/features/steps/gateway_peers.py
@@ -2,23 +2,23 @@
 
 from behave import then, when
 
-# The stand-in's bound on keys is 5 s, of which 4 s are used.
+# The stand-in sets a bound of 5 s on the revocation of keys, of which a host uses 4 s.
 PAST_BOUND_S = 5.0
 
 
-@when("the store turns host {number:d} away for longer than keys may be trusted")
+@when("the store rejects host {number:d} for longer than API keys may be trusted")
 def step_turned_away(context, number):
     context.installation.turn_away(number)
     time.sleep(PAST_BOUND_S)
 
 
-@when('the endpoint "{new}" takes the place of "{old}"')
+@when('the endpoint "{new}" replaces "{old}"')
 def step_replaced(context, new, old):
     context.installation.add_runner(new, "stock")
     context.installation.remove_runner(old)
 
 
-@when("host {number:d} is killed and the bound on keys passes")
+@when("host {number:d} is killed and API keys may be trusted no longer")
 def step_killed(context, number):
     process = context.installation.processes[number]
     process.kill()
@@ -32,7 +32,7 @@
     assert [answer.status for answer in answers] == [status] * 5, answers
 
 
-@then('once the key "{key}" is taken away it gets 401 at host {number:d}')
+@then('once the API key "{key}" is revoked it gets 401 at host {number:d}')
 def step_key_gone(context, key, number):
     installation = context.installation
     assert installation.call("/lookup/ring", number, key).status == 200
@@ -59,7 +59,7 @@
     installation.wait_for(reach, f"all calls reach {lifetime}")
 
 
-@then('a call of "{path}" at host {number:d} is answered with {status:d} and a time to come back')
+@then('a call of "{path}" at host {number:d} is answered with {status:d} and a Retry-After header')
 def step_refused(context, path, number, status):
     answer = context.installation.call(path, number)
     assert answer.status == status, answer
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -22,14 +22,14 @@
 from standins.virtual_time import VirtualTimeLoop
 
 SEED = 4107
-WATCH_S = 2.0
-LOOK_S = 0.25
+MEASURE_WINDOW_S = 2.0
+POLL_INTERVAL_S = 0.25
 ENDPOINT = "engine-1"
 OWN_STAMPS = (1.0, 2.0)
 
 
 def run(context, coroutine):
-    """Run a coroutine in the scenario's virtual time, which goes on from step to step."""
+    """Run a coroutine in the scenario's virtual time, which continues from step to step."""
     return context.loop.run_until_complete(coroutine)
 
 
@@ -42,12 +42,12 @@
     context.add_cleanup(context.loop.end)
     context.missing = []
 
-    async def talk():
+    async def start_exchange():
         context.fleet = PeerFleet(SEED, count, zones)
         context.fleet.run_requests(requests, 2)
         context.fleet.talk()
 
-    run(context, talk())
+    run(context, start_exchange())
 
 
 @given("links that lose {share:f} of the messages")
@@ -55,23 +55,23 @@
     context.fleet.lose(share)
 
 
-@when("they have talked for {seconds:f} s")
-def step_talk(context, seconds):
+@when("they have exchanged digests for {seconds:f} s")
+def step_exchange(context, seconds):
     run(context, asyncio.sleep(seconds))
 
 
-@then("every host takes all others to be alive, and knows what they run")
+@then("every host takes all others to be alive, and knows their total load")
 def step_known(context):
-    async def look():
+    async def find_wrong():
         hosts = context.fleet.hosts
         return context.fleet.find_wrong(hosts, hosts), context.fleet.find_wrong_sums()
 
-    wrong, sums = run(context, look())
+    wrong, sums = run(context, find_wrong())
     assert not wrong, (len(wrong), wrong[:5])
     assert not sums, (len(sums), sums[:5])
 
 
-@then("one host of each zone reads each topic, and one host has each duty")
+@then("one host of each zone reads each topic, and one host does each job")
 def step_readers(context):
     async def count():
         return context.fleet.count_readers(), context.fleet.count_on_duty()
@@ -82,19 +82,20 @@
 
 
 @then(
-    "a host sends at most {most:d} messages a second, and at most {far:d} of all pass between zones"
+    "a host sends at most {most:d} messages per second, and zones exchange at most {far:d} "
+    "per second"
 )
 def step_messages(context, most, far):
     fleet = context.fleet
     before = fleet.messages, fleet.far_messages
-    run(context, asyncio.sleep(WATCH_S))
-    a_host = (fleet.messages - before[0]) / WATCH_S / len(fleet.hosts)
-    assert a_host <= most, a_host
-    assert (fleet.far_messages - before[1]) / WATCH_S <= far, fleet.far_messages
+    run(context, asyncio.sleep(MEASURE_WINDOW_S))
+    per_host = (fleet.messages - before[0]) / MEASURE_WINDOW_S / len(fleet.hosts)
+    assert per_host <= most, per_host
+    assert (fleet.far_messages - before[1]) / MEASURE_WINDOW_S <= far, fleet.far_messages
 
 
-@when('the relays of zone "{zone}" are killed')
-def step_kill_relays(context, zone):
+@when('the aggregators of zone "{zone}" are killed')
+def step_kill_aggregators(context, zone):
     async def kill():
         relays = context.fleet.relays(zone)
         assert len(relays) == 2
@@ -111,7 +112,7 @@
     run(context, kill())
 
 
-@when('a relay of zone "{zone}" is suspended for {seconds:f} s')
+@when('an aggregator of zone "{zone}" is suspended for {seconds:f} s')
 def step_suspend(context, zone, seconds):
     async def suspend():
         await context.fleet.suspend(context.fleet.relays(zone)[0], seconds)
@@ -119,17 +120,17 @@
     run(context, suspend())
 
 
-@when('the hosts of zone "{zone}" are cut off')
-def step_cut(context, zone):
+@when('the hosts of zone "{zone}" are partitioned from the others')
+def step_partition(context, zone):
     context.fleet.cut_zone(zone)
 
 
-@when('the hosts of zone "{zone}" are joined again')
+@when('the partition of zone "{zone}" heals')
 def step_heal(context, zone):
     context.fleet.heal()
 
 
-@when('the hosts of zone "{zone}" are cut in two halves for {seconds:f} s')
+@when('the hosts of zone "{zone}" are partitioned into two halves for {seconds:f} s')
 def step_halves(context, zone, seconds):
     fleet = context.fleet
     near = [host.address for host in fleet.hosts if host.zone == zone]
@@ -148,8 +149,8 @@
     return not fleet.find_wrong(hosts, hosts)
 
 
-@then("within {seconds:f} s all that are left take each other, and nobody else, to be alive")
-def step_left(context, seconds):
+@then("within {seconds:f} s the remaining hosts take exactly each other to be alive")
+def step_remaining(context, seconds):
     fleet = context.fleet
     found = fleet.wait_until(lambda: is_settled(context, fleet.hosts), seconds)
     assert run(context, found), context.missing[:5]
@@ -165,8 +166,8 @@
     async def watch():
         fleet = context.fleet
         missing = []
-        for _ in range(int(seconds / LOOK_S)):
-            await asyncio.sleep(LOOK_S)
+        for _ in range(int(seconds / POLL_INTERVAL_S)):
+            await asyncio.sleep(POLL_INTERVAL_S)
             missing += fleet.find_missing(fleet.hosts, fleet.hosts)
         return missing
 
@@ -174,7 +175,7 @@
     assert not missing, (len(missing), missing[:5])
 
 
-@then("within {seconds:f} s every host takes all others to be alive, and knows what they run")
+@then("within {seconds:f} s every host takes all others to be alive, and knows their total load")
 def step_soon_known(context, seconds):
     fleet = context.fleet
 
@@ -195,82 +196,83 @@
     assert run(context, fleet.wait_until(is_silent, seconds))
 
 
-@then(
-    'within {seconds:f} s the hosts of the zones "{zones}" take each other,'
-    " and nobody else, to be alive"
-)
-def step_zones_left(context, seconds, zones):
+@then('within {seconds:f} s the hosts of the zones "{zones}" take exactly each other to be alive')
+def step_zones_remaining(context, seconds, zones):
     fleet = context.fleet
     hosts = [host for host in fleet.hosts if host.zone in zones]
     assert run(context, fleet.wait_until(lambda: is_settled(context, hosts), seconds))
 
 
-@given("a host that told 2 requests at an endpoint, and later 5")
-def step_told(context):
-    context.shares = TotalsTable()
+@given("a host that reported 2 requests at an endpoint, and later 5")
+def step_reported(context):
+    context.totals_table = TotalsTable()
     for stamp, requests in zip(OWN_STAMPS, (2, 5), strict=True):
-        context.shares.record_own(make_share(1, requests), stamp)
+        context.totals_table.record_own(make_totals(1, requests), stamp)
 
 
-def make_share(hosts, requests):
+def make_totals(hosts, requests):
     return ActivityTotals(hosts, [EndpointLoad(ENDPOINT, requests, 0)])
 
 
-@when("a relay tells a sum of {requests:d} in which the {place:w} of these counts")
-def step_relay_sum(context, requests, place):
+@when("an aggregator sends totals of {requests:d} that include the {place:w} of these reports")
+def step_totals(context, requests, place):
     stamp = OWN_STAMPS[("first", "second").index(place)]
-    told = ReceivedTotals(make_share(20, requests), 100.0 + stamp)
-    context.shares.apply_fleet_totals("relay", told, stamp)
+    received = ReceivedTotals(make_totals(20, requests), 100.0 + stamp)
+    context.totals_table.apply_fleet_totals("aggregator", received, stamp)
 
 
 @when(
-    "a relay tells a sum of {many:d} over {hosts:d} hosts,"
-    " and a newer one a sum of {few:d} over {fewer:d}"
+    "an aggregator sends totals of {many:d} over {hosts:d} hosts, and a newer one totals of"
+    " {few:d} over {fewer:d}"
 )
-def step_two_sums(context, many, hosts, few, fewer):
-    context.shares.apply_fleet_totals("relay", ReceivedTotals(make_share(hosts, many), 101.0), 0.0)
-    context.shares.apply_fleet_totals("newer", ReceivedTotals(make_share(fewer, few), 101.5), 0.0)
+def step_two_totals(context, many, hosts, few, fewer):
+    context.totals_table.apply_fleet_totals(
+        "aggregator", ReceivedTotals(make_totals(hosts, many), 101.0), 0.0
+    )
+    context.totals_table.apply_fleet_totals(
+        "newer", ReceivedTotals(make_totals(fewer, few), 101.5), 0.0
+    )
 
 
-@then("the others run {requests:d} requests there")
+@then("the other hosts run {requests:d} requests there")
 def step_others(context, requests):
-    loads = context.shares.estimate_others(102.0).loads
+    loads = context.totals_table.estimate_others(102.0).loads
     assert loads == [EndpointLoad(ENDPOINT, requests, 0)], loads
 
 
-@given("a host that talks with a peer")
+@given("a host that exchanges digests with a peer")
 def step_pair(context):
     context.execute_steps("""
         Given 2 hosts in the zones "ab" that each run 3 requests at 2 endpoints
-        When they have talked for 3.0 s
+        When they have exchanged digests for 3.0 s
         """)
 
 
-def make_bad(kind, peer, now):
-    totals = encode_totals(make_share(1, 50))
+def make_invalid_message(kind, peer, now):
+    totals = encode_totals(make_totals(1, 50))
     digest = Digest(peer, "b", now + 1.0, 0.0, 0.0, 9, 0.0, 0.0, scope=Scope.ZONE, totals=totals)
     match kind:
-        case "cut in the middle":
+        case "truncated":
             return encode_message(digest)[:-9]
         case "of an unknown tag":
             return msgspec.msgpack.encode([99, peer, "b"])
-        case "with a damaged share":
+        case "with damaged totals":
             return encode_message(msgspec.structs.replace(digest, totals=totals[:-3]))
         case "older than the last one":
             return encode_message(msgspec.structs.replace(digest, stamp=0.1))
-        case "a roster nobody asked of":
+        case "an unrequested roster":
             return encode_message(Roster(peer, "b", ["b7", "b8"], 0.0))
     raise AssertionError(kind)
 
 
-@when("it gets a message that is {kind}")
-def step_bad(context, kind):
+@when("it receives a message that is {kind}")
+def step_invalid(context, kind):
     host, peer = context.fleet.hosts
     context.written = []
 
     async def get():
         written = context.written.append
-        message = make_bad(kind, peer.address, context.fleet.now)
+        message = make_invalid_message(kind, peer.address, context.fleet.now)
         with (
             patch.object(_peering, "write_event", written),
             patch.object(_activity, "write_event", written),
@@ -280,14 +282,14 @@
     run(context, get())
 
 
-@then("it knows and runs on as before, and the message is {outcome}")
+@then("its state is unchanged, and the message is {outcome}")
 def step_unchanged(context, outcome):
-    async def look():
+    async def find_wrong():
         host, peer = context.fleet.hosts
         alive = [each.address for each in host.peering.peer_table.alive_peers(context.fleet.now)]
         return alive == [peer.address], context.fleet.find_wrong_sums()
 
-    is_same, sums = run(context, look())
+    is_same, sums = run(context, find_wrong())
     assert is_same and not sums, sums
     is_unreadable = any(isinstance(event, events.MessageUnreadable) for event in context.written)
     assert is_unreadable == (outcome == "unreadable"), context.written
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from poplarrun.gateway import _rollout_controller as steward_module
+from poplarrun.gateway import _rollout_controller as controller_module
 from poplarrun.gateway._rollout_controller import RolloutController
 from poplarrun.platform import Appended, Entry, LatestRecords, Moved, NoAnswer, encode_status
 from poplarrun.rollouts import Rollouts, Tally
@@ -14,105 +14,105 @@
 
 
 class MemoryStore:
-    """Records of one topic; what a test asks for happens at the next append."""
+    """Store double with the records of one topic and faults for the next append."""
 
     def __init__(self):
         self.records = []
-        self.is_answer_lost = False
-        self.comes_before = None
+        self.loses_next_answer = False
+        self.record_before_append = None
 
     async def read_latest(self, topic):
-        entries = [Entry(KEY, value, at) for at, value in enumerate(self.records)][-1:]
+        entries = [Entry(KEY, value, offset) for offset, value in enumerate(self.records)][-1:]
         return LatestRecords(tuple(entries), len(self.records), 0.0)
 
-    async def append(self, topic, entries, at=None):
-        if self.comes_before is not None:
-            self.records.append(self.comes_before)
-            self.comes_before = None
-        if at != len(self.records):
+    async def append(self, topic, entries, expected_end=None):
+        if self.record_before_append is not None:
+            self.records.append(self.record_before_append)
+            self.record_before_append = None
+        if expected_end != len(self.records):
             return Moved(len(self.records))
         self.records += [value for _, value in entries]
-        if self.is_answer_lost:
-            self.is_answer_lost = False
+        if self.loses_next_answer:
+            self.loses_next_answer = False
             return NoAnswer("timeout")
-        return Appended(at, len(self.records))
+        return Appended(expected_end, len(self.records))
 
 
 def encode(phase):
     return encode_status(RolloutStatus("engines", "v2", RolloutPhase(phase)))
 
 
-def make_steward(context, turn):
+def make_controller(context, rank):
     context.now = 100.0
     context.store = MemoryStore()
     context.rollouts = Rollouts()
     context.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
     context.rollouts.evidence.own[("engines", "v2", "a")] = Tally(8, 8)
-    context.steward = RolloutController(
-        context.store, context.rollouts, lambda _: turn, lambda _: None
+    context.controller = RolloutController(
+        context.store, context.rollouts, lambda _: rank, lambda _: None
     )
-    clock = mock.patch.object(steward_module, "boot_time", lambda: context.now)
+    clock = mock.patch.object(controller_module, "boot_time", lambda: context.now)
     clock.start()
     context.add_cleanup(clock.stop)
 
 
-@given("a store and a steward of a bad roll-out")
-def step_steward(context):
-    make_steward(context, 0)
+@given("a rollout controller and a roll-out of a bad version")
+def step_controller(context):
+    make_controller(context, 0)
 
 
-@given("a store and a steward of a bad roll-out that is second in line")
-def step_second(context):
-    make_steward(context, 1)
+@given("a rollout controller of second rank and a roll-out of a bad version")
+def step_second_rank(context):
+    make_controller(context, 1)
 
 
-@when("it looks {count:d} times")
-def step_look(context, count):
-    async def look():
+@when("it runs {count:d} rounds")
+def step_rounds(context, count):
+    async def run_rounds():
         for _ in range(count):
             for rollout in context.rollouts.active():
-                await context.steward._look_after(rollout)
+                await context.controller._look_after(rollout)
             context.now += 0.25
 
-    asyncio.run(look())
+    asyncio.run(run_rounds())
 
 
-@when("the answer to its next append is lost and it looks {count:d} times")
+@when("the answer to its next append is lost and it runs {count:d} rounds")
 def step_lost(context, count):
-    context.store.is_answer_lost = True
-    step_look(context, count)
+    context.store.loses_next_answer = True
+    step_rounds(context, count)
 
 
-@when('another host records "{phase}" just before its next append and it looks {count:d} times')
+@when('another host records "{phase}" just before its next append and it runs {count:d} rounds')
 def step_race(context, phase, count):
-    context.store.comes_before = encode(phase)
-    step_look(context, count)
+    context.store.record_before_append = encode(phase)
+    step_rounds(context, count)
 
 
-@when('another host records "{phase}" while it is suspended and it looks {count:d} times')
+@when('another host records "{phase}" while it is suspended and it runs {count:d} rounds')
 def step_suspended(context, phase, count):
     context.store.records.append(encode(phase))
     context.now += 5.0
-    step_look(context, count)
+    step_rounds(context, count)
 
 
-@when("its turn of {seconds:f} s has passed and it looks {count:d} times")
-def step_turn(context, seconds, count):
+@when("its takeover delay of {seconds:f} s has passed and it runs {count:d} rounds")
+def step_takeover(context, seconds, count):
     context.now += seconds
-    step_look(context, count)
+    step_rounds(context, count)
 
 
-@then('the store holds the phases "{phase}" only')
+@then('the only recorded phase is "{phase}"')
 def step_phases(context, phase):
     found = [json.loads(value)["phase"] for value in context.store.records]
     assert found == [phase], found
 
 
-@then("the store holds no phase")
+@then("no phase is recorded")
 def step_no_phase(context):
     assert context.store.records == [], context.store.records
 
 
-@then('the steward has taken "{phase}" over')
-def step_taken(context, phase):
+@then('the controller has adopted "{phase}"')
+def step_adopted(context, phase):
     assert context.rollouts.find("engines").recorded is RolloutPhase(phase)
