--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -148,7 +148,7 @@
         size = rng.randint(least, most)
         context.events += parser.feed(stream[:size])
         stream = stream[size:]
-    assert parser.is_between
+    assert parser.is_at_boundary
 
 
 @then("the parser returns {count:d} complete events with their ids in order")
@@ -165,8 +165,8 @@
 
 @then("it admits about {requests:d} open requests, and {callers:d} connections of callers")
 def step_capacity(context, requests, callers):
-    assert abs(context.capacity.requests - requests) <= 10, context.capacity
-    assert context.capacity.callers == callers, context.capacity
+    assert abs(context.capacity.max_open_requests - requests) <= 10, context.capacity
+    assert context.capacity.max_caller_connections == callers, context.capacity
 
 
 @then(
@@ -174,8 +174,8 @@
     "admits {less:d}"
 )
 def step_small(context, memory, few, fewer, small, less):
-    assert abs(compute_capacity(memory, few).requests - fewer) <= 10
-    assert abs(compute_capacity(small, context.sockets).requests - less) <= 10
+    assert abs(compute_capacity(memory, few).max_open_requests - fewer) <= 10
+    assert abs(compute_capacity(small, context.sockets).max_open_requests - less) <= 10
 
 
 @given("log output whose reader has stopped")
--- a/poplarrun/gateway/_capacity.py
+++ b/poplarrun/gateway/_capacity.py
@@ -1,39 +1,41 @@
-"""How much a host takes on, from the memory and the sockets that it has."""
+"""Limits on the load of a host, from its memory and sockets."""
 
 from dataclasses import dataclass
 
-# Memory of a host without requests, in MB, measured with its configuration and peers.
-BASE_MB = 35.0
-# What one open request takes with its body and the buffers of both sides, in MB.
-REQUEST_MB = 0.06
-# Part of the other memory that open requests may fill: bodies differ in size, and a
-# host over its limit is killed with all that it has open.
-MEMORY_PART = 0.4
-# An open request takes a socket of its caller and one of its endpoint. Parts of all
-# sockets, so that idle callers leave enough for endpoints, peers and the store.
-OPEN_PART = 0.35
-CALLERS_PART = 0.6
+# Memory of a host without requests, measured with its configuration and peers.
+BASE_MEMORY_MB = 35.0
+# Memory of one open request, including its body and the buffers of both connections.
+MEMORY_PER_REQUEST_MB = 0.06
+# Fraction of the remaining memory that open requests may fill. Bodies differ in size, and a host
+# that exceeds its limit is killed together with all its open requests.
+REQUEST_MEMORY_FRACTION = 0.4
+# An open request needs a socket to its caller and one to its endpoint. These fractions of all
+# sockets leave enough for endpoints, peers and the store when many callers are idle.
+REQUEST_SOCKET_FRACTION = 0.35
+CALLER_SOCKET_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Bounds of one host.
+    """Limits of one host.
 
     Attributes
     ----------
-    requests : int
-        Requests that it has open at once.
-    callers : int
-        Connections of callers that it keeps, idle ones included.
+    max_open_requests : int
+        Requests that may be open at the same time.
+    max_caller_connections : int
+        Connections of callers, including idle ones.
     """
 
-    requests: int
-    callers: int
+    max_open_requests: int
+    max_caller_connections: int
 
 
-def compute_capacity(memory_mb: float, most_sockets: int) -> Capacity:
-    """Return what a host of this size takes on."""
-    by_memory = MEMORY_PART * max(0.0, memory_mb - BASE_MB) / REQUEST_MB
-    by_sockets = OPEN_PART * most_sockets
+def compute_capacity(memory_mb: float, max_sockets: int) -> Capacity:
+    """Return the limits of a host with this memory and this many sockets."""
+    by_memory = (
+        REQUEST_MEMORY_FRACTION * max(0.0, memory_mb - BASE_MEMORY_MB) / MEMORY_PER_REQUEST_MB
+    )
+    by_sockets = REQUEST_SOCKET_FRACTION * max_sockets
     requests = max(1, int(min(by_memory, by_sockets)))
-    return Capacity(requests, max(1, int(CALLERS_PART * most_sockets)))
+    return Capacity(requests, max(1, int(CALLER_SOCKET_FRACTION * max_sockets)))
--- a/poplarrun/gateway/_event_stream.py
+++ b/poplarrun/gateway/_event_stream.py
@@ -1,12 +1,12 @@
-"""Events of a stream (``text/event-stream``), cut from the bytes of an endpoint."""
+"""Parser for server-sent events (``text/event-stream``) from an endpoint."""
 
 import re
 from dataclasses import dataclass
 
 EVENT_END = b"\n\n"
-EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d{1,15})(?:\n|$)")
-# An event longer than this is no event, in bytes.
-MOST_EVENT_BYTES = 1024 * 1024
+EVENT_ID_PATTERN = re.compile(rb"(?:^|\n)id: ?(\d{1,15})(?:\n|$)")
+# A longer event makes the stream malformed.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class MalformedStream(Exception):
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes
     ----------
     data : bytes
-        As it came, with its end.
+        The event as received, including its terminator.
     id : int, optional
-        Its id; ids of a stream increase by one.
+        Its id; the ids of a stream increase by one.
     """
 
     data: bytes
@@ -30,35 +30,38 @@
 
 
 class EventParser:
-    """Cuts bytes into whole events.
+    """Splits received bytes into complete events.
 
-    An endpoint may stop in the middle of an event. What is passed on ends with a
-    whole one, so that another endpoint can go on behind it.
+    An endpoint may stop in the middle of an event. Only complete events are forwarded, so that
+    another endpoint can resume the stream after the last one.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def is_between(self) -> bool:
-        """Whether no part of an event is left over."""
-        return not self._rest
+    def is_at_boundary(self) -> bool:
+        """Whether all received bytes belong to complete events."""
+        return not self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes and return the events that are whole now.
+        """Add received bytes and return the events that they complete.
 
         Raises
         ------
-        NoEvents
-            When no event ends for too long.
+        MalformedStream
+            If an event exceeds the maximum size.
         """
-        rest = self._rest + data
+        remainder = self._remainder + data
         events = []
-        while (end := rest.find(EVENT_END)) >= 0:
-            whole, rest = rest[: end + len(EVENT_END)], rest[end + len(EVENT_END) :]
-            match = EVENT_ID.search(whole)
-            events.append(Event(whole, int(match.group(1)) if match else None))
-        if len(rest) > MOST_EVENT_BYTES:
-            raise MalformedStream("an event has no end")
-        self._rest = rest
+        while (end := remainder.find(EVENT_END)) >= 0:
+            event_bytes, remainder = (
+                remainder[: end + len(EVENT_END)],
+                remainder[end + len(EVENT_END) :],
+            )
+            match = EVENT_ID_PATTERN.search(event_bytes)
+            events.append(Event(event_bytes, int(match.group(1)) if match else None))
+        if len(remainder) > MAX_EVENT_BYTES:
+            raise MalformedStream("an event exceeds the size limit")
+        self._remainder = remainder
         return events
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -275,7 +275,7 @@
             raise AttemptError(TookTooLong(patience_s or 0.0)) from error
         except (Broken, MalformedStream) as error:
             raise AttemptError(ConnectionBroke(str(error))) from error
-        if not cutter.is_between:
+        if not cutter.is_at_boundary:
             raise AttemptError(ConnectionBroke("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -97,7 +97,7 @@
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
         self._capacity = compute_capacity(settings.memory_mb, settings.max_sockets)
-        self._callers.most_connections = self._capacity.callers
+        self._callers.most_connections = self._capacity.max_caller_connections
         peer_table = PeerTable(settings.peer_address, settings.zone)
         times = ReadTimeouts.for_bound(settings.change_propagation_s)
         self._documents = DocumentFollower(
@@ -212,7 +212,7 @@
             self._open -= 1
 
     def _admit(self, request: Request, now: float) -> Work | Refusal:
-        if self._open >= self._capacity.requests:
+        if self._open >= self._capacity.max_open_requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
         if self._is_closed:
             # A stream that begins now would be cut off in the middle when the host is
@@ -299,7 +299,7 @@
         self._rollouts.session_s = loaded.session_s
         self._rollouts.exposure = loaded.max_exposure_fraction
         self._capacity = compute_capacity(loaded.memory_mb, loaded.max_sockets)
-        self._callers.most_connections = self._capacity.callers
+        self._callers.most_connections = self._capacity.max_caller_connections
         self._store.address = loaded.store_address
 
     def _report_crash(self, error: BaseException | None) -> None:
