--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -351,7 +351,7 @@
                 self._remove(listing.lifetime, now, is_lapse)
 
     def _is_lapse(self, now: float) -> bool:
-        """Tell whether records that are gone may have lapsed with an outage of the store."""
+        """Return whether records that are gone may have lapsed with an outage of the store."""
         return self._health.is_out or now - self._health.back_at < LAPSE_S
 
     def _take(self, entry: Entry, now: float, is_lapse: bool) -> None:
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -145,7 +145,7 @@
         return self.peer_table.job_rank(service, boot_time())
 
     def is_informed(self, now: float) -> bool:
-        """Tell whether a host that started knows how far roll-outs are.
+        """Return whether a host that started knows how far roll-outs are.
 
         The store tells of an order, but neither how old it is nor whether sessions change
         versions already. By that alone a host that starts anew would begin the trial again.
@@ -220,7 +220,7 @@
         self._note_alive(now)
 
     def _note_news(self, now: float) -> bool:
-        """Tell whether roll-outs have gone on since this was asked last."""
+        """Return whether roll-outs have gone on since this was asked last."""
         news = self._sharing.rollout_states()
         if news == self._news:
             return False
@@ -385,7 +385,7 @@
             self._links.send(digest.address, encode_message(ask))
 
     def _is_config_late(self, heard: int, version: int, now: float) -> bool:
-        """Tell whether a peer has had a newer configuration for longer than a read takes.
+        """Return whether a peer has had a newer configuration for longer than a read takes.
 
         The store sends a large document to many hosts sooner than one peer could.
         """
--- a/poplarrun/hosts/_items.py
+++ b/poplarrun/hosts/_items.py
@@ -146,20 +146,20 @@
 
     def select_items(self, store: ItemStore, limit_bytes: float) -> list[Item]:
         """Choose items for one message, those with the most remaining transmissions first."""
-        taken: list[Item] = []
+        selected: list[Item] = []
         for key, _ in sorted(self._remaining.items(), key=lambda pair: -pair[1]):
             item = store.get(key)
             if item is None:
                 del self._remaining[key]
                 continue
-            if taken and item.size_bytes > limit_bytes:
+            if selected and item.size_bytes > limit_bytes:
                 continue
             if limit_bytes <= 0:
                 break
-            taken.append(item)
+            selected.append(item)
             limit_bytes -= item.size_bytes
             self._record_sent(key)
-        return taken
+        return selected
 
     def _record_sent(self, key: str) -> None:
         self._remaining[key] -= 1
--- a/poplarrun/hosts/_memory.py
+++ b/poplarrun/hosts/_memory.py
@@ -36,7 +36,7 @@
         self.members: dict[str, MemoryPeers] = {}
 
     def passes(self, sender: str, receiver: str) -> bool:
-        """Tell whether a message would be delivered."""
+        """Return whether a message would be delivered."""
         if {sender, receiver} & self.down:
             return False
         return (sender, receiver) not in self.cut_links
--- a/poplarrun/hosts/_zones.py
+++ b/poplarrun/hosts/_zones.py
@@ -85,7 +85,7 @@
         return now - self._heartbeat_at.get(zone, self._started_at)
 
     def is_silent(self, zone: str, now: float) -> bool:
-        """Tell whether a zone has been silent for longer than the timeout."""
+        """Return whether a zone has been silent for longer than the timeout."""
         return self.silence_s(zone, now) > ZONE_SILENCE_TIMEOUT_S
 
     def members(self, zone: str) -> list[ZoneMember]:
--- a/poplarrun/peers/_peer.py
+++ b/poplarrun/peers/_peer.py
@@ -58,13 +58,13 @@
         return max(self.heard_at, self.attested_at, self.attestation_forwarded_at)
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether it was heard from or attested recently."""
+        """Return whether it was heard from or attested recently."""
         if now - self.heard_at < ALIVE_TIMEOUT_S:
             return True
         return now - max(self.attested_at, self.attestation_forwarded_at) < ATTESTED_ALIVE_TIMEOUT_S
 
     def is_known_first_hand(self, now: float) -> bool:
-        """Tell whether this host, or a host of its zone that attested it, heard it recently.
+        """Return whether this host, or a host of its zone that attested it, heard it recently.
 
         Only such knowledge is forwarded: if forwarded attestations were forwarded again, hosts
         would keep a dead host alive by attesting it to each other.
@@ -75,9 +75,9 @@
         )
 
     def is_unresponsive(self, now: float) -> bool:
-        """Tell whether it sends nothing although this host reports to it."""
+        """Return whether it sends nothing although this host reports to it."""
         return now - max(self.heard_at, self.reporting_since) > AGGREGATOR_SILENCE_TIMEOUT_S
 
     def is_due(self, now: float, interval_s: float, changed_at: float) -> bool:
-        """Tell whether to send to it: the interval has passed, or state changed since then."""
+        """Return whether to send to it: the interval has passed, or state changed since then."""
         return now - self.last_sent_at >= interval_s or self.last_sent_at < changed_at
--- a/poplarrun/peers/_peer_table.py
+++ b/poplarrun/peers/_peer_table.py
@@ -111,7 +111,7 @@
         peer.last_listed_at = now
 
     def is_gone(self, address: str, now: float, timeout_s: float) -> bool:
-        """Tell whether nothing was heard for ``timeout_s`` from a host with a known address."""
+        """Return whether nothing was heard for ``timeout_s`` from a host with a known address."""
         peer = self._peers.get(address)
         if peer is None:
             return False
@@ -249,7 +249,7 @@
         return found
 
     def is_aggregator(self, now: float) -> bool:
-        """Tell whether this host is an aggregator of its zone."""
+        """Return whether this host is an aggregator of its zone."""
         return self.address in self.aggregators(self.zone, now)
 
     def zone_silence_s(self, zone: str, now: float) -> float:
