--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -4,12 +4,12 @@
 
 from behave import given, then, when
 
-import poplarrun.log._parts as parts_module
+import poplarrun.log._snapshot_parts as parts_module
 from poplarrun.billing import (
     SHARDS,
     Bill,
     BillFold,
-    BillKeeper,
+    BillReplicator,
     BillSnapshots,
     encode_bills,
     read_statement,
@@ -17,7 +17,7 @@
 )
 from poplarrun.billing._totals import BillTotals
 from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, PartCollector, ThreadedLog, call_here, split_snapshot
+from poplarrun.log import MemoryLog, SnapshotAssembler, ThreadedLog, call_inline, split_snapshot
 from standins.histories import run_virtual
 
 START = 1_000_000.0
@@ -28,15 +28,18 @@
 
 
 def set_part_bytes(context, size):
-    context.add_cleanup(setattr, parts_module, "PART_BYTES", parts_module.PART_BYTES)
-    parts_module.PART_BYTES = size
+    context.add_cleanup(setattr, parts_module, "MAX_PART_BYTES", parts_module.MAX_PART_BYTES)
+    parts_module.MAX_PART_BYTES = size
 
 
 def make_writer(context, name="a1"):
     """Return a writer that sees no other host, so every shard is its own."""
     peers = MemoryPeers(MemoryPeerNetwork(), Peer(name, "a", "r", 1))
     return BillSnapshots(
-        peers, ThreadedLog(context.bill_log, call_here), lambda: context.wall, lambda: context.wall
+        peers,
+        ThreadedLog(context.bill_log, call_inline),
+        lambda: context.wall,
+        lambda: context.wall,
     )
 
 
@@ -61,7 +64,7 @@
 
 
 def whole_snapshots(context):
-    collector = PartCollector()
+    collector = SnapshotAssembler()
     found = (collector.add(entry) for entry in entries_of(context))
     return [whole for whole in found if whole is not None]
 
@@ -87,7 +90,7 @@
             append(context, source.choice(context.bills[-LATELY:]))
         if number % (count // 5) == count // 10:
             context.wall += HOURS_S
-            run_virtual(writer.tend())
+            run_virtual(writer.write_due_snapshots())
     fold = BillFold()
     for entry in entries_of(context):
         fold.fold(entry)
@@ -107,7 +110,7 @@
 
     async def run():
         writers = [make_writer(context, name) for name in ("a1", "b1")]
-        await asyncio.gather(add_bills(), *(writer.tend() for writer in writers))
+        await asyncio.gather(add_bills(), *(writer.write_due_snapshots() for writer in writers))
 
     run_virtual(run())
     parts = [part for part in map(parts_module._read_part, entries_of(context)) if part]
@@ -121,12 +124,12 @@
     for number in range(100):
         append(context, bill_of(number, START + number))
     if before != "none":
-        run_virtual(make_writer(context).tend())
+        run_virtual(make_writer(context).write_due_snapshots())
     totals = BillTotals()
     for entry in entries_of(context):
         totals.fold(entry)
     whole = totals.take_snapshot(START)
-    context.covered = whole.through
+    context.covered = whole.last_offset
     *parts, _ = split_snapshot(whole)
     assert parts
     for part in parts:
@@ -146,7 +149,7 @@
 def step_drop(context):
     context.before = read_now(context)
     snapshots = whole_snapshots(context)
-    through = snapshots[-1].through if snapshots else context.covered
+    through = snapshots[-1].last_offset if snapshots else context.covered
     context.bill_log.truncate(stream_of(0), through + 1)
 
 
@@ -183,16 +186,16 @@
     """Cut off a host with a bill, then all that finish it, in the order of their names."""
     loop = asyncio.get_running_loop()
     network = MemoryPeerNetwork()
-    log = ThreadedLog(context.bill_log, call_here)
+    log = ThreadedLog(context.bill_log, call_inline)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
-    keepers = [BillKeeper(p, log, loop.time, loop.time) for p in peers]
+    keepers = [BillReplicator(p, log, loop.time, loop.time) for p in peers]
     # The log takes what each host appends, and its answers are lost; then it is gone.
-    context.bill_log.lost_answers = 10**6
-    await keepers[0].keep(bill_of(1, START))
+    context.bill_log.responses_to_lose = 10**6
+    await keepers[0].replicate(bill_of(1, START))
     for gone in range(1, len(names)):
         network.cut(names[:gone], names[gone:])
         for _ in range(4):
-            await asyncio.gather(*(keeper.tend() for keeper in keepers[gone:]))
+            await asyncio.gather(*(keeper.run_round() for keeper in keepers[gone:]))
             await asyncio.sleep(1.0)
 
 
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -8,12 +8,12 @@
 
 from behave import given, then, when
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._event_stream import EventParser
 from poplarrun.gateway._followers import DocumentFollower
 from poplarrun.gateway._reading import SharedReader
-from poplarrun.logs import EVENTS, BoundedHandler
+from poplarrun.logging import EVENTS, NonBlockingHandler
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, Digest, PeerTable
 from poplarrun.platform import LatestRecords, NoAnswer, Records, decode_listing
@@ -120,7 +120,7 @@
     context.store = SilentOnceStore(silent=2)
     reading = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
-        context.store, Knowledge(), Rollouts(), lambda: None, reading
+        context.store, ConfigView(), Rollouts(), lambda: None, reading
     )
 
 
@@ -185,7 +185,7 @@
 
     reads = threading.Event()
     context.add_cleanup(reads.set)
-    context.handler = BoundedHandler(lambda _: reads.wait(30.0), lambda: 50.0)
+    context.handler = NonBlockingHandler(lambda _: reads.wait(30.0), lambda: 50.0)
 
 
 @when("{usual:d} usual lines and {notable:d} notable ones are written")
@@ -200,8 +200,8 @@
 
 @then("the event loop never blocked, and the dropped lines are counted by event")
 def step_dropped(context):
-    assert context.handler.left_out["Usual"] > 4000
-    assert context.handler.left_out["Notable"] == 0
+    assert context.handler.dropped_counts["Usual"] > 4000
+    assert context.handler.dropped_counts["Notable"] == 0
 
 
 @then("docs/OPERATIONS.md documents exactly the events in the code")
@@ -222,7 +222,7 @@
 @then('the metrics count {usual:d} "{one}" and {notable:d} "{other}" lines')
 def step_counted(context, usual, one, notable, other):
     metrics = Metrics()
-    metrics.expose_lines(context.handler.counts)
+    metrics.attach_line_counts(context.handler.line_counts)
     text = metrics.render().decode()
     for event, count in ((one, usual), (other, notable)):
         assert f'poplarrun_log_lines_total{{event="{event}"}} {count}.0' in text, text
@@ -231,7 +231,7 @@
 @given("log output that records each write")
 def step_recorded_writes(context):
     context.writes = []
-    context.handler = BoundedHandler(context.writes.append)
+    context.handler = NonBlockingHandler(context.writes.append)
 
 
 @when("{count:d} lines of {least:d} to {most:d} characters are written")
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -6,9 +6,9 @@
 from poplarrun.gateway._followers import ListingFollower
 from poplarrun.gateway._reading import SharedReader
 from poplarrun.peers import ENDPOINTS, Digest, PeerTable, ReadSchedule
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import Entry, LatestRecords, Records
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 NOW = 100.0
 
@@ -81,7 +81,7 @@
 
     async def read(self, topic, offset, wait_s=0.0):
         self.reads.append(offset)
-        return Records((), offset, 0, boot_time())
+        return Records((), offset, 0, seconds_since_boot())
 
 
 def make_entries(first, last):
@@ -110,10 +110,10 @@
     numbers = range(20)
     peer_table = next(
         peer_table
-        for peer_table in (make_peer_table(number, 20, boot_time()) for number in numbers)
-        if peer_table.reader_rank(ENDPOINTS, boot_time()) > 0
+        for peer_table in (make_peer_table(number, 20, seconds_since_boot()) for number in numbers)
+        if peer_table.reader_rank(ENDPOINTS, seconds_since_boot()) > 0
     )
-    context.store, context.directory = TwoEndpointStore(), Directory()
+    context.store, context.directory = TwoEndpointStore(), EndpointDirectory()
     context.follower = ListingFollower(
         context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
@@ -139,7 +139,7 @@
 
 @then("it lists the endpoints of records {first:d} to {last:d}, each once")
 def step_listed(context, first, last):
-    known = [listing.lifetime for listing in context.directory.listings()]
+    known = [listing.instance_id for listing in context.directory.records()]
     assert sorted(known) == [f"engine-{n}" for n in range(first, last + 1)], known
 
 
@@ -148,7 +148,7 @@
     "endpoint {gone:d}"
 )
 def step_cut(context, cut, number, gone):
-    now = boot_time()
+    now = seconds_since_boot()
     health = context.follower._health
     health.answered_at = now - cut
     context.follower._note_answer(now)
@@ -157,7 +157,7 @@
 
 @when("a peer reports that the store has answered it for the last {steady:f} s")
 def step_steady(context, steady):
-    now = boot_time()
+    now = seconds_since_boot()
     context.follower.note_steady(now - steady, now)
 
 
@@ -178,7 +178,7 @@
             await context.follower.reading.wait(lambda: context.follower.current_as_of)
         await context.follower._step()
 
-    context.follower.current_as_of = boot_time()
+    context.follower.current_as_of = seconds_since_boot()
     asyncio.run(read())
     assert context.store.reads == [number], context.store.reads
 
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -46,12 +46,12 @@
     context.now = 100.0
     context.store = MemoryStore()
     context.rollouts = Rollouts()
-    context.rollouts.take_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
-    context.rollouts.evidence.own[("engines", "v2", "a")] = Tally(8, 8)
+    context.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 99.0)
+    context.rollouts.statistics.local[("engines", "v2", "a")] = Tally(8, 8)
     context.controller = RolloutController(
         context.store, context.rollouts, lambda _: rank, lambda _: None
     )
-    clock = mock.patch.object(controller_module, "boot_time", lambda: context.now)
+    clock = mock.patch.object(controller_module, "seconds_since_boot", lambda: context.now)
     clock.start()
     context.add_cleanup(clock.stop)
 
@@ -115,4 +115,4 @@
 
 @then('the controller has adopted "{phase}"')
 def step_adopted(context, phase):
-    assert context.rollouts.find("engines").recorded is RolloutPhase(phase)
+    assert context.rollouts.find("engines").recorded_phase is RolloutPhase(phase)
--- a/poplarrun/billing/_reading.py
+++ b/poplarrun/billing/_reader.py
@@ -1,10 +1,10 @@
 """Reading one billing stream into its totals, past records that are gone."""
 
 from poplarrun.billing._totals import BillTotals
-from poplarrun.log import Entry, Page, PartCollector, WholeSnapshot
+from poplarrun.log import Entry, Page, SnapshotAssembler, StreamSnapshot
 
 
-class ShardReading:
+class ShardReader:
     """Follows a stream page by page; whoever holds the log reads from ``position`` on.
 
     Where the first records are gone it looks for the oldest snapshot that the
@@ -17,7 +17,7 @@
         The state of the stream up to ``position``.
     position : int
         The offset to read from.
-    snapshot : WholeSnapshot, optional
+    snapshot : StreamSnapshot, optional
         The last whole snapshot that was met, without its data.
     bytes_since : int
         Bytes of the records behind it.
@@ -30,53 +30,53 @@
     def __init__(self) -> None:
         self.totals = BillTotals()
         self.position = 0
-        self.snapshot: WholeSnapshot | None = None
-        self.bytes_since = 0
+        self.snapshot: StreamSnapshot | None = None
+        self.bytes_since_snapshot = 0
         self.snapshot_bytes = 0
         self.horizon = 0
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
         # Where the search for a snapshot began; None while records are folded.
         self._searched_from: int | None = None
 
-    def take(self, page: Page) -> bool:
+    def apply_page(self, page: Page) -> bool:
         """Take the page that ``position`` asked for; tell whether all is folded."""
         self.horizon = page.horizon
         if page.horizon > self.position:
-            self._search(page.horizon)
+            self._start_search(page.horizon)
         for entry in page.entries:
-            if self._take_entry(entry):
+            if self._apply_entry(entry):
                 return False
         if page.entries and self.position < page.end:
             return False
         if self._searched_from is None:
             return True
-        self._go_on_from(BillTotals(self._searched_from))
+        self._resume_from(BillTotals(self._searched_from))
         return self.position >= page.end
 
-    def _search(self, horizon: int) -> None:
+    def _start_search(self, horizon: int) -> None:
         self.position = self._searched_from = horizon
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
 
-    def _take_entry(self, entry: Entry) -> bool:
+    def _apply_entry(self, entry: Entry) -> bool:
         """Take one entry; tell whether reading goes on from elsewhere."""
         self.position = entry.offset + 1
         if self._searched_from is None:
             self.totals.fold(entry)
-        self.bytes_since += len(entry.data)
+        self.bytes_since_snapshot += len(entry.data)
         whole = self._parts.add(entry)
         if whole is None:
             return False
-        self.snapshot = WholeSnapshot(whole.through, whole.at, b"")
-        self.snapshot_bytes, self.bytes_since = len(whole.data), 0
-        if self._searched_from is None or whole.through + 1 < self._searched_from:
+        self.snapshot = StreamSnapshot(whole.last_offset, whole.written_at, b"")
+        self.snapshot_bytes, self.bytes_since_snapshot = len(whole.data), 0
+        if self._searched_from is None or whole.last_offset + 1 < self._searched_from:
             return False
         restored = BillTotals.restore(whole)
         if restored is not None:
-            self._go_on_from(restored)
+            self._resume_from(restored)
         return restored is not None
 
-    def _go_on_from(self, totals: BillTotals) -> None:
+    def _resume_from(self, totals: BillTotals) -> None:
         self.totals = totals
         self.position = totals.next_offset
         self._searched_from = None
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from poplarrun.dispatch import Dispatch, Knowledge
+from poplarrun.dispatch import ConfigView, Dispatcher
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
@@ -18,10 +18,10 @@
 from poplarrun.gateway._records import RequestRecorder
 from poplarrun.gateway._rollout_controller import RolloutController
 from poplarrun.links import NngLinks
-from poplarrun.logs import BoundedHandler, events, write_event
+from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable, ReadTimeouts
-from poplarrun.placement import Directory, Placement
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import (
     BadRequest,
     InvalidSettings,
@@ -31,14 +31,14 @@
     load_node_settings,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.routing import Request, Work
+from poplarrun.routing import InFlightRequest, Request
 from poplarrun.sizes import SizePolicy
 from poplarrun.transport import (
     CallerConnection,
     CallerServer,
     ConnectionPool,
     RequestHead,
-    boot_time,
+    seconds_since_boot,
 )
 
 # Part of the operators' bound on second sends that is used, and the hosts among
@@ -72,18 +72,18 @@
         The settings file, read again on a signal and when it changes.
     """
 
-    def __init__(self, path: Path, settings: NodeSettings, handler: BoundedHandler) -> None:
+    def __init__(self, path: Path, settings: NodeSettings, handler: NonBlockingHandler) -> None:
         self._path = path
         self._handler = handler
         self.settings = settings
         self.metrics = Metrics()
-        self.metrics.expose_lines(handler.counts)
+        self.metrics.attach_line_counts(handler.line_counts)
         self._store = StoreClient(settings.store_address, self._record_call)
-        self._knowledge = Knowledge(settings.key_revocation_s)
-        self._directory = Directory()
+        self._knowledge = ConfigView(settings.key_revocation_s)
+        self._directory = EndpointDirectory()
         self._placement = Placement(settings.zone, random.Random())
         self._rollouts = Rollouts(settings.session_s, settings.max_exposure_fraction)
-        self._dispatch = Dispatch(
+        self._dispatch = Dispatcher(
             self._knowledge,
             self._placement,
             self._rollouts,
@@ -97,7 +97,7 @@
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
         self._capacity = compute_capacity(settings.memory_mb, settings.max_sockets)
-        self._callers.most_connections = self._capacity.max_caller_connections
+        self._callers.max_connections = self._capacity.max_caller_connections
         peer_table = PeerTable(settings.peer_address, settings.zone)
         times = ReadTimeouts.for_bound(settings.change_propagation_s)
         self._documents = DocumentFollower(
@@ -128,7 +128,7 @@
             self._store,
             self._rollouts,
             self._peering.job_rank,
-            self._dispatch.judge_open,
+            self._dispatch.record_open_evidence,
         )
         self._open = 0
         self._is_closed = False
@@ -140,7 +140,7 @@
     def is_ready(self) -> bool:
         """Whether callers may come."""
         is_known = self._knowledge.catalogue is not None and self._listings.is_served
-        is_informed = self._peering.is_informed(boot_time())
+        is_informed = self._peering.is_informed(seconds_since_boot())
         return is_known and is_informed and not self._leaving.is_set()
 
     async def run(self) -> None:
@@ -174,7 +174,7 @@
 
     async def _stop(self) -> None:
         """Let the balancer turn callers away, then finish what is open."""
-        begun_at = boot_time()
+        begun_at = seconds_since_boot()
         write_event(events.HostStopping(self._open))
         self._callers.is_stopping = True
         self._start(self._peering.withdraw())
@@ -182,7 +182,7 @@
         self._is_closed = True
         self._callers.close_idle()
         stop_at = begun_at + self.settings.stop_grace_s - STOP_MARGIN_S
-        while self._open and boot_time() < stop_at:
+        while self._open and seconds_since_boot() < stop_at:
             await asyncio.sleep(STOP_POLL_S)
             self._callers.close_idle()
         self._callers.stop_accepting()
@@ -194,7 +194,7 @@
         if isinstance(request, BadRequest):
             respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.message))
             return
-        now = boot_time()
+        now = seconds_since_boot()
         self._note_belief(now)
         work = self._admit(request, now)
         if isinstance(work, Refusal):
@@ -211,7 +211,7 @@
         finally:
             self._open -= 1
 
-    def _admit(self, request: Request, now: float) -> Work | Refusal:
+    def _admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
         if self._open >= self._capacity.max_open_requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
         if self._is_closed:
@@ -252,13 +252,13 @@
         changed_at = self._modified_at()
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            self._pool.drop_stale()
+            self._pool.close_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
-            self._dispatch.divide_allowance(
+            self._dispatch.set_retry_allowance(
                 host_retry_allowance(self.settings.retry_allowance, peers)
             )
-            left_out = self._handler.take_left_out()
+            left_out = self._handler.collect_dropped_counts()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
             modified_at = self._modified_at()
@@ -275,7 +275,7 @@
             missing.append("configuration")
         if not self._listings.is_served:
             missing.append("endpoints")
-        if not self._peering.is_informed(boot_time()):
+        if not self._peering.is_informed(seconds_since_boot()):
             missing.append("peers")
         if self._leaving.is_set():
             missing.append("stopping")
@@ -295,11 +295,11 @@
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.key_bound_s = loaded.key_revocation_s
-        self._rollouts.session_s = loaded.session_s
-        self._rollouts.exposure = loaded.max_exposure_fraction
+        self._knowledge.revocation_limit_s = loaded.key_revocation_s
+        self._rollouts.session_timeout_s = loaded.session_s
+        self._rollouts.exposure_limit = loaded.max_exposure_fraction
         self._capacity = compute_capacity(loaded.memory_mb, loaded.max_sockets)
-        self._callers.most_connections = self._capacity.max_caller_connections
+        self._callers.max_connections = self._capacity.max_caller_connections
         self._store.address = loaded.store_address
 
     def _report_crash(self, error: BaseException | None) -> None:
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from poplarrun.dispatch import Knowledge
+from poplarrun.dispatch import ConfigView
 from poplarrun.gateway._activity import RolloutState, Sharing
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._sessions import SessionLookup
 from poplarrun.links import Links
-from poplarrun.logs import events, write_event
+from poplarrun.logging import events, write_event
 from poplarrun.peers import (
     ChangedRecord,
     Digest,
@@ -34,7 +34,7 @@
     encode_message,
     encode_totals,
 )
-from poplarrun.placement import Directory, Listing, Placement
+from poplarrun.placement import EndpointDirectory, EndpointRecord, Placement
 from poplarrun.platform import (
     HOST_TOPIC,
     Appended,
@@ -44,7 +44,7 @@
     StoreClient,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Pauses between two digests, in seconds: reports to the relays of the own zone, sums of a
 # zone to other zones, and sums of all to a host of the own zone, which has two relays.
@@ -87,10 +87,10 @@
         peer_table: PeerTable,
         links: Links,
         store: StoreClient,
-        knowledge: Knowledge,
+        knowledge: ConfigView,
         documents: DocumentFollower,
         listings: ListingFollower,
-        directory: Directory,
+        directory: EndpointDirectory,
         placement: Placement,
         rollouts: Rollouts,
     ) -> None:
@@ -121,7 +121,7 @@
 
     def tell_zone(self) -> None:
         """Prove to the hosts of the own zone what this one has just read."""
-        now = boot_time()
+        now = seconds_since_boot()
         digest = self._header(now)
         for peer in self.peer_table.reporting_peers(now):
             self._send(digest, peer, now)
@@ -133,16 +133,16 @@
         message = encode_message(
             EndpointChanges(self.peer_table.address, start, end, is_lapse, records)
         )
-        for peer in self.peer_table.zone_peers(boot_time()):
+        for peer in self.peer_table.zone_peers(seconds_since_boot()):
             self._links.send(peer.address, message)
 
     def count_alive(self) -> int:
         """Return how many other hosts are heard of."""
-        return len(self.peer_table.alive_peers(boot_time()))
+        return len(self.peer_table.alive_peers(seconds_since_boot()))
 
     def job_rank(self, service: str) -> int:
         """Return how many live hosts come before this one for a service's roll-outs."""
-        return self.peer_table.job_rank(service, boot_time())
+        return self.peer_table.job_rank(service, seconds_since_boot())
 
     def is_informed(self, now: float) -> bool:
         """Return whether a host that started knows how far roll-outs are.
@@ -156,12 +156,12 @@
 
     async def run(self, seeds: tuple[str, ...]) -> None:
         """Tell and hear for ever."""
-        self._started_at = boot_time()
+        self._started_at = seconds_since_boot()
         for seed in seeds:
-            self.peer_table.add_address(seed, boot_time())
+            self.peer_table.add_address(seed, seconds_since_boot())
         self._links.start(self._receive)
         while True:
-            self._tell(boot_time())
+            self._tell(seconds_since_boot())
             await asyncio.sleep(ROUND_S)
 
     async def announce(self) -> None:
@@ -175,8 +175,8 @@
             newest = await self._store.read_latest(HOST_TOPIC)
             if isinstance(newest, LatestRecords):
                 is_listed = self.peer_table.address in [entry.key for entry in newest.entries]
-                await self._read_addresses(newest.entries, boot_time())
-            is_relay = self.peer_table.is_aggregator(boot_time())
+                await self._read_addresses(newest.entries, seconds_since_boot())
+            is_relay = self.peer_table.is_aggregator(seconds_since_boot())
             await asyncio.sleep(_spread(READ_HOSTS_S if is_relay else LATER_READ_HOSTS_S))
 
     async def withdraw(self) -> None:
@@ -283,13 +283,13 @@
             config_age_s=min(1e6, self._knowledge.age_s(now)),
             listing_age_s=min(1e6, now - self._listings.current_as_of),
             documents_end_offset=-1 if self._documents.offset is None else self._documents.offset,
-            listing_end_offset=self._directory.offset if self._listings.is_known else -1,
+            listing_end_offset=self._directory.next_offset if self._listings.is_known else -1,
             store_available_s=self._listings.steady_s(now),
             rollouts=self._sharing.rollout_news(now),
         )
 
     def _receive(self, data: bytes) -> None:
-        now = boot_time()
+        now = seconds_since_boot()
         match decode_message(data):
             case Digest() as digest:
                 self._take_digest(digest, now)
@@ -407,20 +407,20 @@
         if ask.wants_listing:
             listed = [
                 ListedEndpoint(
-                    listing.lifetime,
+                    listing.instance_id,
                     listing.service,
                     listing.address,
                     listing.zone,
                     listing.version,
-                    listing.places,
+                    listing.slots,
                     listing.is_leaving,
                     listing.started_ms,
                     listing.sequence,
                 )
-                for listing in self._directory.listings()
+                for listing in self._directory.records()
             ]
         config = self._documents.raw_config if ask.wants_config else b""
-        return StateResponse(self.peer_table.address, config, listed, self._directory.gone())
+        return StateResponse(self.peer_table.address, config, listed, self._directory.removed_ids())
 
     def _take_documents(self, documents: StateResponse, now: float) -> None:
         if documents.config:
@@ -431,7 +431,7 @@
         if not documents.endpoints and not documents.removed:
             return
         for listed in documents.endpoints:
-            listing = Listing(
+            listing = EndpointRecord(
                 listed.lifetime,
                 listed.service,
                 listed.address,
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -2,12 +2,12 @@
 
 import dataclasses
 
-from poplarrun.dispatch import Attempt, Failure, Send, may_have_run, reason_of
-from poplarrun.errors import Refusal, answer_for
-from poplarrun.logs import events, write_event
+from poplarrun.dispatch import Attempt, Failure, SendDecision, failure_label, may_have_run
+from poplarrun.errors import Refusal, response_for
+from poplarrun.logging import events, write_event
 from poplarrun.metrics import Metrics
-from poplarrun.routing import Request, Work
-from poplarrun.transport import boot_time
+from poplarrun.routing import InFlightRequest, Request
+from poplarrun.transport import seconds_since_boot
 
 
 class RequestRecorder:
@@ -26,7 +26,7 @@
         self.config_version = -1
         self.config_age_s = 0.0
 
-    def admitted(self, work: Work, now: float) -> None:
+    def admitted(self, work: InFlightRequest, now: float) -> None:
         """Note that a request may run."""
         self._metrics.count_request(work.route.name)
         account = "" if work.account is None else work.account.name
@@ -36,36 +36,36 @@
                 work.route.name,
                 account,
                 work.service,
-                work.left_s(now),
+                work.remaining_s(now),
                 self.config_version,
                 self.config_age_s,
             )
         )
 
-    def chosen(self, work: Work, seconds: float) -> None:
+    def chosen(self, work: InFlightRequest, seconds: float) -> None:
         """Note how long the choice of an endpoint took."""
         self._metrics.record_latency("choice", work.service, seconds)
 
-    def sent(self, work: Work, send: Send, now: float, is_resumed: bool) -> None:
+    def sent(self, work: InFlightRequest, send: SendDecision, now: float, is_resumed: bool) -> None:
         """Note a send."""
         if work.sends > 1:
             self._metrics.count_event("resumed" if is_resumed else "sent_again")
-        member = send.seat.member
+        member = send.estimate.endpoint
         write_event(
             events.RequestSent(
                 work.request.id,
                 work.sends,
-                member.listing.lifetime,
-                member.listing.zone,
-                member.listing.version,
+                member.record.instance_id,
+                member.record.zone,
+                member.record.version,
                 send.size or "",
-                send.seat.first_s,
+                send.estimate.first_event_s,
                 member.load,
                 member.queue_s,
-                work.left_s(now),
+                work.remaining_s(now),
                 is_resumed,
                 send.reason.value,
-                "" if work.request.session is None else f"{work.request.session_number:08x}",
+                "" if work.request.session_id is None else f"{work.request.session_hash:08x}",
             )
         )
 
@@ -73,34 +73,36 @@
         """Note that no host said in time whether a session stays on its version."""
         self._metrics.count_event("session_unanswered")
 
-    def failed(self, work: Work, send: Send, failure: Failure, is_last: bool) -> None:
+    def failed(
+        self, work: InFlightRequest, send: SendDecision, failure: Failure, is_last: bool
+    ) -> None:
         """Note a failed send; it counts as a retry unless the request ends with it."""
-        reason = reason_of(failure)
+        reason = failure_label(failure)
         self._metrics.count_event(f"send_failed_{reason}")
         if not is_last:
             self._metrics.count_retry(reason)
         write_event(
             events.SendFailed(
                 work.request.id,
-                send.seat.member.listing.lifetime,
+                send.estimate.endpoint.record.instance_id,
                 reason,
                 repr(failure),
                 may_have_run(failure),
             )
         )
 
-    def dropped(self, work: Work, confidence: float) -> None:
+    def dropped(self, work: InFlightRequest, confidence: float) -> None:
         """Note that a larger model is asked in place of an answer."""
         self._metrics.count_retry("larger_model")
-        write_event(events.LargerModelAsked(work.request.id, confidence, work.size or ""))
+        write_event(events.LargerModelAsked(work.request.id, confidence, work.model_size or ""))
 
-    def first(self, work: Work, attempt: Attempt) -> None:
+    def first(self, work: InFlightRequest, attempt: Attempt) -> None:
         """Note the first event, or the answer of a plain service."""
-        if attempt.first_at is not None:
-            taken_s = attempt.first_at - work.arrived_at
+        if attempt.first_event_at is not None:
+            taken_s = attempt.first_event_at - work.arrived_at
             self._metrics.record_latency("first", work.route.name, taken_s)
 
-    def answered(self, work: Work, status: int, attempt: Attempt | None = None) -> None:
+    def answered(self, work: InFlightRequest, status: int, attempt: Attempt | None = None) -> None:
         """Note an answer that went to the caller.
 
         Parameters
@@ -108,16 +110,16 @@
         attempt : Attempt, optional
             The one whose answer was whole; None for an endpoint's own failure.
         """
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         self._metrics.record_latency("whole", work.route.name, took_s)
         event = events.RequestAnswered(work.request.id, work.route.name, status, work.sends, took_s)
-        if attempt is not None and attempt.first_at is not None:
+        if attempt is not None and attempt.first_event_at is not None:
             event = dataclasses.replace(
                 event,
-                first_s=attempt.first_at - work.arrived_at,
-                pause_s=attempt.pause_s,
-                target_s=work.route.pace.target_s,
-                most_pause_s=work.route.pace.gap_s,
+                first_s=attempt.first_event_at - work.arrived_at,
+                pause_s=attempt.max_gap_s,
+                target_s=work.route.latency.target_s,
+                most_pause_s=work.route.latency.event_gap_s,
                 model=attempt.size or "",
                 confidence=attempt.confidence,
             )
@@ -127,9 +129,9 @@
         """Note a refusal before admission."""
         self._refuse(request.id, "", refusal, 0, 0.0)
 
-    def refused(self, work: Work, refusal: Refusal, is_started: bool) -> None:
+    def refused(self, work: InFlightRequest, refusal: Refusal, is_started: bool) -> None:
         """Note a refusal, or an answer that was broken off."""
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         if not is_started:
             self._refuse(work.request.id, work.route.name, refusal, work.sends, took_s)
             return
@@ -142,21 +144,21 @@
                 refusal.message,
                 work.sends,
                 took_s,
-                work.last_event or 0,
+                work.last_event_id or 0,
             )
         )
 
-    def left(self, work: Work) -> None:
+    def left(self, work: InFlightRequest) -> None:
         """Note that the caller closed its connection."""
         self._metrics.count_event("caller_left")
-        took_s = boot_time() - work.arrived_at
+        took_s = seconds_since_boot() - work.arrived_at
         write_event(events.CallerLeft(work.request.id, work.route.name, work.sends, took_s))
 
     def _refuse(
         self, request_id: str, route: str, refusal: Refusal, sends: int, took_s: float
     ) -> None:
         self._metrics.count_refusal(refusal.kind)
-        answer = answer_for(refusal.kind)
+        answer = response_for(refusal.kind)
         write_event(
             events.RequestRefused(
                 request_id,
--- a/poplarrun/peers/_peer_table.py
+++ b/poplarrun/peers/_peer_table.py
@@ -6,7 +6,7 @@
 
 from poplarrun.peers._messages import Digest, Scope
 from poplarrun.peers._peer import AGGREGATOR_SILENCE_TIMEOUT_S, ALIVE_TIMEOUT_S, PeerState
-from poplarrun.rendezvous import Ranking, rank_hosts
+from poplarrun.rendezvous import RankingCache, rank_hosts
 
 # A zone from which nothing was heard for this long counts as cut off. It allows for the loss of
 # one digest from the only host of a zone; a false alarm only ranks the zone's endpoints last.
@@ -94,7 +94,7 @@
     zone: str
     _peers: dict[str, PeerState] = field(default_factory=dict)
     _zone_heard_at: dict[str, float] = field(default_factory=dict)
-    _rankings: dict[str, Ranking] = field(default_factory=dict)
+    _rankings: dict[str, RankingCache] = field(default_factory=dict)
     _report_targets: set[str] = field(default_factory=set)
     _last_liveness: _Liveness | None = None
     _last_expiry_at: float = -math.inf
@@ -418,7 +418,7 @@
         return self._rank(job, "", hosts).index(self.address)
 
     def _rank(self, key: str, group: str, hosts: list[str]) -> list[str]:
-        ranking = self._rankings.setdefault(group, Ranking())
+        ranking = self._rankings.setdefault(group, RankingCache())
         return ranking.rank(key, tuple(sorted(hosts)))
 
 
--- a/poplarrun/peers/_rosters.py
+++ b/poplarrun/peers/_rosters.py
@@ -7,7 +7,7 @@
 from poplarrun.peers._messages import Roster, RosterFingerprint
 from poplarrun.peers._peer import ALIVE_TIMEOUT_S, ATTESTED_ALIVE_TIMEOUT_S
 from poplarrun.peers._peer_table import PeerTable
-from poplarrun.rendezvous import salt_of
+from poplarrun.rendezvous import hash_name
 
 # A roster expires when its sender hasn't confirmed its fingerprint for this long: the sender is
 # dead, or is no aggregator any more and nobody reports to it.
@@ -136,4 +136,4 @@
 
 @functools.lru_cache(maxsize=SALT_CACHE_SIZE)
 def _salt_of(host: str) -> int:
-    return salt_of(host)
+    return hash_name(host)
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from poplarrun.platform import _names as names
-from poplarrun.routing import PromptPart, Request, Work
+from poplarrun.routing import InFlightRequest, PromptPart, Request
 
 BEARER = "bearer "
 MILLISECONDS_PER_S = 1000.0
@@ -98,18 +98,18 @@
         body=body,
         time_left_s=time_left_s,
         api_key=_decode_api_key(by_name.get(names.AUTHORIZATION.lower())),
-        parts=_decode_parts(by_name.get(names.PROMPT_PARTS.lower(), "")),
+        prompt_parts=_decode_parts(by_name.get(names.PROMPT_PARTS.lower(), "")),
         prompt_tokens=prompt_tokens,
-        most_tokens=most_tokens,
+        max_tokens=most_tokens,
         hinted_tokens=_decode_number(by_name.get(names.LENGTH_HINT.lower())),
         model=by_name.get(names.MODEL.lower()),
-        session=by_name.get(names.SESSION.lower()),
+        session_id=by_name.get(names.SESSION.lower()),
         resume_after=_decode_number(by_name.get(names.RESUME_AFTER.lower())),
     )
 
 
 def encode_request_headers(
-    work: Work, lifetime: str, time_left_s: float, priority: int
+    work: InFlightRequest, lifetime: str, time_left_s: float, priority: int
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of one send to an endpoint.
 
@@ -121,19 +121,19 @@
         0 to 9; 0 is the highest.
     """
     request = work.request
-    replaced = {names.RESUME_AFTER.lower().encode()} if work.last_event is not None else set()
-    if work.size is not None:
+    replaced = {names.RESUME_AFTER.lower().encode()} if work.last_event_id is not None else set()
+    if work.model_size is not None:
         replaced.add(names.MODEL.lower().encode())
     headers = [item for item in request.headers if item[0].lower() not in replaced]
     _append_header(headers, names.EXPECTED_LIFETIME, lifetime)
     _append_header(headers, names.TIME_LEFT_MS, str(max(1, int(time_left_s * MILLISECONDS_PER_S))))
     if work.account is not None:
         _append_header(headers, names.ACCOUNT, work.account.name)
-    if work.size is not None:
-        _append_header(headers, names.MODEL, work.size)
+    if work.model_size is not None:
+        _append_header(headers, names.MODEL, work.model_size)
         _append_header(headers, names.PRIORITY, str(min(LOWEST_PRIORITY, max(0, priority))))
-    if work.last_event is not None:
-        _append_header(headers, names.RESUME_AFTER, str(work.last_event))
+    if work.last_event_id is not None:
+        _append_header(headers, names.RESUME_AFTER, str(work.last_event_id))
     return headers
 
 
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -4,26 +4,26 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from poplarrun.billing import BillKeeper, KeptBy
-from poplarrun.claims import ClaimKeeper, fingerprint_of
-from poplarrun.clients import HostKind, HostState, ListedHost, ServiceAnswer
+from poplarrun.billing import BillDurability, BillReplicator
+from poplarrun.claims import ClaimManager, compute_fingerprint
+from poplarrun.clients import HostKind, HostState, ListedHost, ServiceResponse
 from poplarrun.config import Configuration
 from poplarrun.contracts import Document, hash_key, parse_document
 from poplarrun.endpoints import EndpointTable
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.metrics import Metrics
 from poplarrun.router import (
     BeginOperation,
     CallFailed,
     EndOperation,
-    HandedOver,
     OperationGrant,
     Replay,
     Router,
     SendOperation,
+    SendResult,
 )
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 from standins.histories._events import Answer, AnswerKind
 from standins.histories._loop import Process, spawn
 from standins.histories._world import Keep, SimCall, SimLog, SimPeers, SimService, World, now
@@ -78,24 +78,24 @@
         self._service = SimService(world)
         log = SimLog(world, name)
         endpoints = EndpointTable(self.zone, random.Random(f"{name}{incarnation}"))
-        endpoints.apply_list(ENDPOINTS)
+        endpoints.apply_host_list(ENDPOINTS)
         # Without a source of its own the router's back-off would differ from run to run.
         source = random.Random(f"router {name}{incarnation}")
-        versions = Versions(me, random.Random(name))
+        versions = VersionManager(me, random.Random(name))
         self._router = Router(endpoints, Metrics(), versions, source=source)
         self._router.context.configuration = Configuration(offset=0, document=_document())
         self._operations = self._router.operations
         self._operations.use_times(now, wall)
-        self.claims = ClaimKeeper(self.peers, log, now, wall)
-        self.billing = BillKeeper(self.peers, log, now, wall)
-        self._operations.keeper = self.claims
+        self.claims = ClaimManager(self.peers, log, now, wall)
+        self.billing = BillReplicator(self.peers, log, now, wall)
+        self._operations.claims = self.claims
         self._operations.peers = self.peers
         spawn(self.process, self.tend)
 
     async def run(self, request_id: str, key: str, reached: Reached) -> Answer:
         """Run one request as a worker does, and record what its caller is told."""
         await reached(self, "before claim")
-        fingerprint = fingerprint_of(SERVICE, OPERATION, key.encode())
+        fingerprint = compute_fingerprint(SERVICE, OPERATION, key.encode())
         request = BeginOperation(request_id, API_KEY, SERVICE, OPERATION, key, fingerprint)
         self._world.history.deadlines[request_id] = now() + TIMEOUT_S
         step = await self._operations.begin(request)
@@ -120,31 +120,31 @@
     async def tend(self) -> None:
         """Tend the bills for ever, as the host's task does."""
         while True:
-            await self.billing.tend()
+            await self.billing.run_round()
             await asyncio.sleep(1.0)
 
     async def _keep_bills(self) -> None:
         context = self._router.context
         bills, context.bills = context.bills, []
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._world.history.kept_alone.add(bill.id)
-            holders = tuple(h.process for h in self._all.values() if h.billing.holds(bill.id))
+            holders = tuple(h.process for h in self._all.values() if h.billing.has_bill(bill.id))
             self._world.keeps.append(Keep(bill.id, now(), holders))
 
     async def _exchange(
         self, request_id: str, call: SimCall, reached: Reached
-    ) -> OperationGrant | ServiceAnswer | Refusal:
+    ) -> OperationGrant | ServiceResponse | Refusal:
         await reached(self, "before sending")
         handed = self._operations.send(SendOperation(request_id, call))
-        if not isinstance(handed, HandedOver):
+        if not isinstance(handed, SendResult):
             return handed
         await reached(self, "after sending")
         body = await call.answer(handed.timeout_s)
         if body is None:
             return await self._retry(request_id, "broken")
         await reached(self, "after answer")
-        answer = ServiceAnswer(200, body.encode(), "text/plain")
+        answer = ServiceResponse(200, body.encode(), "text/plain")
         self._operations.end(EndOperation(request_id, answer))
         await self._keep_bills()
         await reached(self, "billed")
@@ -159,16 +159,16 @@
             raise ValueError(problems)
 
 
-def _answer_of(request_id: str, step: ServiceAnswer | Replay | Refusal) -> Answer:
+def _answer_of(request_id: str, step: ServiceResponse | Replay | Refusal) -> Answer:
     match step:
-        case ServiceAnswer(body=body):
+        case ServiceResponse(body=body):
             return Answer(now(), request_id, AnswerKind.RAN, body.decode())
         case Replay(ran=ran):
             return Answer(now(), request_id, AnswerKind.REPLAYED, ran.body.decode())
         case Refusal(kind=ErrorKind.OPERATION_IN_PROGRESS):
             return Answer(now(), request_id, AnswerKind.IN_PROGRESS)
         case Refusal(kind=kind):
-            not_run = answer_for(kind).not_run is NotRun.YES
+            not_run = response_for(kind).not_run is NotRun.YES
             told = AnswerKind.NOT_RUN if not_run else AnswerKind.UNKNOWN
             return Answer(now(), request_id, told, reason=kind.value)
 
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -14,16 +14,16 @@
     MemoryWeightStore,
 )
 from poplarrun.config import Configuration
-from poplarrun.contracts import Document, Price, Stage, Version, VersionId
+from poplarrun.contracts import Document, Price, Version, VersionId, VersionStage
 from poplarrun.endpoints import EndpointTable
 from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
-from poplarrun.leases import LeaseKeeper
+from poplarrun.leases import LeaseManager
 from poplarrun.log import AppendOutcome, AppendRefused, MemoryLog, ReadFailed, ReadOutcome
 from poplarrun.metrics import Metrics
-from poplarrun.orders import OpenWork
+from poplarrun.orders import OpenRequest
 from poplarrun.router import RouterContext
 from poplarrun.server._order_tasks import OrderTasks
-from poplarrun.versions import Versions
+from poplarrun.versions import VersionManager
 
 LEASES_S = 0.5
 REPORTS_S = 0.5
@@ -63,7 +63,7 @@
 
     def __init__(self, world: "OrderWorld", name: str) -> None:
         self.name, self.zone = name, name[0]
-        self.open_work: list[OpenWork] = []
+        self.open_work: list[OpenRequest] = []
         self.paused = self.dead = self.stuck = False
         self._world = world
         self.peers = MemoryPeers(world.network, Peer(name, self.zone, REGION, 1))
@@ -71,24 +71,26 @@
         self.metrics = Metrics()
         source = random.Random(name)
         clock = world.loop.time
-        self.leases = LeaseKeeper(self.way, self.peers, self.metrics, source, clock)
+        self.leases = LeaseManager(self.way, self.peers, self.metrics, source, clock)
         self.table = EndpointTable(self.zone, source)
-        self.table.apply_list(world.listed)
-        self.context = RouterContext(self.table, self.metrics, Versions(self.peers.me, source))
+        self.table.apply_host_list(world.listed)
+        self.context = RouterContext(
+            self.table, self.metrics, VersionManager(self.peers.me, source)
+        )
         self.tasks = OrderTasks(
             self.context, self, self.peers, self.leases, world.orders, world.store,
             self.metrics, self._in_thread, clock,
         )  # fmt: skip
         self.report()
         for step, period_s in (
-            (self.leases.tend, LEASES_S),
+            (self.leases.run_round, LEASES_S),
             (self._take_reports, REPORTS_S),
             (self.tasks.share_demand, ORDERS_S),
             (self.tasks.run_orders, ORDERS_S),
         ):
             world.loop.create_task(self._repeat(step, period_s))
 
-    def list_open_work(self) -> list[OpenWork]:
+    def list_open_work(self) -> list[OpenRequest]:
         """Return the open requests."""
         return self.open_work
 
@@ -96,7 +98,7 @@
         """Take in what the engines report."""
         now = self._world.loop.time()
         for name, engine in self._world.engines.items():
-            if not engine.silent:
+            if not engine.is_silent:
                 loaded = frozenset(map(VersionId.parse, engine.report(now).loaded))
                 self.table.apply_load(name, loaded, 0, PLACES, now)
 
@@ -157,7 +159,7 @@
     def offer(self, versions: list[str]) -> None:
         """Put a configuration in force everywhere that offers just these versions."""
         ids = [VersionId.parse(version) for version in versions]
-        offered = {v: Version(v, Stage.OFFERED, Price(1.0, 1.0)) for v in ids}
+        offered = {v: Version(v, VersionStage.OFFERED, Price(1.0, 1.0)) for v in ids}
         for host in self.hosts.values():
             host.context.configuration = Configuration(
                 offset=1, document=Document(versions=offered)
