--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -60,7 +60,7 @@
     """
 
     answered_at: float = 0.0
-    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_s
+    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_timeout_s
     lost_at: float = math.inf
     back_at: float = -math.inf
     steady_since: float = math.inf
@@ -133,7 +133,7 @@
         self._knowledge = knowledge
         self._rollouts = rollouts
         self._changed = changed
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
@@ -148,10 +148,10 @@
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case LatestRecords(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = end
-            case Records(entries=entries, end=end, true_at=true_at):
+            case Records(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = entries[-1].offset + 1 if entries else self.offset
                 if self.offset is not None and self.offset < end:
@@ -169,7 +169,7 @@
         if self._health.note_answer(now):
             write_event(events.StoreBack("documents", self.offset or 0))
         if self._knowledge.catalogue is not None:
-            self._knowledge.confirm(true_at)
+            self._knowledge.confirm(current_as_of)
         return True
 
     async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
@@ -230,19 +230,19 @@
     ) -> None:
         self.is_known = False
         self.is_served = False
-        self.true_at = float("-inf")
+        self.current_as_of = float("-inf")
         self.reading = reading
         self.tell_zone: Callable[[], None] = _tell_nobody
         self.tell_changes: Callable[[tuple[Entry, ...], bool], None] = _tell_no_changes
         self._store = store
         self._directory = directory
         self._placement = placement
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self.reading.wait(lambda: self.true_at)
+            await self.reading.wait(lambda: self.current_as_of)
             is_good = await self._step()
             self._expire(seconds_since_boot())
             if is_good:
@@ -253,12 +253,12 @@
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case LatestRecords(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_newest(entries, now)
                 self._directory.next_offset = end
                 self.is_known = True
                 self.is_served = True
-            case Records(entries=entries, true_at=true_at):
+            case Records(entries=entries, current_as_of=current_as_of):
                 self._note_answer(now)
                 self._take_records(entries, now)
             case OffsetExpired():
@@ -272,7 +272,7 @@
                 return False
         self.reading.has_failed = False
         self._note_answer(now)
-        self.true_at = max(self.true_at, true_at)
+        self.current_as_of = max(self.current_as_of, current_as_of)
         self._placement.update_endpoints(self._directory.records())
         return True
 
@@ -292,7 +292,7 @@
         if end > self._directory.next_offset:
             self.reading.hurry()
         elif end == self._directory.next_offset:
-            self.true_at = max(self.true_at, true_at)
+            self.current_as_of = max(self.current_as_of, true_at)
             self._health.note_proof(true_at)
 
     def steady_s(self, now: float) -> float:
@@ -351,7 +351,7 @@
                 self._remove(listing.instance_id, now, is_lapse)
 
     def _is_lapse(self, now: float) -> bool:
-        """Tell whether records that are gone may have lapsed with an outage of the store."""
+        """Return whether records that are gone may have lapsed with an outage of the store."""
         return self._health.is_out or now - self._health.back_at < LAPSE_S
 
     def _take(self, entry: Entry, now: float, is_lapse: bool) -> None:
@@ -412,5 +412,5 @@
                 write_event(events.DocumentIgnored(entry.key, str(error)))
                 continue
             self._rollouts.apply_status(status)
-        self.offset = answer.end
+        self.offset = answer.end_offset
         return True
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -226,7 +226,7 @@
         # Without an id, only the first answer on a connection is surely this one's.
         if answer.is_not_run and (is_ours or connection.uses == 1):
             raise AttemptError(NotExecuted(answer.status, answer.status == 421))
-        if not answer.is_genuine or not is_ours:
+        if not answer.is_signed or not is_ours:
             raise AttemptError(Garbled("bears no signature"))
 
     async def _relay_whole(self, opened: _Open) -> None:
@@ -275,7 +275,7 @@
             raise AttemptError(ResponseTimeout(patience_s or 0.0)) from error
         except (ConnectionBroken, MalformedStream) as error:
             raise AttemptError(ConnectionLost(str(error))) from error
-        if not cutter.is_between:
+        if not cutter.is_at_boundary:
             raise AttemptError(ConnectionLost("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
