--- a/features/rollout_sessions.feature
+++ b/features/rollout_sessions.feature
@@ -1,21 +1,21 @@
-Feature: Sessions of a roll-out whose requests reach many hosts
+Feature: Sessions during a roll-out when their requests reach many hosts
 
   Scenario: A session that changes hosts keeps its version in the first half
-    # Guards against a host that never saw the session, and moves it by its hash alone.
+    # Guards against a host that has not seen the session before and assigns it by its hash alone.
     Given 24 hosts in 3 zones, and 60 sessions a second that ask any of them
     When a roll-out of 24.0 s is ordered after 8.0 s and its endpoints are listed 0.3 s later
     Then no session changes its version in the first half of the roll-out
     And the new version gets 0.04 to 0.12 of the requests in the last 4.0 s of that half
 
   Scenario: A session that has moved to the new version stays there
-    # Guards against hosts that send a session back while all of them move.
+    # Guards against hosts that send a session back while the hosts begin the shift one by one.
     Given 24 hosts in 3 zones, and 60 sessions a second that ask any of them
     When a roll-out of 24.0 s is ordered after 8.0 s and its endpoints are listed 0.3 s later
     Then no session goes back to the old version
     And the new version gets all requests of the last 1.5 s
 
-  Scenario: A host that starts during a roll-out goes on where the others are
-    # Guards against a host that starts anew, and begins the trial again for its callers.
+  Scenario: A host that starts during a roll-out joins at the current stage
+    # Guards against a restarted host that begins the trial again for its callers.
     Given 12 hosts in 3 zones, and 20 sessions a second that ask any of them
-    When a roll-out of 24.0 s is ordered after 4.0 s, and a host starts anew 15.0 s later
+    When a roll-out of 24.0 s is ordered after 4.0 s, and a host is restarted 15.0 s later
     Then the first session that it serves is in the stage of the roll-out that the others are in
--- a/features/steps/proving.py
+++ b/features/steps/proving.py
@@ -11,39 +11,39 @@
 
 @given("{old:d} good answers of the old version and {new:d} of the new one")
 def step_answers(context, old, new):
-    context.evidence = AnswerStatistics()
-    context.evidence.local[(SERVICE, "v1", "draft/small")] = Tally(old)
-    context.evidence.local[(SERVICE, "v2", "draft/small")] = Tally(new)
+    context.statistics = AnswerStatistics()
+    context.statistics.local[(SERVICE, "v1", "draft/small")] = Tally(old)
+    context.statistics.local[(SERVICE, "v2", "draft/small")] = Tally(new)
 
 
 @when("{count:d} answers of the new version come under load, of which {failed:d} fail")
 def step_loaded(context, count, failed):
-    context.evidence.local[(SERVICE, "v2", UNDER_LOAD)] = Tally(count, failed)
+    context.statistics.local[(SERVICE, "v2", UNDER_LOAD)] = Tally(count, failed)
 
 
-@when('{hosts:d} hosts tell that "{endpoint}" broke off answers of the new version')
+@when('{hosts:d} hosts report that "{endpoint}" broke off answers of the new version')
 def step_broken(context, hosts, endpoint):
     for number in range(hosts):
         tally = Tally(1, interrupting_endpoints={endpoint})
-        context.evidence.apply_host_tallies(
+        context.statistics.apply_host_tallies(
             f"10.0.0.{number}:1", {(SERVICE, "v2", "draft/small"): tally}
         )
 
 
 @then("the new version is judged bad")
 def step_bad(context):
-    assert context.evidence.is_bad(SERVICE, "v2")
+    assert context.statistics.is_bad(SERVICE, "v2")
 
 
 @then("the new version is judged good")
 def step_good(context):
-    assert not context.evidence.is_bad(SERVICE, "v2"), context.evidence.merge_tallies(SERVICE)
+    assert not context.statistics.is_bad(SERVICE, "v2"), context.statistics.merge_tallies(SERVICE)
 
 
 @then("without its answers under load it is judged good")
 def step_good_without(context):
-    del context.evidence.local[(SERVICE, "v2", UNDER_LOAD)]
-    assert not context.evidence.is_bad(SERVICE, "v2")
+    del context.statistics.local[(SERVICE, "v2", UNDER_LOAD)]
+    assert not context.statistics.is_bad(SERVICE, "v2")
 
 
 @given("{hosts:d} hosts that know the same {count:d} idle endpoints of a version")
@@ -55,7 +55,7 @@
         context.placements.append(placement)
 
 
-def choose_all(context, is_proving):
+def choose_everywhere(context, is_proving):
     work = make_work()
     chosen = [
         placement.choose(work, ENGINES, 100.0, "small", is_proving=is_proving)
@@ -66,7 +66,7 @@
 
 @then("all of them prove it at the same endpoint")
 def step_same(context):
-    names = choose_all(context, True)
+    names = choose_everywhere(context, True)
     assert len(names) == 1, names
     (context.proving,) = names
 
@@ -79,5 +79,5 @@
 
 @then("they choose as usual")
 def step_as_usual(context):
-    names = choose_all(context, True)
+    names = choose_everywhere(context, True)
     assert context.proving not in names, names
--- a/features/steps/rollout_sessions.py
+++ b/features/steps/rollout_sessions.py
@@ -6,13 +6,13 @@
 from standins.rollout_fleet import OLD, SERVICE, RolloutFleet, run_by_virtual_clock
 
 SEED = 2541
-# Part of the order's time until which callers ask: the old endpoints are stopped soon after.
-WATCHED_PART = 0.85
+# Fraction of the order's duration in which callers send: the old endpoints are stopped soon after.
+OBSERVED_FRACTION = 0.85
 
 
-async def play(fleet, sessions_per_s, order_at, duration_s, listed_after_s):
-    """Let callers ask until all of them are on the new version."""
-    until = order_at + WATCHED_PART * duration_s
+async def run_rollout(fleet, sessions_per_s, order_at, duration_s, listed_after_s):
+    """Send requests until all sessions use the new version."""
+    until = order_at + OBSERVED_FRACTION * duration_s
     fleet.start()
     calls = asyncio.ensure_future(fleet.call(sessions_per_s, until))
     await asyncio.sleep(order_at)
@@ -35,7 +35,7 @@
 )
 def step_order(context, duration, at, listed):
     context.order_at, context.middle, context.end = at, at + duration / 2, at + duration
-    run_by_virtual_clock(play(context.fleet, context.sessions_per_s, at, duration, listed))
+    run_by_virtual_clock(run_rollout(context.fleet, context.sessions_per_s, at, duration, listed))
 
 
 @then("no session changes its version in the first half of the roll-out")
@@ -62,12 +62,12 @@
 
 @then("the new version gets all requests of the last {seconds:f} s")
 def step_all(context, seconds):
-    until = context.order_at + WATCHED_PART * (context.end - context.order_at)
+    until = context.order_at + OBSERVED_FRACTION * (context.end - context.order_at)
     assert context.fleet.share(until - seconds, until) == 1.0
 
 
-async def start_late(fleet, sessions_per_s, order_at, duration_s, later_s):
-    """Start a host in a roll-out that is under way; return its stage and the others'."""
+async def restart_host(fleet, sessions_per_s, order_at, duration_s, later_s):
+    """Restart a host during a roll-out; return its stage and the other hosts'."""
     loop = asyncio.get_running_loop()
     fleet.start()
     calls = asyncio.ensure_future(fleet.call(sessions_per_s, order_at + later_s + 1.0))
@@ -83,11 +83,11 @@
 
 @when(
     "a roll-out of {duration:f} s is ordered after {at:f} s,"
-    " and a host starts anew {later:f} s later"
+    " and a host is restarted {later:f} s later"
 )
-def step_starts_anew(context, duration, at, later):
-    late = start_late(context.fleet, context.sessions_per_s, at, duration, later)
-    context.stages = run_by_virtual_clock(late)
+def step_restarted(context, duration, at, later):
+    restarted = restart_host(context.fleet, context.sessions_per_s, at, duration, later)
+    context.stages = run_by_virtual_clock(restarted)
 
 
 @then("the first session that it serves is in the stage of the roll-out that the others are in")
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -22,13 +22,13 @@
 from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus
 
 
-def tally(context, version, route, ended, bad):
-    if not hasattr(context, "evidence"):
-        context.evidence = AnswerStatistics()
-    context.evidence.local[("engines", version, route)] = Tally(ended, bad)
+def set_tally(context, version, route, ended, bad):
+    if not hasattr(context, "statistics"):
+        context.statistics = AnswerStatistics()
+    context.statistics.local[("engines", version, route)] = Tally(ended, bad)
 
 
-def count_tries(context, count):
+def count_trial_sessions(context, count):
     works = [make_work(session=f"new-{number}") for number in range(count)]
     return sum(context.rollouts.choose_version(work, 101.0).allowed is not None for work in works)
 
@@ -45,47 +45,47 @@
     return work, attempt
 
 
-def shift_sessions(context):
-    """Order a roll-out, and let sessions change; return the dispatch."""
+def begin_shift(context):
+    """Order a roll-out and begin its shift; return the dispatch."""
     dispatch = context.dispatch
     dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
     dispatch.rollouts.find("engines").record_shift(111.5)
     return dispatch
 
 
-def give_up_silent(dispatch, given_up, until):
-    """Give up the silent answers whose time has come, the oldest first."""
-    while given_up and given_up[0][0] <= until:
-        at, work, attempt, failure = given_up.pop(0)
+def time_out_answers(dispatch, pending, until):
+    """Let the pending answers whose timeout has passed fail, the oldest first."""
+    while pending and pending[0][0] <= until:
+        at, work, attempt, failure = pending.pop(0)
         dispatch.note_failure(work, attempt.seat.member, attempt, failure, at)
 
 
 @given('{good:d} good answers of the new version on "{one}" and {bad:d} bad of {all:d} on "{two}"')
 def step_new_answers(context, good, one, bad, all, two):
-    tally(context, "v2", one, good, 0)
-    tally(context, "v2", two, all, bad)
+    set_tally(context, "v2", one, good, 0)
+    set_tally(context, "v2", two, all, bad)
 
 
 @given('{good:d} good answers of the old version on "{one}" and {more:d} on "{two}"')
 def step_old_answers(context, good, one, more, two):
-    tally(context, "v1", one, good, 0)
-    tally(context, "v1", two, more, 0)
+    set_tally(context, "v1", one, good, 0)
+    set_tally(context, "v1", two, more, 0)
 
 
 @given("{bad:d} bad of {ended:d} new answers and {old_bad:d} bad of {old:d} old ones")
 def step_like_old(context, bad, ended, old_bad, old):
-    tally(context, "v2", "a", ended, bad)
-    tally(context, "v1", "a", old, old_bad)
+    set_tally(context, "v2", "a", ended, bad)
+    set_tally(context, "v1", "a", old, old_bad)
 
 
 @given("usual answers of {usual:f} s, and {slow:d} of {ended:d} new ones of {long:f} s")
 def step_slow(context, usual, slow, ended, long):
-    context.evidence = AnswerStatistics()
+    context.statistics = AnswerStatistics()
     for _ in range(50):
-        context.evidence.record_answer(("engines", "v1", "a"), False, AnswerTimes(usual), False)
+        context.statistics.record_answer(("engines", "v1", "a"), False, AnswerTimes(usual), False)
     for number in range(ended):
         times = AnswerTimes(long if number < slow else usual)
-        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
+        context.statistics.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @given("a dispatch whose endpoints usually begin after {usual:f} s")
@@ -113,9 +113,9 @@
 
 @then("the new version is judged bad although none of its answers failed")
 def step_judged_open(context):
-    evidence = context.dispatch.rollouts.statistics
-    assert evidence.merge_version_tallies("engines", "v2").bad == 0
-    assert evidence.is_bad("engines", "v2"), evidence.local
+    statistics = context.dispatch.rollouts.statistics
+    assert statistics.merge_version_tallies("engines", "v2").bad == 0
+    assert statistics.is_bad("engines", "v2"), statistics.local
 
 
 @when(
@@ -133,36 +133,38 @@
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
 def step_crash_judged(context, bad):
-    evidence = context.dispatch.rollouts.statistics
-    assert not evidence.is_bad("engines", "v2"), evidence.local
-    assert evidence.merge_version_tallies("engines", "v2").bad == bad, evidence.local
+    statistics = context.dispatch.rollouts.statistics
+    assert not statistics.is_bad("engines", "v2"), statistics.local
+    assert statistics.merge_version_tallies("engines", "v2").bad == bad, statistics.local
 
 
 @given("usual answers of {pace:f} s an event")
 def step_usual_pace(context, pace):
-    context.evidence = AnswerStatistics()
+    context.statistics = AnswerStatistics()
     context.pace = pace
     for _ in range(50):
-        context.evidence.record_answer(("engines", "v1", "a"), False, AnswerTimes(0.1, pace), False)
+        context.statistics.record_answer(
+            ("engines", "v1", "a"), False, AnswerTimes(0.1, pace), False
+        )
 
 
 @when("{slow:d} of {count:d} answers of the new version take {pace:f} s an event")
-def step_dripping(context, slow, count, pace):
+def step_slow_events(context, slow, count, pace):
     for number in range(count):
         times = AnswerTimes(0.1, pace if number < slow else context.pace)
-        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
+        context.statistics.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @when("{late:d} of {count:d} answers of the new version begin after {first:f} s, at the usual pace")
 def step_cold(context, late, count, first):
     for number in range(count):
         times = AnswerTimes(first if number < late else 0.1, context.pace)
-        context.evidence.record_answer(("engines", "v2", "a"), False, times, True)
+        context.statistics.record_answer(("engines", "v2", "a"), False, times, True)
 
 
 @then("the new version is judged good while all traffic moves to it")
-def step_judged_cold(context):
-    assert not context.evidence.is_bad("engines", "v2", ComparisonStage.SHIFT)
+def step_judged_during_shift(context):
+    assert not context.statistics.is_bad("engines", "v2", ComparisonStage.SHIFT)
 
 
 @when("a request on the new version is asked of a larger model")
@@ -184,21 +186,21 @@
 
 @then("the new version is judged {judgement:w}")
 def step_judged(context, judgement):
-    assert context.evidence.is_bad("engines", "v2") == (judgement == "bad")
+    assert context.statistics.is_bad("engines", "v2") == (judgement == "bad")
 
 
 @given("{count:d} answers {times:f} times as slow as usual, and old ones {old:f} times")
 def step_paces(context, count, times, old):
-    context.evidence = AnswerStatistics()
+    context.statistics = AnswerStatistics()
     for version, pace in (("v2", times), ("v1", old)):
         log_pace = count * math.log(pace)
-        context.evidence.local[("engines", version, "a")] = Tally(count, 0, 0, count, log_pace)
+        context.statistics.local[("engines", version, "a")] = Tally(count, 0, 0, count, log_pace)
 
 
 @then('the new version is judged {judgement:w} in the stage "{stage:w}"')
 def step_judged_in(context, judgement, stage):
-    is_bad = context.evidence.is_bad("engines", "v2", ComparisonStage(stage))
-    assert is_bad == (judgement == "bad"), context.evidence.local
+    is_bad = context.statistics.is_bad("engines", "v2", ComparisonStage(stage))
+    assert is_bad == (judgement == "bad"), context.statistics.local
 
 
 @given("a roll-out of {seconds:d} s ordered at {at:f} and {count:d} sessions on the old version")
@@ -223,8 +225,8 @@
 
 
 @then("about a tenth of {count:d} new sessions tries the new version")
-def step_tenth(context, count):
-    assert 0.06 * count < count_tries(context, count) < 0.14 * count
+def step_trial_size(context, count):
+    assert 0.06 * count < count_trial_sessions(context, count) < 0.14 * count
 
 
 @given("a roll-out whose version may reach {share:f} of the requests")
@@ -234,8 +236,8 @@
 
 
 @then("at most {share:f} of {count:d} new sessions try the new version")
-def step_exposed(context, share, count):
-    assert 0 < count_tries(context, count) <= share * count
+def step_exposure_kept(context, share, count):
+    assert 0 < count_trial_sessions(context, count) <= share * count
 
 
 @when('it is recorded as "{first}" and then as "{second}" by a host that was paused')
@@ -255,11 +257,12 @@
 
 
 @when(
-    'one of "{new}" is ordered at {at:f} and a peer tells at {told:f} that "{old}" is {age:f} s old'
+    'one of "{new}" is ordered at {at:f}'
+    ' and a peer reports at {reported:f} that "{old}" is {age:f} s old'
 )
-def step_second_order(context, new, at, told, old, age):
+def step_second_order(context, new, at, reported, old, age):
     assert context.rollouts.apply_order(RolloutOrder("engines", new, 16.0, 9), at)
-    assert not context.rollouts.apply_order(RolloutOrder("engines", old, 16.0, 7), told, age)
+    assert not context.rollouts.apply_order(RolloutOrder("engines", old, 16.0, 7), reported, age)
 
 
 @then('"{target}" is at the beginning of its trial at {at:f} and nothing is recorded but its start')
@@ -291,7 +294,9 @@
         rollouts.apply_order(RolloutOrder("engines", "v2", seconds, 7), at)
 
 
-@when("one decides at {at:f} that sessions may change, and the other hears of it {later:f} s later")
+@when(
+    "one decides at {at:f} that sessions may change, and the other learns of it {later:f} s later"
+)
 def step_shift(context, at, later):
     one, other = (rollouts.find("engines") for rollouts in context.hosts)
     context.moves = []
@@ -314,44 +319,44 @@
 
 @when(
     "{good:d} answers of the loaded version come in time,"
-    " and {silent:d} between them don't come in {patience:f} s"
+    " and {silent:d} between them time out after {timeout:f} s"
 )
-def step_silent(context, good, silent, patience):
-    dispatch = shift_sessions(context)
-    given_up = []
+def step_silent(context, good, silent, timeout):
+    dispatch = begin_shift(context)
+    pending = []
     for number in range(good):
         sent_at = 113.0 + number / 20.0
-        give_up_silent(dispatch, given_up, sent_at)
+        time_out_answers(dispatch, pending, sent_at)
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
         if number * silent // good != (number + 1) * silent // good:
             work, attempt = send_to(context, "new", 200 + number, sent_at)
-            given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
-    give_up_silent(dispatch, given_up, math.inf)
+            pending.append((sent_at + timeout, work, attempt, TookTooLong(timeout)))
+    time_out_answers(dispatch, pending, math.inf)
 
 
 @when(
     "{good:d} answers of the loaded version come in time,"
-    " and then {silent:d} don't come in {patience:f} s"
+    " and then {silent:d} time out after {timeout:f} s"
 )
-def step_dark(context, good, silent, patience):
-    dispatch = shift_sessions(context)
+def step_endpoint_stops(context, good, silent, timeout):
+    dispatch = begin_shift(context)
     for number in range(good):
         sent_at = 113.0 + number / 20.0
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
     dark_at = 113.0 + good / 20.0
-    given_up = []
+    pending = []
     for number in range(silent):
         sent_at = dark_at - 0.1 + number / 20.0
         work, attempt = send_to(context, "new", 200 + number, sent_at)
-        given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
-    give_up_silent(dispatch, given_up, math.inf)
+        pending.append((sent_at + timeout, work, attempt, TookTooLong(timeout)))
+    time_out_answers(dispatch, pending, math.inf)
 
 
-@then("the new version is judged {judgement:w} while it is proven")
-def step_judged_proven(context, judgement):
-    evidence = context.dispatch.rollouts.statistics
-    is_bad = evidence.is_bad("engines", "v2", ComparisonStage.SHIFT)
-    assert is_bad == (judgement == "bad"), evidence.local
+@then("the new version is judged {judgement:w} during the shift")
+def step_judged_shift(context, judgement):
+    statistics = context.dispatch.rollouts.statistics
+    is_bad = statistics.is_bad("engines", "v2", ComparisonStage.SHIFT)
+    assert is_bad == (judgement == "bad"), statistics.local
 
 
 @given(
@@ -359,6 +364,6 @@
     " and {ended:d} of the new one of which {slow:d} are slow"
 )
 def step_late_answers(context, old, ended, slow):
-    context.evidence = AnswerStatistics()
-    context.evidence.local[("engines", "v1", "a")] = Tally(old)
-    context.evidence.local[("engines", "v2", "a")] = Tally(ended, 0, slow)
+    context.statistics = AnswerStatistics()
+    context.statistics.local[("engines", "v1", "a")] = Tally(old)
+    context.statistics.local[("engines", "v2", "a")] = Tally(ended, 0, slow)
--- a/poplarrun/rollouts/__init__.py
+++ b/poplarrun/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-outs of endpoint versions that operators order and the system carries out."""
+"""Roll-outs of endpoint versions: operators order them and the hosts carry them out."""
 
 from poplarrun.rollouts._evidence import (
     UNDER_LOAD,
--- a/poplarrun/rollouts/_evidence.py
+++ b/poplarrun/rollouts/_evidence.py
@@ -1,41 +1,42 @@
-"""What was seen of the versions of a service, by host, and the test of a new one."""
+"""Answer statistics by service, version and kind of work, and the test of a new version."""
 
 import enum
 import math
 from dataclasses import dataclass, field
 
-# Least number of bad answers on which a version is judged.
-FEWEST_BAD = 3
-# A version is bad when so many bad answers would come from one as good as the old
+# A version with fewer bad answers than this is never judged bad.
+MIN_BAD_ANSWERS = 3
+# A version is bad when a version as good as the old one would return so many bad answers
 # with less than this probability.
-MOST_CHANCE = 0.002
-# Share of bad answers that the old version is taken to have at the least.
-LEAST_OLD_SHARE = 0.02
-# An answer whose first event, or whose events after it, take so many times as long as
-# usual counts as slow. Bad versions take several times as long; a full batch or a long
-# prompt makes less of a difference to the pace, and is rare enough at the first event.
-SLOW_FIRST_TIMES = 5.0
-SLOW_PACE_TIMES = 3.0
-# Answers before a usual time is known, and the weight of each one after that.
-FEWEST_TIMES = 5
-USUAL_WEIGHT = 0.05
-# A version is slow as well when the seconds an event of so many answers are on
-# average so many times the usual: of answers that take eight times as long, half are
-# enough, and neither queues nor cold memory change the pace so much.
-FEWEST_PACES = 8
-SLOW_MEAN_TIMES = 1.9
-# The same once the new version has all traffic. Nothing runs beside it any more, so that
-# a burst or a lost endpoint looks like a slow version.
-SLOW_MEAN_TIMES_ALONE = 2.6
-# Shorter times than this count as this, in seconds.
-LEAST_TIME_S = 0.001
-# The kind of work of answers of a version under load after its trial. Only their failures
-# count: a full batch makes each answer slower, of good versions too.
+MAX_CHANCE_PROBABILITY = 0.002
+# Lower bound of the estimated fraction of bad answers of the old version.
+MIN_OLD_BAD_FRACTION = 0.02
+# An answer is slow when its first event, or the mean interval between its later events, takes
+# this many times the baseline. Bad versions take several times as long. A full batch or a long
+# prompt changes the interval by less, and rarely delays the first event by as much.
+SLOW_FIRST_EVENT_FACTOR = 5.0
+SLOW_INTERVAL_FACTOR = 3.0
+# Answers before a baseline is used, and the weight of each answer in the moving average
+# after that.
+MIN_BASELINE_ANSWERS = 5
+BASELINE_WEIGHT = 0.05
+# A version is also bad when the geometric mean of its event intervals, over at least this many
+# answers, exceeds the baseline by the factor. A factor of 1.9 is exceeded when half of the
+# answers take eight times as long; queues and cold caches change the interval by less.
+MIN_INTERVAL_ANSWERS = 8
+SLOW_MEAN_FACTOR = 1.9
+# The factor once the new version has all traffic. No other version runs beside it for
+# comparison then, and a burst or a lost endpoint looks like a slow version.
+SLOW_MEAN_FACTOR_ALONE = 2.6
+# Shorter times are raised to this value before their logarithm is taken.
+MIN_TIME_S = 0.001
+# The kind of work under which answers of a loaded version are counted after its trial. Only
+# failures count for it, because a full batch slows every answer, of good versions too.
 UNDER_LOAD = "loaded"
-# Share of slow answers that a good version may have while it is on trial, and once traffic
-# moves to its endpoints: cold ones begin a sixth of their answers late.
-MOST_SLOW_SHARE = 0.12
-MOST_COLD_SLOW_SHARE = 0.4
+# Fraction of slow answers that a good version may have during its trial, and once traffic
+# shifts to its endpoints: endpoints with cold caches begin a sixth of their answers late.
+MAX_SLOW_FRACTION = 0.12
+MAX_COLD_SLOW_FRACTION = 0.4
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +45,9 @@
 
     Attributes
     ----------
-    first_s : float, optional
+    first_event_s : float, optional
         Time to the first event, or to the answer of a plain service, in seconds.
-    pace_s : float, optional
+    event_interval_s : float, optional
         Mean time from one event to the next, in seconds.
     """
 
@@ -55,63 +56,71 @@
 
 
 @dataclass(slots=True)
-class Usual:
-    """The geometric mean times of the versions that are not on trial.
+class TimesBaseline:
+    """Moving geometric means of the answer times of the versions that are not on trial.
 
     A few answers behind long queues take a hundred times as long as the others. In an
     arithmetic mean they would hide a version that takes eight times as long.
     """
 
-    count: int = 0
-    paced: int = 0
-    _log_first: float = 0.0
-    _log_pace: float = 0.0
+    first_event_count: int = 0
+    interval_count: int = 0
+    _mean_log_first_event: float = 0.0
+    _mean_log_interval: float = 0.0
 
-    def learn(self, times: AnswerTimes) -> None:
-        """Take in the times of an answer."""
+    def record_answer(self, times: AnswerTimes) -> None:
+        """Add the times of an answer to the means."""
         if times.first_event_s is not None:
-            self.count += 1
-            weight = max(USUAL_WEIGHT, 1.0 / self.count)
-            self._log_first += weight * (_log(times.first_event_s) - self._log_first)
+            self.first_event_count += 1
+            weight = max(BASELINE_WEIGHT, 1.0 / self.first_event_count)
+            self._mean_log_first_event += weight * (
+                _log(times.first_event_s) - self._mean_log_first_event
+            )
         if times.event_interval_s is not None:
-            self.paced += 1
-            weight = max(USUAL_WEIGHT, 1.0 / self.paced)
-            self._log_pace += weight * (_log(times.event_interval_s) - self._log_pace)
-
-    def log_pace_ratio(self, times: AnswerTimes) -> float | None:
-        """Return the logarithm of an answer's pace in units of the usual one."""
-        if times.event_interval_s is None or self.paced < FEWEST_TIMES:
+            self.interval_count += 1
+            weight = max(BASELINE_WEIGHT, 1.0 / self.interval_count)
+            self._mean_log_interval += weight * (
+                _log(times.event_interval_s) - self._mean_log_interval
+            )
+
+    def log_interval_ratio(self, times: AnswerTimes) -> float | None:
+        """Return the logarithm of an answer's event interval relative to the baseline."""
+        if times.event_interval_s is None or self.interval_count < MIN_BASELINE_ANSWERS:
             return None
-        return _log(times.event_interval_s) - self._log_pace
+        return _log(times.event_interval_s) - self._mean_log_interval
 
     def is_slow(self, times: AnswerTimes) -> bool:
-        """Tell whether an answer takes much longer than usual."""
-        is_first_slow = is_pace_slow = False
-        if times.first_event_s is not None and self.count >= FEWEST_TIMES:
-            is_first_slow = times.first_event_s > SLOW_FIRST_TIMES * math.exp(self._log_first)
-        if times.event_interval_s is not None and self.paced >= FEWEST_TIMES:
-            is_pace_slow = times.event_interval_s > SLOW_PACE_TIMES * math.exp(self._log_pace)
-        return is_first_slow or is_pace_slow
+        """Tell whether an answer takes much longer than the baseline."""
+        is_first_slow = is_interval_slow = False
+        if times.first_event_s is not None and self.first_event_count >= MIN_BASELINE_ANSWERS:
+            is_first_slow = times.first_event_s > SLOW_FIRST_EVENT_FACTOR * math.exp(
+                self._mean_log_first_event
+            )
+        if times.event_interval_s is not None and self.interval_count >= MIN_BASELINE_ANSWERS:
+            is_interval_slow = times.event_interval_s > SLOW_INTERVAL_FACTOR * math.exp(
+                self._mean_log_interval
+            )
+        return is_first_slow or is_interval_slow
 
 
 def _log(seconds: float) -> float:
-    return math.log(max(LEAST_TIME_S, seconds))
+    return math.log(max(MIN_TIME_S, seconds))
 
 
 @dataclass(slots=True)
 class Tally:
-    """Answers of one version to one kind of work.
+    """Counts of one version's answers to one kind of work.
 
     Attributes
     ----------
-    ended, failures, slow : int
-        Answers, those that failed, and those that came much too late.
-    paced : int
-        Answers whose pace is compared with the usual one.
-    log_pace : float
-        Sum of the logarithms of their ratios.
-    broken : set of str
-        Endpoints that broke answers off.
+    answers, failures, slow : int
+        Answers, those that failed, and those that were slow.
+    paced_answers : int
+        Answers whose event interval was compared with the baseline.
+    log_pace_sum : float
+        Sum of the logarithms of their ratios to the baseline.
+    interrupting_endpoints : set of str
+        Endpoints that broke off answers.
     """
 
     answers: int = 0
@@ -123,11 +132,11 @@
 
     @property
     def bad(self) -> int:
-        """Bad answers.
+        """Bad answers, counting an endpoint that broke off answers once.
 
-        An endpoint that crashes breaks the answers of all hosts at once. Counted one by
-        one it would look like a version that fails often, and good versions were taken
-        back for it.
+        A crashed endpoint breaks off the answers of all hosts at once. Counted one by one,
+        they would look like a version that fails often, and a single crash would roll back
+        a good version.
         """
         return self.failures + len(self.interrupting_endpoints)
 
@@ -142,15 +151,19 @@
 
     @property
     def mean_log_pace(self) -> float:
-        """Mean logarithm of the paces in units of the usual one; 0 for too few."""
-        return self.log_pace_sum / self.paced_answers if self.paced_answers >= FEWEST_PACES else 0.0
+        """Mean logarithm of the event intervals relative to the baseline; 0 for too few."""
+        return (
+            self.log_pace_sum / self.paced_answers
+            if self.paced_answers >= MIN_INTERVAL_ANSWERS
+            else 0.0
+        )
 
 
 class ComparisonStage(enum.Enum):
-    """How much a new version can be compared with the old one.
+    """How far a new version can be compared with the old one.
 
-    ``TRIAL``: few sessions try it. ``SHIFT``: traffic moves to its endpoints, which have
-    read no prompts yet. ``ALONE``: it has all traffic.
+    ``TRIAL``: few sessions use it. ``SHIFT``: traffic moves to its endpoints, whose prompt
+    caches are still cold. ``ALONE``: it has all traffic.
     """
 
     TRIAL = "trial"
@@ -163,25 +176,25 @@
 
 @dataclass
 class AnswerStatistics:
-    """Tallies by service, version and kind of work: this host's own, and the others'.
+    """Tallies by service, version and kind of work: this host's and the other hosts'.
 
-    A kind of work is a route and a model size: a small model's times say nothing of a
-    large one's.
+    A kind of work is a route and a model size, because the times of a small model say nothing
+    about those of a large one.
 
     Attributes
     ----------
-    own : dict of (service, version, kind) to Tally
-        What this host saw.
+    local : dict of (service, version, kind) to Tally
+        Tallies of the answers that this host forwarded.
     """
 
     local: dict[TallyKey, Tally] = field(default_factory=dict)
-    _others: dict[str, dict[TallyKey, Tally]] = field(default_factory=dict)
-    _usual: dict[tuple[str, str], Usual] = field(default_factory=dict)
+    _remote: dict[str, dict[TallyKey, Tally]] = field(default_factory=dict)
+    _baselines: dict[tuple[str, str], TimesBaseline] = field(default_factory=dict)
 
     def record_answer(
         self, key: TallyKey, is_bad: bool, times: AnswerTimes, is_trial: bool
     ) -> None:
-        """Take in the end of an answer.
+        """Count an answer that has ended.
 
         Parameters
         ----------
@@ -189,62 +202,62 @@
             Whether its version is the one that is being rolled out.
         """
         service, _, kind = key
-        usual = self._usual.setdefault((service, kind), Usual())
+        baseline = self._baselines.setdefault((service, kind), TimesBaseline())
         tally = self.local.setdefault(key, Tally())
         tally.answers += 1
         tally.failures += is_bad
-        tally.slow += usual.is_slow(times)
-        ratio = usual.log_pace_ratio(times)
-        if ratio is not None:
+        tally.slow += baseline.is_slow(times)
+        log_ratio = baseline.log_interval_ratio(times)
+        if log_ratio is not None:
             tally.paced_answers += 1
-            tally.log_pace_sum += ratio
+            tally.log_pace_sum += log_ratio
         if not is_trial:
-            usual.learn(times)
+            baseline.record_answer(times)
 
     def record_failure_of_slow_answer(self, key: TallyKey) -> None:
-        """Take in that an answer failed that counted already, by its time."""
+        """Count the failure of an answer that was already counted as slow."""
         self.local.setdefault(key, Tally()).failures += 1
 
     def record_interruption(self, key: TallyKey, endpoint: str, is_counted: bool) -> None:
-        """Take in that an endpoint broke an answer off.
+        """Record that an endpoint broke off an answer.
 
         Parameters
         ----------
         is_counted : bool
-            Whether the answer counts already, by its pace.
+            Whether the answer was already counted as slow.
         """
         tally = self.local.setdefault(key, Tally())
         tally.answers += not is_counted
         tally.interrupting_endpoints.add(endpoint)
 
     def is_slow(self, service: str, kind: str, times: AnswerTimes) -> bool:
-        """Tell whether an answer that has taken so long is slow already."""
-        usual = self._usual.get((service, kind))
-        return usual is not None and usual.is_slow(times)
+        """Tell whether an answer that is still open has already taken too long."""
+        baseline = self._baselines.get((service, kind))
+        return baseline is not None and baseline.is_slow(times)
 
     def apply_host_tallies(self, host: str, tallies: dict[TallyKey, Tally]) -> None:
-        """Take over another host's tallies in place of its last ones."""
-        self._others[host] = tallies
+        """Replace the tallies of another host."""
+        self._remote[host] = tallies
 
     def forget(self, service: str) -> None:
-        """Drop what was seen of a service, before a new roll-out of it."""
-        for tallies in (self.local, *self._others.values()):
+        """Delete the tallies of a service before a new roll-out of it."""
+        for tallies in (self.local, *self._remote.values()):
             for key in [key for key in tallies if key[0] == service]:
                 del tallies[key]
 
     def merge_tallies(self, service: str) -> dict[tuple[str, str], Tally]:
-        """Return the tallies of all hosts by version and route."""
+        """Return the sums over all hosts, by version and kind of work."""
         merged: dict[tuple[str, str], Tally] = {}
-        for tallies in (self.local, *self._others.values()):
-            for (of, version, route), tally in tallies.items():
-                if of == service:
-                    merged.setdefault((version, route), Tally()).add(tally)
+        for tallies in (self.local, *self._remote.values()):
+            for (tally_service, version, kind), tally in tallies.items():
+                if tally_service == service:
+                    merged.setdefault((version, kind), Tally()).add(tally)
         return merged
 
     def is_bad(
         self, service: str, target: str, stage: ComparisonStage = ComparisonStage.TRIAL
     ) -> bool:
-        """Tell whether a version is worse than the others, as a whole or in one kind."""
+        """Tell whether a version is worse than the others, in total or for one kind of work."""
         merged = self.merge_tallies(service)
         kinds = {kind for version, kind in merged if version == target}
         if self._is_worse_in(merged, target, None, stage):
@@ -256,48 +269,50 @@
         merged: dict[tuple[str, str], Tally], target: str, kind: str | None, stage: ComparisonStage
     ) -> bool:
         new, old = Tally(), Tally()
-        for (version, of), tally in merged.items():
-            # Nothing of the old version counts as under load, so all of it is compared.
+        for (version, tally_kind), tally in merged.items():
+            # The old version has no tallies under load, so all of its tallies are compared.
             is_old_of_all = version != target and kind == UNDER_LOAD
-            if kind is None or of == kind or is_old_of_all:
+            if kind is None or tally_kind == kind or is_old_of_all:
                 (new if version == target else old).add(tally)
-        if _is_worse(new.bad, new.answers, old.bad, old.answers, LEAST_OLD_SHARE):
+        if _is_worse(new.bad, new.answers, old.bad, old.answers, MIN_OLD_BAD_FRACTION):
             return True
         if _is_slower(new, old, stage):
             return True
-        most_slow = MOST_SLOW_SHARE if stage is ComparisonStage.TRIAL else MOST_COLD_SLOW_SHARE
-        return _is_worse(new.slow, new.answers, old.slow, old.answers, most_slow)
+        max_slow_fraction = (
+            MAX_SLOW_FRACTION if stage is ComparisonStage.TRIAL else MAX_COLD_SLOW_FRACTION
+        )
+        return _is_worse(new.slow, new.answers, old.slow, old.answers, max_slow_fraction)
 
     def count_answers(self, service: str) -> int:
-        """Return how many answers of all versions all hosts saw."""
+        """Return how many answers of all versions all hosts counted."""
         return sum(tally.answers for tally in self.merge_tallies(service).values())
 
     def merge_version_tallies(self, service: str, target: str) -> Tally:
-        """Return what all hosts saw of a version."""
-        whole = Tally()
+        """Return the sum over all hosts and kinds of work for one version."""
+        total = Tally()
         for (version, _), tally in self.merge_tallies(service).items():
             if version == target:
-                whole.add(tally)
-        return whole
+                total.add(tally)
+        return total
 
 
 def _is_slower(new: Tally, old: Tally, stage: ComparisonStage) -> bool:
-    """Tell whether the mean pace is far from that of the old version, or the usual one."""
-    times = SLOW_MEAN_TIMES_ALONE if stage is ComparisonStage.ALONE else SLOW_MEAN_TIMES
-    return new.mean_log_pace - max(0.0, old.mean_log_pace) > math.log(times)
+    """Tell whether the mean event interval is far above the old version's or the baseline."""
+    factor = SLOW_MEAN_FACTOR_ALONE if stage is ComparisonStage.ALONE else SLOW_MEAN_FACTOR
+    return new.mean_log_pace - max(0.0, old.mean_log_pace) > math.log(factor)
 
 
-def _is_worse(bad: int, ended: int, old_bad: int, old_ended: int, least_share: float) -> bool:
-    if bad < FEWEST_BAD:
+def _is_worse(bad: int, answers: int, old_bad: int, old_answers: int, min_fraction: float) -> bool:
+    if bad < MIN_BAD_ANSWERS:
         return False
-    share = max(least_share, (old_bad + 1.0) / (old_ended + 10.0))
-    return _chance_of(bad, ended, share) < MOST_CHANCE
+    fraction = max(min_fraction, (old_bad + 1.0) / (old_answers + 10.0))
+    return _binomial_tail(bad, answers, fraction) < MAX_CHANCE_PROBABILITY
 
 
-def _chance_of(bad: int, ended: int, share: float) -> float:
-    """Return the probability of at least so many bad ones of all, each with a share."""
-    good = sum(
-        math.comb(ended, count) * share**count * (1.0 - share) ** (ended - count)
+def _binomial_tail(bad: int, answers: int, probability: float) -> float:
+    """Return the probability of at least ``bad`` bad answers among independent ones."""
+    fewer = sum(
+        math.comb(answers, count) * probability**count * (1.0 - probability) ** (answers - count)
         for count in range(bad)
     )
-    return max(0.0, 1.0 - good)
+    return max(0.0, 1.0 - fewer)
--- a/poplarrun/rollouts/_sessions.py
+++ b/poplarrun/rollouts/_sessions.py
@@ -1,11 +1,11 @@
-"""Which sessions stay on the version from before a roll-out."""
+"""Sessions that are pinned to the old version until a roll-out shifts."""
 
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-# Sessions that are remembered, and that are held in each roll-out.
-KEPT_SESSIONS = 20_000
+# Recent sessions that are remembered, and sessions that are pinned in each roll-out.
+MAX_SESSIONS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,8 +14,8 @@
 
     Attributes
     ----------
-    number : int
-        Hash of its id, the same on all hosts.
+    session_hash : int
+        Hash of the session's id, the same on all hosts.
     """
 
     service: str
@@ -28,8 +28,8 @@
 
     Attributes
     ----------
-    offset : int
-        Place of the order in the store's log.
+    order_offset : int
+        Offset of the order in the store's log.
     """
 
     key: SessionKey
@@ -38,65 +38,67 @@
 
 @dataclass
 class SessionPins:
-    """The sessions that this host knows of.
+    """The recent and the pinned sessions that this host knows of.
 
-    A session that ran on the old version is held there. What this host finds out itself is
-    kept until ``take_untold`` passes it on, as the next request may reach any host.
+    A session that used the old version is pinned there. Pins that this host sets are queued
+    for ``drain_unpublished``, because the session's next request may reach any host.
     """
 
     _busy_until: OrderedDict[SessionKey, float] = field(default_factory=OrderedDict)
-    _held: dict[tuple[str, int], OrderedDict[int, None]] = field(default_factory=dict)
-    _untold: list[PinnedSession] = field(default_factory=list)
+    _pinned: dict[tuple[str, int], OrderedDict[int, None]] = field(default_factory=dict)
+    _unpublished: list[PinnedSession] = field(default_factory=list)
 
     def record_send(self, key: SessionKey, give_up_at: float) -> None:
-        """Note a request that may be under way until its caller gives up."""
+        """Record a request that may be running until its caller gives up."""
         self._busy_until[key] = max(self._busy_until.get(key, 0.0), give_up_at)
         self._busy_until.move_to_end(key)
-        if len(self._busy_until) > KEPT_SESSIONS:
+        if len(self._busy_until) > MAX_SESSIONS:
             self._busy_until.popitem(last=False)
 
     def record_end(self, key: SessionKey, give_up_at: float, now: float) -> None:
-        """Note the end of a request; another one may still be under way."""
+        """Record the end of a request; another one may still be running."""
         if self._busy_until.get(key, 0.0) <= give_up_at:
             self._busy_until[key] = now
 
-    def pin(self, held: PinnedSession) -> None:
-        """Hold a session, and remember to tell others of it."""
-        if not self.is_pinned(held):
-            self.apply_pin(held)
-            self._untold.append(held)
+    def pin(self, session: PinnedSession) -> None:
+        """Pin a session, and queue it for publication to other hosts."""
+        if not self.is_pinned(session):
+            self.apply_pin(session)
+            self._unpublished.append(session)
 
     def pin_recent(
-        self, service: str, offset: int, since: float, is_tried: Callable[[int], bool]
+        self, service: str, offset: int, since: float, is_in_trial: Callable[[int], bool]
     ) -> None:
-        """Hold the sessions that had a request under way after a time.
+        """Pin the sessions that had a request running after a time.
 
         Parameters
         ----------
-        is_tried : callable
-            Tells of a session's number whether the trial may take it.
+        is_in_trial : callable
+            Tells whether a session with a given hash takes part in the trial.
         """
         for key, busy_until in self._busy_until.items():
-            if key.service == service and busy_until > since and is_tried(key.session_hash):
+            if key.service == service and busy_until > since and is_in_trial(key.session_hash):
                 self.pin(PinnedSession(key, offset))
 
-    def apply_pin(self, held: PinnedSession) -> None:
-        """Take in a held session that another host told of."""
-        numbers = self._held.setdefault((held.key.service, held.order_offset), OrderedDict())
-        numbers[held.key.session_hash] = None
-        if len(numbers) > KEPT_SESSIONS:
-            numbers.popitem(last=False)
+    def apply_pin(self, session: PinnedSession) -> None:
+        """Apply a pin that another host published."""
+        hashes = self._pinned.setdefault((session.key.service, session.order_offset), OrderedDict())
+        hashes[session.key.session_hash] = None
+        if len(hashes) > MAX_SESSIONS:
+            hashes.popitem(last=False)
 
-    def is_pinned(self, held: PinnedSession) -> bool:
-        """Tell whether a session is known to be held."""
-        return held.key.session_hash in self._held.get((held.key.service, held.order_offset), ())
+    def is_pinned(self, session: PinnedSession) -> bool:
+        """Tell whether a session is known to be pinned."""
+        return session.key.session_hash in self._pinned.get(
+            (session.key.service, session.order_offset), ()
+        )
 
     def forget(self, service: str, before: int) -> None:
-        """Forget the sessions held for a service's earlier orders."""
-        for known in [key for key in self._held if key[0] == service and key[1] < before]:
-            del self._held[known]
+        """Delete the pins of a service's earlier orders."""
+        for order in [key for key in self._pinned if key[0] == service and key[1] < before]:
+            del self._pinned[order]
 
     def drain_unpublished(self) -> list[PinnedSession]:
-        """Return the sessions to tell other hosts of, each once."""
-        untold, self._untold = self._untold, []
-        return untold
+        """Return the pins to publish to other hosts, each once."""
+        unpublished, self._unpublished = self._unpublished, []
+        return unpublished
