--- a/features/steps/versions_cascades.py
+++ b/features/steps/versions_cascades.py
@@ -38,9 +38,9 @@
   shop: {{keys: ["{hash_key(KEY)}"], classes: ["*"], versions: ["*"]}}
 """
 WORDS = 40
-LAST = 300
+LAST_REQUESTS = 300
 CLASS = "digest"
-CHEAP, DEAR = VersionId("cheap", "1"), VersionId("dear", "1")
+CHEAP, EXPENSIVE = VersionId("cheap", "1"), VersionId("dear", "1")
 CELL = CellKey(CLASS, CHEAP)
 ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), AccountLimitSettings())
 
@@ -53,24 +53,24 @@
     context.evidence = Evidence()
     for _ in range(count):
         quality = 0.2 if source.random() < wrong / 10 else 0.92
-        told = quality / 2 if judge == "telling" else 0.3
-        score = min(1.0, max(0.0, source.gauss(told, 0.08)))
+        mean_score = quality / 2 if judge == "informative" else 0.3
+        score = min(1.0, max(0.0, source.gauss(mean_score, 0.08)))
         context.evidence.add_rating(quality, source, score)
         context.evidence._add_judged(score, [1, 0, 0, 0])
 
 
-@when("the cheapest cut that reaches {target:g} with a second version of {lower:g} is looked for")
+@when("the cheapest cutoff that reaches {target:g} with a second version of {lower:g} is searched")
 def step_find(context, target, lower):
-    cuts = make_cutoffs(context.evidence.judged, 0.05)
-    context.cut = find_cutoff(cuts, 1.0, SecondStep(lower, lower, 10.0), target)
+    cutoffs = make_cutoffs(context.evidence.judged, 0.05)
+    context.cutoff = find_cutoff(cutoffs, 1.0, SecondStep(lower, lower, 10.0), target)
 
 
-@then("a cut is {found}")
-def step_cut(context, found):
-    assert (context.cut is not None) == (found == "found"), context.cut
+@then("a cutoff is {found}")
+def step_cutoff(context, found):
+    assert (context.cutoff is not None) == (found == "found"), context.cutoff
 
 
-@given("cheap answers that are half poor, beside a dear version, with a judge")
+@given("a cheap version with half of its answers poor, an expensive version, and a judge")
 def step_fleet(context):
     fleet = context.fleet
     fleet.wait_in_force(fleet.publish(DOCUMENT))
@@ -79,7 +79,7 @@
 
 def make_world(seed, cheap, document=DOCUMENT):
     world = VersionWorld(
-        {(CLASS, CHEAP): cheap, (CLASS, DEAR): Traits(0.95)},
+        {(CLASS, CHEAP): cheap, (CLASS, EXPENSIVE): Traits(0.95)},
         host_count=3,
         seed=seed,
         ratings=RatingTraits(delay_s=1.0),
@@ -90,8 +90,8 @@
     return world
 
 
-@given("simulated worlds of a class that can't wait and a cheap version half poor")
-def step_hasty_worlds(context):
+@given("simulated worlds of a class with a short first-token target and a cheap version half poor")
+def step_fast_worlds(context):
     cheap = Traits(0.95, wrong=0.5, wrong_quality=0.0)
     document = DOCUMENT.replace("first_token_ms: 5000", "first_token_ms: 500")
     context.worlds = [make_world(seed, cheap, document) for seed in range(1, 13)]
@@ -99,8 +99,8 @@
 
 @given('simulated worlds of a cheap version with {poor:d} in 10 answers poor and "{judge}" scores')
 def step_worlds(context, poor, judge):
-    blind_score = {"telling": None, "blind": 0.9}[judge]
-    # Hard requests are answered wrong more often: 2 leaves not even easy ones right.
+    blind_score = {"informative": None, "uninformative": 0.9}[judge]
+    # Hard requests are answered wrong more often than easy ones; 2 makes all answers wrong.
     wrong = poor / 10 if poor < 10 else 2.0
     cheap = Traits(0.95, wrong=wrong, wrong_quality=0.0, blind_score=blind_score)
     context.worlds = [make_world(seed, cheap) for seed in range(1, 13)]
@@ -115,24 +115,27 @@
 @then("the cheap version ends as {role} in each")
 def step_role(context, role):
     for seed, world in enumerate(context.worlds, 1):
-        cascades = sum(s.why == "cascade" for s in world.served[-LAST:])
-        assert cascades >= LAST * 0.9 if role == "a first step" else cascades == 0, (seed, cascades)
+        cascades = sum(s.why == "cascade" for s in world.served[-LAST_REQUESTS:])
+        assert cascades >= LAST_REQUESTS * 0.9 if role == "a first step" else cascades == 0, (
+            seed,
+            cascades,
+        )
 
 
-def list_alone(world):
+def list_answered_alone(world):
     return [served.version == CHEAP and served.why != "cascade" for served in world.served]
 
 
 @then("it answered alone at most {most:d} times in each, and never in the last 300 requests")
 def step_alone(context, most):
     for seed, world in enumerate(context.worlds, 1):
-        alone = list_alone(world)
-        assert sum(alone) <= most and not any(alone[-LAST:]), (seed, sum(alone))
+        alone = list_answered_alone(world)
+        assert sum(alone) <= most and not any(alone[-LAST_REQUESTS:]), (seed, sum(alone))
 
 
-@then("it answered alone at most {most:d} times in the middle one of them")
+@then("it answered alone at most {most:d} times in the median world")
 def step_alone_median(context, most):
-    counts = [sum(list_alone(world)) for world in context.worlds]
+    counts = [sum(list_answered_alone(world)) for world in context.worlds]
     assert statistics.median(counts) <= most, counts
 
 
@@ -142,12 +145,12 @@
             return [False] * poor + [True] * good
         case "good first":
             return [True] * good + [False] * poor
-        case "in turns":
+        case "alternating":
             return [number % (1 + good // poor) > 0 for number in range(poor + good)]
     raise ValueError(order)
 
 
-def rate(context, is_good, score):
+def record_and_find(context, is_good, score):
     estimates = context.estimates
     estimates.record_answer(CELL, AnswerObservation(False, False, WORDS, 0.1, score))
     estimates.record_rating(CELL, 0.95 if is_good else 0.0, score)
@@ -160,35 +163,37 @@
     context.estimates.apply_document(parse_document(DOCUMENT))
 
 
-@given("{poor:d} poor and {good:d} good rated answers with telling scores, {order}")
+@given("{poor:d} poor and {good:d} good rated answers with informative scores, {order}")
 def step_ordered(context, poor, good, order):
     start_estimates(context)
-    context.seen = [
-        rate(context, is_good, 0.9 if is_good else 0.1)
+    context.history = [
+        record_and_find(context, is_good, 0.9 if is_good else 0.1)
         for is_good in order_answers(order, poor, good)
     ]
 
 
-@then("the version was at no moment taken out of service")
-def step_never_out(context):
-    assert not any(known.is_bad(in_service=True) for known in context.seen)
+@then("the version was never taken out of service")
+def step_never_withdrawn(context):
+    assert not any(estimate.is_bad(in_service=True) for estimate in context.history)
 
 
-@given("{count:d} good rated answers with telling scores")
+@given("{count:d} good rated answers with informative scores")
 def step_good_past(context, count):
     start_estimates(context)
-    known = [rate(context, True, 0.9) for _ in range(count)][-1]
-    assert known.mean_quality > 0.9
+    estimate = [record_and_find(context, True, 0.9) for _ in range(count)][-1]
+    assert estimate.mean_quality > 0.9
 
 
-@when("{count:d} poor rated answers come with the scores of good ones")
-def step_blind(context, count):
-    context.known = [rate(context, False, 0.9) for _ in range(count)][-1]
+@when("{count:d} poor rated answers follow with the scores of good ones")
+def step_uninformative(context, count):
+    context.estimate = [record_and_find(context, False, 0.9) for _ in range(count)][-1]
 
 
-@then("no cut of its judge is trusted, and it is taken out of service")
-def step_cut_gone(context):
-    assert not context.known.cutoffs and context.known.is_bad(in_service=True), context.known
+@then("no cutoff of its judge is trusted, and it is taken out of service")
+def step_no_cutoff(context):
+    assert not context.estimate.cutoffs and context.estimate.is_bad(
+        in_service=True
+    ), context.estimate
 
 
 def stream(host, **headers):
--- a/features/steps/versions_exposure.py
+++ b/features/steps/versions_exposure.py
@@ -50,7 +50,7 @@
     context.world.run(count, [CLASS], account(*(patterns or ("*",))), until)
 
 
-def is_out(context, name):
+def is_excluded(context, name):
     version = VersionId.parse(name)
     return all(
         host.configuration.is_withdrawn(version)
@@ -59,7 +59,7 @@
     )
 
 
-def ran_on(context, name, last=None):
+def count_requests(context, name, last=None):
     served = context.world.served[-last:] if last else context.world.served
     return sum(s.version == VersionId.parse(name) for s in served)
 
@@ -80,20 +80,23 @@
         set_traits(context, "new:1", Traits(quality))
         offer(context, "old:1", "new:1")
         context.offered_at = context.world.now
-        send(context, 8000, until=lambda: is_out_or_late(context))
-        context.ends.append((seed, is_out(context, "new:1"), ran_on(context, "new:1")))
+        send(context, 8000, until=lambda: is_ended_or_late(context))
+        context.ends.append((seed, is_excluded(context, "new:1"), count_requests(context, "new:1")))
 
 
-def is_out_or_late(context):
-    return context.world.now > context.offered_at + 300.0 or is_out(context, "new:1")
+def is_ended_or_late(context):
+    return context.world.now > context.offered_at + 300.0 or is_excluded(context, "new:1")
 
 
-@then("it is out in each world after 300 simulated seconds and at most {count:d} requests")
-def step_out_in_worlds(context, count):
-    assert all(out and 0 < ran <= count for _, out, ran in context.ends), context.ends
+@then(
+    "it is withdrawn or rejected in each world after 300 simulated seconds"
+    " and at most {count:d} requests"
+)
+def step_excluded_in_worlds(context, count):
+    assert all(excluded and 0 < ran <= count for _, excluded, ran in context.ends), context.ends
 
 
-@given("ratings that are off by {bias:g}, and hosts that were told so")
+@given("ratings with a bias of {bias:g}, which the hosts are configured with")
 def step_biased(context, bias):
     ratings = RatingTraits(delay_s=5.0, bias=bias, told_bias=bias)
     context.world = VersionWorld({}, seed=3, ratings=ratings)
@@ -106,16 +109,16 @@
     offer(context, "old:1", "third:1")
 
 
-@then("the last {count:d} simulated answers have a mean quality of at least {least:g}")
-def step_quality(context, count, least):
+@then("the last {count:d} simulated answers have a mean quality of at least {min_quality:g}")
+def step_quality(context, count, min_quality):
     mean = statistics.fmean(s.quality for s in context.world.served[-count:])
-    assert mean >= least, mean
+    assert mean >= min_quality, mean
 
 
 @then("{most} of them come from the cheap version")
-def step_share(context, most):
-    share = ran_on(context, "old:1", last=1000) / 1000
-    assert share > 0.9 if most == "most" else share < 0.9, share
+def step_cheap_fraction(context, most):
+    fraction = count_requests(context, "old:1", last=1000) / 1000
+    assert fraction > 0.9 if most == "most" else fraction < 0.9, fraction
 
 
 @when('half of the answers of "{name}" are late')
@@ -124,9 +127,9 @@
     send(context, 200)
 
 
-@when('version "{name}" is offered, of whose answers {share:d} in 100 are late')
-def step_offer_late(context, name, share):
-    set_traits(context, name, Traits(0.9, late=share / 100))
+@when('version "{name}" is offered, of whose answers {late_percent:d} in 100 are late')
+def step_offer_late(context, name, late_percent):
+    set_traits(context, name, Traits(0.9, late=late_percent / 100))
     offer(context, "old:1", name)
 
 
@@ -152,12 +155,16 @@
 @then('"{name}" {ends} after 2400 simulated seconds, with at most {most:d} late answers')
 def step_ends(context, name, ends, most):
     assert 0 < context.late <= most, context.late
-    step_is_out(context, name) if ends.startswith("is out") else step_is_not_out(context, name)
+    (
+        step_is_excluded(context, name)
+        if ends.startswith("is withdrawn")
+        else step_is_not_excluded(context, name)
+    )
 
 
-@then('"{name}" is not out at any simulated host')
-def step_is_not_out(context, name):
-    assert not is_out(context, name)
+@then('"{name}" is neither withdrawn nor rejected at any simulated host')
+def step_is_not_excluded(context, name):
+    assert not is_excluded(context, name)
 
 
 @given('a simulated world of 6 hosts in 3 zones with "old:1" in service for "digest"')
@@ -182,8 +189,8 @@
     offer(context, name.strip('"'))
 
 
-@when('"{name}" is mended and offered beside it')
-def step_mended(context, name):
+@when('"{name}" is fixed and offered beside it')
+def step_fixed(context, name):
     set_traits(context, name, GOOD)
     offer(context, "old:1", name)
 
@@ -210,8 +217,8 @@
     context.world.advance(2.0)
 
 
-@when('simulated host "{new}" starts and asks host "{old}" what it knows')
-def step_adopt(context, new, old):
+@when('simulated host "{new}" starts and asks host "{old}" for its evidence')
+def step_copy_evidence(context, new, old):
     host = context.world.add_host(new, "a", 1)
     context.world.advance(2.0)
     host.versions.estimates.apply_aged_evidence(
@@ -237,20 +244,20 @@
     send(context, count, pattern)
 
 
-@when('simulated requests are sent until "{name}" is out')
+@when('simulated requests are sent until "{name}" is withdrawn or rejected')
 def step_send_until(context, name):
-    send(context, 4000, until=lambda: is_out(context, name))
-    assert is_out(context, name)
+    send(context, 4000, until=lambda: is_excluded(context, name))
+    assert is_excluded(context, name)
 
 
 @then('at most {count:d} simulated requests ran on "{name}"')
 def step_at_most(context, count, name):
-    assert ran_on(context, name) <= count, ran_on(context, name)
+    assert count_requests(context, name) <= count, count_requests(context, name)
 
 
 @then('none of the last {count:d} simulated requests ran on "{name}"')
 def step_none(context, count, name):
-    assert ran_on(context, name, last=count) == 0
+    assert count_requests(context, name, last=count) == 0
 
 
 @then("no simulated request was refused")
@@ -258,9 +265,9 @@
     assert all(s.version is not None for s in context.world.served)
 
 
-@then('"{name}" is out at all simulated hosts')
-def step_is_out(context, name):
-    assert is_out(context, name)
+@then('"{name}" is withdrawn or rejected at all simulated hosts')
+def step_is_excluded(context, name):
+    assert is_excluded(context, name)
 
 
 @then('"{name}" serves "{work_class}" at all simulated hosts')
--- a/features/steps/versions_rollout.py
+++ b/features/steps/versions_rollout.py
@@ -65,7 +65,7 @@
     return any(isinstance(r, Withdrawal) and r.version == version for r in records)
 
 
-def ask(host, work_class):
+def send_request(host, work_class):
     body = {"model": work_class, "messages": [{"role": "user", "content": "a note"}]}
     response = pool_for().request(
         "POST",
@@ -81,12 +81,12 @@
     return [h for h in context.fleet.hosts.values() if h.process.poll() is None]
 
 
-def ask_many(context, count, work_class, is_done):
+def send_many(context, count, work_class, is_done):
     hosts = itertools.cycle(live_hosts(context))
     with ThreadPoolExecutor(THREADS) as pool:
         for _ in range(0, count, 2 * THREADS):
             batch = [next(hosts) for _ in range(2 * THREADS)]
-            context.answered += pool.map(ask, batch, [work_class] * len(batch))
+            context.answered += pool.map(send_request, batch, [work_class] * len(batch))
             if is_done():
                 return
 
@@ -106,12 +106,12 @@
 
 @when('callers ask for {count:d} "{work_class}" answers, until "{version}" is withdrawn')
 def step_until_withdrawn(context, count, work_class, version):
-    ask_many(context, count, work_class, lambda: is_withdrawn_in_log(context, version))
+    send_many(context, count, work_class, lambda: is_withdrawn_in_log(context, version))
 
 
 @when('callers ask for {count:d} "{work_class}" answers, until "{version}" serves class "note"')
 def step_until_serves(context, count, work_class, version):
-    ask_many(context, count, work_class, lambda: serves(context, version, work_class))
+    send_many(context, count, work_class, lambda: serves(context, version, work_class))
     assert serves(context, version, work_class), rollout_records(context)
 
 
@@ -129,7 +129,7 @@
 
 
 @when("the host that wrote it is killed")
-def step_kill_steward(context):
+def step_kill_controller(context):
     context.fleet.hosts[context.first_grant.id.split("/")[0]].kill()
 
 
@@ -152,7 +152,7 @@
 @then('the next {count:d} "{work_class}" answers come from "{version}"')
 def step_next(context, count, work_class, version):
     hosts = itertools.cycle(live_hosts(context))
-    assert {ask(next(hosts), work_class) for _ in range(count)} == {version}
+    assert {send_request(next(hosts), work_class) for _ in range(count)} == {version}
 
 
 @then('the grants of "{version}" are numbered without a gap or a repeat')
@@ -166,7 +166,7 @@
     assert next(r.serves for r in records if isinstance(r, RolloutResult)), records
 
 
-def ask_in_session(host, **headers):
+def send_in_session(host, **headers):
     body = {"model": "note", "messages": [{"role": "user", "content": "a note"}]}
     response = pool_for().request(
         "POST",
@@ -180,7 +180,7 @@
 @when('a session "{session}" asks host "{host}" for a "note"')
 def step_session(context, session, host):
     context.session = session
-    response = ask_in_session(context.fleet.hosts[host], **{"X-Session-Id": session})
+    response = send_in_session(context.fleet.hosts[host], **{"X-Session-Id": session})
     context.token = response.headers["X-Poplarrun-Session"]
     context.answered.append(response.headers["X-Poplarrun-Version"])
 
@@ -188,8 +188,8 @@
 @when('the session asks host "{by_id}" by its id and host "{by_token}" by its token')
 def step_session_elsewhere(context, by_id, by_token):
     hosts = context.fleet.hosts
-    first = ask_in_session(hosts[by_id], **{"X-Session-Id": context.session})
-    second = ask_in_session(hosts[by_token], **{"X-Poplarrun-Session": context.token})
+    first = send_in_session(hosts[by_id], **{"X-Session-Id": context.session})
+    second = send_in_session(hosts[by_token], **{"X-Poplarrun-Session": context.token})
     context.answered += [r.headers["X-Poplarrun-Version"] for r in (first, second)]
 
 
@@ -207,11 +207,11 @@
 def step_session_refused(context, code):
     for host in live_hosts(context):
         for headers in ({"X-Session-Id": context.session}, {"X-Poplarrun-Session": context.token}):
-            error = ask_in_session(host, **headers).json()["error"]
+            error = send_in_session(host, **headers).json()["error"]
             assert (error["code"], error["not_run"]) == (code, "yes"), error
 
 
-@when('the log goes down and host "{name}" starts anew')
+@when('the log goes down and host "{name}" restarts')
 def step_restart_without_log(context, name):
     host = context.fleet.hosts[name]
     context.fleet.log.set_faults(down=True)
@@ -224,4 +224,4 @@
 @then('{count:d} "{work_class}" answers of host "{name}" come from "{version}"')
 def step_answers_of(context, count, work_class, name, version):
     host = context.fleet.hosts[name]
-    assert {ask(host, work_class) for _ in range(count)} == {version}
+    assert {send_request(host, work_class) for _ in range(count)} == {version}
--- a/features/steps/versions_sampling.py
+++ b/features/steps/versions_sampling.py
@@ -9,7 +9,7 @@
 from standins.version_world import RatingTraits, VersionWorld
 
 SEEDS = range(8)
-SETTLED = Estimate(
+WELL_KNOWN = Estimate(
     standing=Standing.GOOD, rating_weight=500.0, mean_quality=0.9, confidence_radius=0.02
 )
 
@@ -35,21 +35,21 @@
     return all(host.configuration.is_withdrawn(version) for host in world.hosts.values())
 
 
-@when("the version that serves turns bad in each")
-def step_turn(context):
+@when("the version in service becomes bad in each")
+def step_become_bad(context):
     context.exposed = []
     for world in context.worlds:
         serving = max((OLD, NEW), key=lambda v: sum(s.version == v for s in world.served[-100:]))
         world.traits[(CLASS, serving)] = replace(GOOD, quality=0.2)
-        begin = len(world.served)
+        first_index = len(world.served)
         world.run(4000, [CLASS], ACCOUNT, lambda w=world, v=serving: is_withdrawn(w, v))
-        bad = sum(served.version == serving for served in world.served[begin:])
+        bad = sum(served.version == serving for served in world.served[first_index:])
         context.exposed.append((bad, is_withdrawn(world, serving)))
 
 
 @then("it is withdrawn in each after at most {most:d} bad answers")
 def step_withdrawn(context, most):
-    assert all(out and bad <= most for bad, out in context.exposed), context.exposed
+    assert all(withdrawn and bad <= most for bad, withdrawn in context.exposed), context.exposed
 
 
 @given("a sampler at one of {hosts:d} hosts")
@@ -58,11 +58,13 @@
     context.sampler.host_count = hosts
 
 
-@when("{per_s:d} answers a second of a settled version come for {seconds:d} s")
-def step_answers(context, per_s, seconds):
+@when("{per_s:d} answers a second of a well-known version come for {seconds:d} s")
+def step_sample(context, per_s, seconds):
     key = CellKey(CLASS, OLD)
     times = (number / per_s for number in range(per_s * seconds))
-    context.rated = sum(context.sampler.should_rate(key, SETTLED, "cheapest", at) for at in times)
+    context.rated = sum(
+        context.sampler.should_rate(key, WELL_KNOWN, "cheapest", at) for at in times
+    )
 
 
 @then("{count:d} of them are rated, give or take a tenth")
--- a/features/steps/versions_sessions.py
+++ b/features/steps/versions_sessions.py
@@ -26,38 +26,38 @@
     return [p for p in context.peers.values() if p.me.name not in context.network.down]
 
 
-def homes_of(context, session):
+def replicas_of(context, session):
     return choose_session_replicas(SHOP.name, session, live_peers(context)[0].live())
 
 
-@given("6 hosts in 3 zones that keep sessions")
+@given("6 hosts in 3 zones that store session versions")
 def step_hosts(context):
     context.network = MemoryNetwork(delay_s=0.001)
     context.peers = {
         f"h{n}": MemoryPeers(context.network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)
     }
-    context.keepers = {name: SessionRegistry(peers) for name, peers in context.peers.items()}
+    context.registries = {name: SessionRegistry(peers) for name, peers in context.peers.items()}
 
 
 @when('hosts "{one}" and "{two}" race to open session "{session}", for "{first}" and "{second}"')
 def step_race(context, one, two, session, first, second):
     async def race():
         return await asyncio.gather(
-            context.keepers[one].open(SHOP.name, session, version(first)),
-            context.keepers[two].open(SHOP.name, session, version(second)),
+            context.registries[one].open(SHOP.name, session, version(first)),
+            context.registries[two].open(SHOP.name, session, version(second)),
         )
 
-    context.got = asyncio.run(race())
+    context.opened_versions = asyncio.run(race())
 
 
 @then("both got the same version")
 def step_same(context):
-    assert context.got[0] == context.got[1], context.got
+    assert context.opened_versions[0] == context.opened_versions[1], context.opened_versions
 
 
 @then('every host finds that version for session "{session}"')
 def step_finds_that(context, session):
-    check_found(context, session, context.got[0])
+    check_found(context, session, context.opened_versions[0])
 
 
 @then('every host finds "{expected}" for session "{session}"')
@@ -67,25 +67,25 @@
 
 def check_found(context, session, expected):
     for peers in live_peers(context):
-        keeper = context.keepers[peers.me.name]
-        assert asyncio.run(keeper.find(SHOP.name, session)) == expected, peers.me
+        registry = context.registries[peers.me.name]
+        assert asyncio.run(registry.find(SHOP.name, session)) == expected, peers.me
 
 
 @when('host "{host}" alone opens session "{session}" for "{proposal}"')
 def step_open(context, host, session, proposal):
-    opened = asyncio.run(context.keepers[host].open(SHOP.name, session, version(proposal)))
+    opened = asyncio.run(context.registries[host].open(SHOP.name, session, version(proposal)))
     context.token = sign_session_token(SHOP, session, opened)
 
 
-@when('all homes of session "{session}" but the last die')
-def step_homes_die(context, session):
-    *first, context.last_home = homes_of(context, session)
+@when('all replicas of session "{session}" but the last die')
+def step_replicas_die(context, session):
+    *first, context.last_replica = replicas_of(context, session)
     context.network.down |= set(first)
 
 
-@when("the last home that was left dies too")
+@when("the last remaining replica dies too")
 def step_last_dies(context):
-    context.network.down.add(context.last_home)
+    context.network.down.add(context.last_replica)
 
 
 @when('the sessions of zone "{zone}" are cut off')
@@ -94,7 +94,7 @@
     context.network.cut(inside, context.peers.keys() - set(inside))
 
 
-@then('the token that host "h0" gave names "{expected}" for session "{session}" at any host')
+@then('the token that host "h0" issued names "{expected}" for session "{session}" at any host')
 def step_token(context, expected, session):
     assert verify_session_token(SHOP, context.token) == (session, version(expected))
 
@@ -110,18 +110,18 @@
     assert verify_session_token(OTHER, context.token) is None
 
 
-@when('home {number:d} of session "{session}" is paused')
+@when('replica {number:d} of session "{session}" is paused')
 def step_pause(context, number, session):
-    context.network.paused.add(homes_of(context, session)[number - 1])
+    context.network.paused.add(replicas_of(context, session)[number - 1])
 
 
 @then('the other hosts find "{expected}" for session "{session}" within {bound:g} virtual seconds')
 def step_finds_soon(context, expected, session, bound):
     async def find(name):
-        began = asyncio.get_running_loop().time()
-        found = await context.keepers[name].find(SHOP.name, session)
-        return found, asyncio.get_running_loop().time() - began
+        started_at = asyncio.get_running_loop().time()
+        found = await context.registries[name].find(SHOP.name, session)
+        return found, asyncio.get_running_loop().time() - started_at
 
-    for name in context.keepers.keys() - context.network.paused:
+    for name in context.registries.keys() - context.network.paused:
         found, took_s = run_virtual(find(name))
         assert (found, took_s <= bound) == (version(expected), True), (name, found, took_s)
--- a/features/versions_rollout.feature
+++ b/features/versions_rollout.feature
@@ -1,10 +1,10 @@
-Feature: The system rolls versions out and withdraws bad ones, as separate processes
+Feature: Separate host processes roll versions out and withdraw bad ones
 
   @fixture.version_fleet
   Scenario: A bad version is offered beside a good one
-    # Callers see answers of the good version but for a few. The operator offers
-    # larch:2, whose answers are poor. Hosts send it no more requests than the
-    # log's shares allow; the ratings show it bad; the system withdraws it.
+    # The operator offers larch:2, whose answers are poor. Hosts send it no more requests than the
+    # shares in the log allow, its ratings show that it is bad, and the hosts withdraw it, so that
+    # callers get only few of its answers.
     Given version "larch:1" alone is offered and serves class "note"
     When "larch:2" is offered beside it
     And callers ask for 400 "note" answers, until "larch:2" is withdrawn
@@ -14,8 +14,8 @@
 
   @fixture.version_fleet
   Scenario: A good version is offered and its first roll-out host dies
-    # The steward of the class is killed in the middle of the roll-out. Another
-    # host finds in the log how far it was and carries it on to the end.
+    # The rollout controller of the class is killed during the roll-out. Another host continues it
+    # from its state in the log.
     Given version "larch:1" alone is offered and serves class "note"
     When "larch:3" is offered beside it
     And the log shows a grant for "larch:3" in class "note"
@@ -25,9 +25,9 @@
 
   @fixture.version_fleet
   Scenario: A session's version is withdrawn
-    # The session opened on larch:1. The operator withdraws larch:1 and offers
-    # larch:3. The session's next request is refused as not run, with what to do;
-    # it is never moved to larch:3 silently. Other requests go on.
+    # The session was opened on larch:1. The operator withdraws larch:1 and offers larch:3. The
+    # session's next request is refused as not run, with advice for the caller. Guards against
+    # moving the session to larch:3 silently. Other requests are answered.
     Given version "larch:1" alone is offered and serves class "note"
     When a session "report-7" asks host "a1" for a "note"
     And the session asks host "b1" by its id and host "c1" by its token
@@ -38,11 +38,11 @@
 
   @fixture.version_fleet
   Scenario: A host starts while the log is down, in the middle of a roll-out
-    # The new process can't read how far the roll-out is. Taking larch:2 for a
-    # version in service would expose all its callers; it asks another host
-    # instead, learns that larch:2 is on trial, and holds no share of it.
+    # The new process can't read the state of the roll-out. Treating larch:2 as in service would
+    # expose all its callers. Instead it asks another host, learns that larch:2 is on trial, and
+    # has no share of it.
     Given version "larch:1" alone is offered and serves class "note"
     When "larch:2" is offered beside it
     And the log shows a grant for "larch:2" in class "note"
-    And the log goes down and host "c1" starts anew
+    And the log goes down and host "c1" restarts
     Then 30 "note" answers of host "c1" come from "larch:1"
--- a/poplarrun/versions/__init__.py
+++ b/poplarrun/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Versions: estimates, the choice among versions, exposure and roll-outs."""
+"""Model versions: quality estimates, version selection, and roll-outs with bounded exposure."""
 
 from poplarrun.versions._cascades import ScoreCutoff, find_cutoff, make_cutoffs
 from poplarrun.versions._cells import TRIAL_LOG_CAPITAL_LIMIT, Estimate, Standing
--- a/poplarrun/versions/_choice.py
+++ b/poplarrun/versions/_choice.py
@@ -1,4 +1,4 @@
-"""Which version a request gets: the cheapest that meets the class target."""
+"""Selects the version for a request: the cheapest that meets the class's targets."""
 
 import random
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
     VersionId,
     WorkClass,
 )
-from poplarrun.versions._cells import PRIOR_TOKENS, Estimate, Standing
+from poplarrun.versions._cells import PRIOR_OUTPUT_TOKENS, Estimate, Standing
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import CellKey
 from poplarrun.versions._exposure import ExposureBudget
@@ -23,42 +23,42 @@
     Option,
     Plan,
     Single,
-    by_cost,
-    describe,
+    cost_order,
+    describe_options,
     find_cascades,
     find_mixtures,
-    is_quick,
-    lower_end,
+    fits_first_token_target,
+    quality_lower_bound,
 )
 from poplarrun.versions._rollouts import RolloutTable
 
-# Ratings of a class up to which exploration stays at its most.
-EXPLORED_RATINGS = 600.0
-MOST_EXPLORATION = 0.4
-LEAST_EXPLORATION = 0.005
-# Answers of a version that may await a rating before it is tried again. Without
-# this bound an outage of the rating service would keep exploring blindly.
-MOST_AWAITED = 30.0
-# How far below the target a version is taken to be while little is known of it.
-DOUBT_OF_THE_UNKNOWN = 0.15
-# Weight of the belief that an unrated version is as good as its class asks.
-PRIOR_RATINGS = 3.0
+# Ratings of a class up to which the fraction of exploring requests stays at its maximum.
+FULL_EXPLORATION_RATINGS = 600.0
+MAX_EXPLORATION_FRACTION = 0.4
+MIN_EXPLORATION_FRACTION = 0.005
+# A version with this many unrated answers is not explored further. Without the bound,
+# exploration would go on without results during an outage of the rating service.
+MAX_PENDING_RATINGS = 30.0
+# How far below the target the quality of a little-known version is assumed to be.
+UNKNOWN_QUALITY_DEFICIT = 0.15
+# Weight, in ratings, of the prior that an unrated version just meets the class's target.
+PRIOR_RATING_WEIGHT = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class ChoiceRequest:
-    """What is known of a request before it runs.
+    """The properties of a request that its version is selected by.
 
     Attributes
     ----------
     prompt_tokens, max_tokens : int
-        Its length, and the bound of its answer.
-    in_session : bool
-        Whether it opens a session, which keeps the version.
-    spend_left : float, optional
-        What the client account may still spend; None without a limit.
-    without : frozenset of VersionId
-        Versions that have no room for it now.
+        Length of the prompt, and the maximum length of the answer.
+    opens_session : bool
+        Whether it opens a session, which then keeps the version.
+    remaining_spend : float, optional
+        What the client account may still spend, in account currency; None without a limit.
+    excluded_versions : frozenset of VersionId
+        Versions without capacity for it.
     """
 
     account: ClientAccount
@@ -77,9 +77,9 @@
     Attributes
     ----------
     version : Version
-        What answers when the first answer is not accepted.
-    least_score : float
-        The lowest judge's score with which the first answer is accepted.
+        The version that answers when the first answer is rejected.
+    min_score : float
+        The lowest judge score with which the first answer is accepted.
     """
 
     version: Version
@@ -88,18 +88,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ChosenVersion:
-    """The version for a request.
+    """The version selected for a request.
 
     Attributes
     ----------
-    why : str
+    reason : str
         Counter label: cheapest, mixture, cascade, learning, exploration, roll-out or best-effort.
     cost : float
         Expected cost, in account currency.
     considered : list of str
-        Every version with what is known of it and why it was passed over.
+        Every version with its standing, cost and exclusion.
     escalation : Escalation, optional
-        The second step, when it is a cascade.
+        The second step, in a cascade.
     """
 
     version: Version
@@ -111,19 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NoVersionAllowed:
-    """The client account has no offered version."""
+    """The client account may use none of the offered versions."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoVersionMeetsTargets:
-    """No allowed version meets the targets, and the class wants a refusal then."""
+    """No allowed version meets the targets, and the class asks for a refusal then."""
 
     considered: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class NoVersionAffordable:
-    """Every version that could answer costs more than the account may still spend."""
+    """Every allowed version costs more than the client account may still spend."""
 
     considered: list[str]
 
@@ -132,8 +132,8 @@
 
 
 @dataclass
-class _Boards:
-    """What is known of the options by account and class, until something changes."""
+class _OptionCache:
+    """Options by client account and class, valid until their inputs change."""
 
     configuration: Configuration | None = None
     rollouts: RolloutTable | None = None
@@ -142,14 +142,14 @@
 
 
 class VersionSelector:
-    """Chooses versions at one host.
+    """Selects versions for the requests of one host.
 
     Parameters
     ----------
     estimates : Estimates
-        What is known of the versions.
-    exposure : Exposure
-        This host's shares of the roll-outs.
+        Estimates of the versions.
+    exposure : ExposureBudget
+        This host's remaining requests to versions in roll-out.
     source : random.Random
         Random source of the exploration.
     """
@@ -161,108 +161,114 @@
         self._estimates = estimates
         self._exposure = exposure
         self._random = source
-        self._boards = _Boards()
+        self._cache = _OptionCache()
 
     def choose(self, request: ChoiceRequest, configuration: Configuration) -> Choice:
-        """Choose a version, and count it when it uses a share of a roll-out."""
+        """Select a version, and count the request when its version is in roll-out."""
         options = self._list_options(request, configuration)
         if not options:
             return NoVersionAllowed()
-        payable = [o for o in options if _is_payable(o, request)]
-        if not payable:
-            return NoVersionAffordable(describe(options))
-        new = self._find_rollout(request, payable)
-        if new is not None:
-            self._exposure.consume(new.key)
-            return _chosen(new, "roll-out", options)
+        affordable = [o for o in options if _is_affordable(o, request)]
+        if not affordable:
+            return NoVersionAffordable(describe_options(options))
+        in_rollout = self._choose_rollout_option(request, affordable)
+        if in_rollout is not None:
+            self._exposure.consume(in_rollout.key)
+            return _make_chosen(in_rollout, "roll-out", options)
         targets = request.work_class.targets
-        bound = targets.cost_per_request
-        usable = [o for o in payable if not o.ruled_out and (bound is None or o.cost <= bound)]
+        max_cost = targets.cost_per_request
+        usable = [
+            o for o in affordable if not o.exclusion and (max_cost is None or o.cost <= max_cost)
+        ]
         if not usable:
-            return self._settle_for_less(request, payable)
-        judged = [o for o in payable if _is_to_be_judged(o, targets)]
-        rated = sum(option.estimate.rating_weight for option in options)
-        tried = self._find_try(request, usable, judged, rated)
-        if tried is not None:
-            return _chosen(tried, "exploration", options)
-        return self._draw(self._plan(request, usable, payable), options)
-
-    def _plan(self, request: ChoiceRequest, usable: list[Option], payable: list[Option]) -> Plan:
+            return self._choose_fallback(request, affordable)
+        judge_candidates = [o for o in affordable if _needs_judge_ratings(o, targets)]
+        rating_weight = sum(option.estimate.rating_weight for option in options)
+        explored = self._choose_exploration(request, usable, judge_candidates, rating_weight)
+        if explored is not None:
+            return _make_chosen(explored, "exploration", options)
+        return self._sample_plan(self._choose_plan(request, usable, affordable), options)
+
+    def _choose_plan(
+        self, request: ChoiceRequest, usable: list[Option], affordable: list[Option]
+    ) -> Plan:
         """Return the cheapest single version, mixture or cascade that meets the targets."""
-        targets = self._want(request)
+        targets = self._compute_rating_targets(request)
         good = [o for o in usable if o.estimate.standing is Standing.GOOD]
         if not good:
             return Single(_most_promising(usable, targets.quality), "learning")
-        plans: list[Plan] = [Single(min(good, key=by_cost), "cheapest")]
+        plans: list[Plan] = [Single(min(good, key=cost_order), "cheapest")]
         if not request.opens_session:
             plans += find_mixtures(usable, good, targets.quality)
-            plans += find_cascades(payable, good, targets, self._find_escalated)
+            plans += find_cascades(affordable, good, targets, self._find_escalated_estimate)
         return min(plans, key=lambda plan: plan.cost)
 
-    def _want(self, request: ChoiceRequest) -> Targets:
-        """Return the targets, with the rating that stands for the quality."""
+    def _compute_rating_targets(self, request: ChoiceRequest) -> Targets:
+        """Return the targets with the quality target replaced by the mean rating it requires."""
         targets = request.work_class.targets
-        wanted = self._estimates.compute_required_rating(targets.quality)
-        return targets if wanted == targets.quality else replace(targets, quality=wanted)
+        required = self._estimates.compute_required_rating(targets.quality)
+        return targets if required == targets.quality else replace(targets, quality=required)
 
-    def _find_escalated(self, second: Option) -> Estimate:
+    def _find_escalated_estimate(self, second: Option) -> Estimate:
         return self._estimates.find(second.key.as_second_step)
 
-    def _draw(self, plan: Plan, options: list[Option]) -> ChosenVersion:
+    def _sample_plan(self, plan: Plan, options: list[Option]) -> ChosenVersion:
         match plan:
-            case Single(option=option, why=why):
-                return _chosen(option, why, options)
-            case Mixture(doubtful=doubtful, cover=cover, share=share):
-                drawn = doubtful if self._random.random() < share else cover
-                return _chosen(drawn, "mixture", options)
-            case Cascade(first=first, second=second, cut=cut, cost=cost):
-                considered = describe(options)
+            case Single(option=option, reason=reason):
+                return _make_chosen(option, reason, options)
+            case Mixture(undecided=undecided, good=good, undecided_fraction=fraction):
+                drawn = undecided if self._random.random() < fraction else good
+                return _make_chosen(drawn, "mixture", options)
+            case Cascade(first=first, second=second, cutoff=cutoff, cost=cost):
+                considered = describe_options(options)
                 considered.append(
-                    f"cascade {first.version.id}, from score {cut.min_score:.3f} on, "
+                    f"cascade {first.version.id}, from score {cutoff.min_score:.3f} on, "
                     f"else {second.version.id}: cost={cost:.6f}"
                 )
-                escalation = Escalation(second.version, cut.min_score)
+                escalation = Escalation(second.version, cutoff.min_score)
                 return ChosenVersion(first.version, "cascade", cost, considered, escalation)
 
-    def _find_try(
+    def _choose_exploration(
         self,
         request: ChoiceRequest,
         usable: list[Option],
-        judged: list[Option],
-        rated: float,
+        judge_candidates: list[Option],
+        rating_weight: float,
     ) -> Option | None:
-        """Return a version of which little is known, for a share of the requests."""
-        target = self._want(request).quality
+        """Return a little-known version to explore, for a fraction of the requests."""
+        target = self._compute_rating_targets(request).quality
         good = [o for o in usable if o.estimate.standing is Standing.GOOD]
-        best = min(good, key=by_cost) if good else _most_promising(usable, target)
-        if request.opens_session or self._random.random() >= _exploration(rated, best, target):
+        best = min(good, key=cost_order) if good else _most_promising(usable, target)
+        if request.opens_session or self._random.random() >= _exploration_fraction(
+            rating_weight, best, target
+        ):
             return None
-        unknown = [o for o in usable if o.estimate.standing is Standing.UNDECIDED]
-        tries = [o for o in (*unknown, *judged) if _is_worth_a_try(o, best)]
-        if not tries:
+        undecided = [o for o in usable if o.estimate.standing is Standing.UNDECIDED]
+        candidates = [o for o in (*undecided, *judge_candidates) if _is_worth_exploring(o, best)]
+        if not candidates:
             return None
-        weights = [_hope(o, best, target) for o in tries]
-        return self._random.choices(tries, weights)[0]
+        weights = [_exploration_weight(o, best, target) for o in candidates]
+        return self._random.choices(candidates, weights)[0]
 
     def _list_options(self, request: ChoiceRequest, configuration: Configuration) -> list[Option]:
         """Return the options with their costs for a request.
 
-        All but the costs is kept until the configuration, a roll-out or an
-        estimate changes, so that a decision takes microseconds.
+        Everything except the costs is cached until the configuration, a roll-out or an estimate
+        changes, so that a decision takes microseconds.
         """
-        boards, revision = self._boards, self._estimates.revision
-        is_same = boards.configuration is configuration and boards.rollouts is self.rollouts
-        if not is_same or boards.revision != revision:
-            boards = self._boards = _Boards(configuration, self.rollouts, revision)
-        # What the account allows is in the key: a caller that waited while operators
-        # changed it would leave its own options here, for all later requests.
+        cache, revision = self._cache, self._estimates.revision
+        has_same_inputs = cache.configuration is configuration and cache.rollouts is self.rollouts
+        if not has_same_inputs or cache.revision != revision:
+            cache = self._cache = _OptionCache(configuration, self.rollouts, revision)
+        # The key contains the versions that the account allows. A request that waited while
+        # operators changed them would otherwise cache its outdated options for all later ones.
         account = request.account
-        place = (account.name, account.versions, request.work_class.name)
-        options = boards.options.get(place)
+        cache_key = (account.name, account.versions, request.work_class.name)
+        options = cache.options.get(cache_key)
         if options is None:
-            options = boards.options[place] = self._make_options(request, configuration)
+            options = cache.options[cache_key] = self._build_options(request, configuration)
         for option in options:
-            tokens = min(request.max_tokens, option.tokens)
+            tokens = min(request.max_tokens, option.expected_output_tokens)
             option.cost = option.version.price.cost(request.prompt_tokens, tokens)
         if request.excluded_versions:
             return [
@@ -270,7 +276,7 @@
             ]
         return options
 
-    def _make_options(self, request: ChoiceRequest, configuration: Configuration) -> list[Option]:
+    def _build_options(self, request: ChoiceRequest, configuration: Configuration) -> list[Option]:
         class_name = request.work_class.name
         offered = [
             version
@@ -278,67 +284,69 @@
             if not configuration.is_withdrawn(version.id)
         ]
         keys = [CellKey(class_name, version.id) for version in offered]
-        known = [self._estimates.find(key) for key in keys]
-        typical = _typical_tokens(known)
-        in_service = self._has_incumbent(class_name, configuration)
+        estimates = [self._estimates.find(key) for key in keys]
+        mean_tokens = _mean_output_tokens(estimates)
+        has_incumbent = self._has_incumbent(class_name, configuration)
         return [
             Option(
                 version,
                 key,
                 estimate,
-                estimate.output_tokens or typical,
-                self._rule_out(key, estimate, in_service),
+                estimate.output_tokens or mean_tokens,
+                self._find_exclusion(key, estimate, has_incumbent),
                 f"{version.id} {estimate.standing.value}",
             )
-            for version, key, estimate in zip(offered, keys, known, strict=True)
+            for version, key, estimate in zip(offered, keys, estimates, strict=True)
         ]
 
-    def _rule_out(self, key: CellKey, estimate: Estimate, in_service: bool) -> str:
+    def _find_exclusion(self, key: CellKey, estimate: Estimate, has_incumbent: bool) -> str:
         state = self.rollouts.find(key)
         if state.rejected:
             return f"rejected: {state.rejected}"
-        is_serving = state.serves or not in_service
+        is_serving = state.serves or not has_incumbent
         if estimate.is_bad(is_serving):
             return "bad" if is_serving else "bad on trial"
-        if in_service and not state.serves:
+        if has_incumbent and not state.serves:
             return "roll-out"
         if estimate.is_poor:
             return "quality"
         return "latency" if estimate.is_slow else ""
 
-    def _find_rollout(self, request: ChoiceRequest, options: list[Option]) -> Option | None:
-        """Return a version in roll-out of which this host has requests left.
+    def _choose_rollout_option(
+        self, request: ChoiceRequest, options: list[Option]
+    ) -> Option | None:
+        """Return a version in roll-out to which this host may still send requests.
 
-        A session would keep the version and use up more than the one request,
-        so sessions open only on versions that are fully rolled out.
+        A session would keep the version and consume more than one request, so sessions open
+        only on versions that are fully rolled out.
         """
         if request.opens_session:
             return None
         for option in options:
-            if option.ruled_out == "roll-out" and self._exposure.remaining(option.key) > 0:
+            if option.exclusion == "roll-out" and self._exposure.remaining(option.key) > 0:
                 return option
         return None
 
-    def _settle_for_less(self, request: ChoiceRequest, options: list[Option]) -> Choice:
-        """Decide when no version meets the targets.
+    def _choose_fallback(self, request: ChoiceRequest, options: list[Option]) -> Choice:
+        """Select a version, or refuse, when none meets the targets.
 
-        Latency alone never refuses: under overload every version looks slow,
-        and refusing all would last until the evidence had aged.
+        Latency alone never leads to a refusal: under overload every version is slow, and all
+        requests would be refused until the evidence had decayed.
         """
-        considered = describe(options)
-        left = [o for o in options if o.ruled_out in ("", "latency", "quality", "bad")]
-        if not left:
+        considered = describe_options(options)
+        candidates = [o for o in options if o.exclusion in ("", "latency", "quality", "bad")]
+        if not candidates:
             return NoVersionMeetsTargets(considered)
-        slow = [o for o in left if o.ruled_out == "latency"]
+        slow = [o for o in candidates if o.exclusion == "latency"]
         if slow:
-            return _chosen(min(slow, key=by_cost), "best-effort", options)
+            return _make_chosen(min(slow, key=cost_order), "best-effort", options)
         if request.work_class.unmet is UnmetTargetsPolicy.REFUSE:
             return NoVersionMeetsTargets(considered)
-        best = max(left, key=lambda o: (o.estimate.mean_quality or 0.0, -o.cost))
-        return _chosen(best, "best-effort", options)
+        best = max(candidates, key=lambda o: (o.estimate.mean_quality or 0.0, -o.cost))
+        return _make_chosen(best, "best-effort", options)
 
     def _has_incumbent(self, class_name: str, configuration: Configuration) -> bool:
-        """Tell whether some version serves the class; before that, all are usable."""
+        """Tell whether some version serves the class; until one does, all are usable."""
         return any(
             self.rollouts.find(CellKey(class_name, version)).serves
             for version in configuration.document.versions
@@ -346,63 +354,67 @@
         )
 
 
-def _typical_tokens(known: Sequence[Estimate]) -> float:
-    seen = [estimate.output_tokens for estimate in known if estimate.output_tokens is not None]
-    return sum(seen) / len(seen) if seen else PRIOR_TOKENS
+def _mean_output_tokens(estimates: Sequence[Estimate]) -> float:
+    lengths = [
+        estimate.output_tokens for estimate in estimates if estimate.output_tokens is not None
+    ]
+    return sum(lengths) / len(lengths) if lengths else PRIOR_OUTPUT_TOKENS
 
 
 def _most_promising(usable: Sequence[Option], target: float) -> Option:
-    return max(usable, key=lambda option: _promise(option, target))
+    return max(usable, key=lambda option: _promise_order(option, target))
 
 
-def _promise(option: Option, target: float) -> tuple[float, float]:
-    """Rank versions of which none is shown good: the expected quality, then the price.
+def _promise_order(option: Option, target: float) -> tuple[float, float]:
+    """Return the sort key of versions of which none is shown good: expected quality, then cost.
 
-    Nothing being known, the dearest comes first: prices say something of quality.
+    Without ratings the most expensive version comes first, because price hints at quality.
     """
-    rated = option.estimate.rating_weight
-    seen = rated * (option.estimate.mean_quality or 0.0)
-    return (seen + PRIOR_RATINGS * target) / (rated + PRIOR_RATINGS), option.cost
+    rating_weight = option.estimate.rating_weight
+    rating_sum = rating_weight * (option.estimate.mean_quality or 0.0)
+    return (rating_sum + PRIOR_RATING_WEIGHT * target) / (
+        rating_weight + PRIOR_RATING_WEIGHT
+    ), option.cost
 
 
-def _exploration(rated: float, best: Option, target: float) -> float:
-    """Return the share of requests that try versions of which little is known.
+def _exploration_fraction(rating_weight: float, best: Option, target: float) -> float:
+    """Return the fraction of requests that explore little-known versions.
 
-    Once a class is learnt, its best version's surplus must make up for the tries.
+    Once a class has many ratings, its best version's surplus must make up for the exploration.
     """
-    if rated < EXPLORED_RATINGS:
-        return MOST_EXPLORATION
-    surplus = max(0.0, lower_end(best) - target)
-    covered = surplus / (surplus + DOUBT_OF_THE_UNKNOWN)
-    share = MOST_EXPLORATION * (EXPLORED_RATINGS / rated) ** 2
-    return max(LEAST_EXPLORATION, min(share, covered))
+    if rating_weight < FULL_EXPLORATION_RATINGS:
+        return MAX_EXPLORATION_FRACTION
+    surplus = max(0.0, quality_lower_bound(best) - target)
+    covered_fraction = surplus / (surplus + UNKNOWN_QUALITY_DEFICIT)
+    fraction = MAX_EXPLORATION_FRACTION * (FULL_EXPLORATION_RATINGS / rating_weight) ** 2
+    return max(MIN_EXPLORATION_FRACTION, min(fraction, covered_fraction))
 
 
-def _is_payable(option: Option, request: ChoiceRequest) -> bool:
+def _is_affordable(option: Option, request: ChoiceRequest) -> bool:
     return request.remaining_spend is None or option.cost <= request.remaining_spend
 
 
-def _is_to_be_judged(option: Option, targets: Targets) -> bool:
-    """Tell whether a poor version may serve in a cascade, once enough is known of its judge."""
-    known = option.estimate
-    is_open = option.ruled_out == "quality" and not known.first_step.is_learnt
-    return is_open and is_quick(known, targets)
+def _needs_judge_ratings(option: Option, targets: Targets) -> bool:
+    """Tell whether a poor version might serve in a cascade but its judge needs more ratings."""
+    estimate = option.estimate
+    is_candidate = option.exclusion == "quality" and not estimate.first_step.is_judge_learnt
+    return is_candidate and fits_first_token_target(estimate, targets)
 
 
-def _is_worth_a_try(option: Option, best: Option) -> bool:
-    return option.cost < best.cost and option.estimate.pending_ratings < MOST_AWAITED
+def _is_worth_exploring(option: Option, best: Option) -> bool:
+    return option.cost < best.cost and option.estimate.pending_ratings < MAX_PENDING_RATINGS
 
 
-def _hope(option: Option, best: Option, target: float) -> float:
-    """Weigh what a version would save by how near it is to being shown good."""
+def _exploration_weight(option: Option, best: Option, target: float) -> float:
+    """Return the cost that a version would save, weighted by how close it is to being good."""
     saving = 1.0 - option.cost / best.cost
-    known = option.estimate
-    if known.mean_quality is None:
+    estimate = option.estimate
+    if estimate.mean_quality is None:
         return saving
-    # From 0 (all but shown poor) over 1 (just at the target) to 2 (all but shown good).
-    nearness = 1.0 + (known.mean_quality - target) / known.confidence_radius
-    return saving * max(0.01, nearness) ** 3
+    # From 0 (almost shown poor) over 1 (at the target) to 2 (almost shown good).
+    closeness = 1.0 + (estimate.mean_quality - target) / estimate.confidence_radius
+    return saving * max(0.01, closeness) ** 3
 
 
-def _chosen(option: Option, why: str, options: list[Option]) -> ChosenVersion:
-    return ChosenVersion(option.version, why, option.cost, describe(options))
+def _make_chosen(option: Option, reason: str, options: list[Option]) -> ChosenVersion:
+    return ChosenVersion(option.version, reason, option.cost, describe_options(options))
--- a/poplarrun/versions/_controller.py
+++ b/poplarrun/versions/_controller.py
@@ -1,4 +1,4 @@
-"""The steward: which roll-out record is due next, from the log and the estimates."""
+"""The rollout controller: derives the records that are due from the log and the estimates."""
 
 import itertools
 import math
@@ -11,10 +11,10 @@
 from poplarrun.rendezvous import rank_hosts
 from poplarrun.versions._cells import (
     SERVICE_LOG_CAPITAL_LIMIT,
-    SHOWN,
+    SIGNIFICANT_LOG_CAPITAL,
     TRIAL_LOG_CAPITAL_LIMIT,
-    Capitals,
     Estimate,
+    LogCapitals,
 )
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import CellKey
@@ -28,35 +28,38 @@
     format_process_name,
 )
 
-# A stage is left unfinished for so long before its unused requests are granted anew.
-STALL_S = 60.0
-# A stage may be granted so often before it grows.
-STALL_FACTOR = 2
-# A roll-out's ratings are in when so many of its requests are rated; some ratings get lost.
-RATED_SHARE = 0.75
-HIGHEST_LOG = 100.0
-# A version in service is late for good when this much later so many more answers were late.
-LASTING_S = 60.0
-LATE_AGAIN = 10
+# Time without progress after which the budget of a stage is granted a second time.
+STALL_TIMEOUT_S = 60.0
+# Limit of the granted requests, as a multiple of the budget of the stage.
+MAX_BUDGET_FACTOR = 2
+# Fraction of a roll-out's requests whose ratings must have arrived before it is rejected; some
+# ratings are lost.
+MIN_RATED_FRACTION = 0.75
+# Larger log capitals are cut off before ``exp``.
+MAX_LOG_CAPITAL = 100.0
+# A version in service is rejected for latency only if at least this many further answers are late
+# this long after the first ones.
+LATENCY_CONFIRMATION_WINDOW_S = 60.0
+MIN_LATER_LATE_ANSWERS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureStage:
-    """One step of a roll-out.
+    """One stage of a roll-out.
 
     Attributes
     ----------
-    budget : int
-        Requests that may have been exposed by its end, in all.
-    capital : float
-        What a bet against "worse than the class allows" must have grown to
+    cumulative_budget : int
+        Requests that may have been granted by its end, over all stages.
+    min_capital : float
+        Capital that a bet against "worse than the class allows" must have reached
         before the stage begins. Under that hypothesis it ever does with
-        probability at most ``1 / capital``, so the expected exposure of such a
-        version is at most the sum of ``budget / capital`` over the stages.
+        probability at most ``1 / min_capital``, so the expected exposure of such a
+        version is at most the sum of ``cumulative_budget / min_capital`` over the stages.
     """
 
-    budget: int
-    capital: float
+    cumulative_budget: int
+    min_capital: float
 
 
 STAGES = (
@@ -65,21 +68,22 @@
     ExposureStage(200, 4.0),
     ExposureStage(1000, 20.0),
 )
-FULL_CAPITAL = 100.0
+# Capital at which a version is fully rolled out after the last stage.
+COMPLETION_CAPITAL = 100.0
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerView:
-    """What a steward decides from.
+    """The inputs of the rollout controller's decisions.
 
     Attributes
     ----------
     configuration : Configuration
         In force at this host.
-    rollouts : Rollouts
+    rollouts : RolloutTable
         Folded from the log.
-    live : sequence of Peer
-        Hosts that are taken to be live.
+    live_hosts : sequence of Peer
+        Hosts that are considered live.
     """
 
     configuration: Configuration
@@ -91,7 +95,7 @@
 
 
 class VersionRolloutController:
-    """Decides for the classes of which this host is the usual owner.
+    """Decides on the roll-outs of the classes that rendezvous hashing assigns to this host.
 
     Parameters
     ----------
@@ -100,20 +104,20 @@
     incarnation : int
         As in its ``Peer``; part of the records' ids.
     estimates : Estimates
-        This host's estimates.
+        This host's estimates of the versions.
     """
 
     def __init__(self, host: str, incarnation: int, estimates: Estimates) -> None:
         self._host = host
         self._estimates = estimates
         self._ids = (f"{host}/{incarnation}/{number}" for number in itertools.count())
-        self._changed_at: dict[CellKey, tuple[int, float]] = {}
-        self._lagging: dict[CellKey, tuple[float, int]] = {}
-        self._ranked: tuple[str, ...] = ()
+        self._last_grants: dict[CellKey, tuple[int, float]] = {}
+        self._late_since: dict[CellKey, tuple[float, int]] = {}
+        self._live_names: tuple[str, ...] = ()
         self._owners: dict[str, str] = {}
 
     def decide_records(self, view: ControllerView, now: float) -> list[DueRecord]:
-        """Return the records that are due now, for the log."""
+        """Return the records that are due to be appended to the log."""
         due: list[DueRecord] = []
         if not view.rollouts.is_complete:
             return due
@@ -123,10 +127,10 @@
         return due
 
     def _owns(self, class_name: str, live: Sequence[Peer]) -> bool:
-        """Tell whether this host is a class's usual steward; ranks anew when hosts change."""
+        """Tell whether this host owns a class; the assignment is cached until live hosts change."""
         names = tuple(peer.name for peer in live)
-        if names != self._ranked:
-            self._ranked = names
+        if names != self._live_names:
+            self._live_names = names
             self._owners.clear()
         owner = self._owners.get(class_name)
         if owner is None:
@@ -139,71 +143,76 @@
         for version, offered in view.configuration.document.versions.items():
             key = CellKey(class_name, version)
             state = view.rollouts.find(key)
-            # Where nothing serves yet all versions do, also before that is in the log.
+            # While no version serves the class, all do, even before the log says so.
             is_serving = state.serves or not has_incumbent
             if offered.stage is VersionStage.WITHDRAWN:
-                known = key in view.rollouts.states
-                due.append(RolloutClosure(next(self._ids), str(version)) if known else None)
+                has_state = key in view.rollouts.states
+                due.append(RolloutClosure(next(self._ids), str(version)) if has_state else None)
             elif not view.configuration.is_withdrawn(version) and not state.rejected:
                 due.append(
-                    self._withdraw(key, is_serving, view)
-                    or self._reject(key, is_serving)
-                    or self._reject_slow(key, is_serving, view, now)
+                    self._make_due_withdrawal(key, is_serving, view)
+                    or self._reject_for_quality(key, is_serving)
+                    or self._reject_for_latency(key, is_serving, view, now)
                     or self._advance(key, state, view, has_incumbent, now)
                 )
         return [record for record in due if record is not None]
 
-    def _withdraw(self, key: CellKey, is_serving: bool, view: ControllerView) -> Withdrawal | None:
-        """Withdraw a version that fails, or that not even the least demanding class wants."""
-        known = self._estimates.find(key)
-        capitals, bar = _capitals(known, is_serving)
-        if max(capitals.usefulness, capitals.reliability) < bar:
+    def _make_due_withdrawal(
+        self, key: CellKey, is_serving: bool, view: ControllerView
+    ) -> Withdrawal | None:
+        """Withdraw a version that fails too often, or is too poor for the least demanding class."""
+        estimate = self._estimates.find(key)
+        capitals, limit = _select_capitals(estimate, is_serving)
+        if max(capitals.usefulness, capitals.reliability) < limit:
             return None
-        reason = "quality" if capitals.usefulness >= bar else "failures"
+        reason = "quality" if capitals.usefulness >= limit else "failures"
         evidence = {
             "log_capital": round(max(capitals.usefulness, capitals.reliability), 3),
-            "rated": round(known.rating_weight, 3),
-            "mean_quality": round(known.mean_quality or 0.0, 4),
+            "rated": round(estimate.rating_weight, 3),
+            "mean_quality": round(estimate.mean_quality or 0.0, 4),
         }
-        # Each class's steward writes the same id, so that the fold keeps one.
+        # The controllers of all classes write the same id, and the fold applies one record only.
         record_id = f"withdrawal/{key.version}/{view.configuration.offset}"
         text = f"{reason} in class {key.class_name}"
         return Withdrawal(record_id, str(key.version), text, evidence)
 
-    def _reject(self, key: CellKey, is_serving: bool) -> RolloutResult | None:
-        known = self._estimates.find(key)
-        capitals, bar = _capitals(known, is_serving)
-        if capitals.quality < bar:
+    def _reject_for_quality(self, key: CellKey, is_serving: bool) -> RolloutResult | None:
+        estimate = self._estimates.find(key)
+        capitals, limit = _select_capitals(estimate, is_serving)
+        if capitals.quality < limit:
             return None
-        return self._settle(key, False, f"quality {known.mean_quality or 0.0:.2f}")
+        return self._make_result(key, False, f"quality {estimate.mean_quality or 0.0:.2f}")
 
-    def _reject_slow(
+    def _reject_for_latency(
         self, key: CellKey, is_serving: bool, view: ControllerView, now: float
     ) -> RolloutResult | None:
-        """Reject a version whose answers are late while another one's are in time."""
-        known = self._estimates.find(key)
-        capitals, bar = _capitals(known, is_serving)
-        if capitals.latency < bar:
-            self._lagging.pop(key, None)
+        """Reject a version whose answers are late while those of another version are on time."""
+        estimate = self._estimates.find(key)
+        capitals, limit = _select_capitals(estimate, is_serving)
+        if capitals.latency < limit:
+            self._late_since.pop(key, None)
             return None
-        is_lasting = not is_serving or self._is_lasting(key, known, now)
-        if not is_lasting or not self._has_prompt_other(key, view):
+        has_lasted = not is_serving or self._is_lateness_lasting(key, estimate, now)
+        if not has_lasted or not self._has_timely_alternative(key, view):
             return None
-        return self._settle(key, False, "latency")
+        return self._make_result(key, False, "latency")
 
-    def _is_lasting(self, key: CellKey, known: Estimate, now: float) -> bool:
-        """Tell whether answers are still, or again, late a while after they first were.
+    def _is_lateness_lasting(self, key: CellKey, estimate: Estimate, now: float) -> bool:
+        """Tell whether further answers are late some time after the first late ones.
 
-        A pause of its endpoint makes some dozen answers late at once; then it is
-        passed over and nothing more is seen of it, which must not count as more.
+        A pause of an endpoint makes a dozen or so answers late at once. The version then gets
+        no requests for a while, and the time without further answers must not count.
         """
-        since, late_answers = self._lagging.setdefault(key, (now, known.late_answers))
-        if now - since < LASTING_S:
-            self._lagging[key] = (since, known.late_answers)
-        return known.late_answers - late_answers >= LATE_AGAIN and now - since >= LASTING_S
+        since, late_answers = self._late_since.setdefault(key, (now, estimate.late_answers))
+        if now - since < LATENCY_CONFIRMATION_WINDOW_S:
+            self._late_since[key] = (since, estimate.late_answers)
+        return (
+            estimate.late_answers - late_answers >= MIN_LATER_LATE_ANSWERS
+            and now - since >= LATENCY_CONFIRMATION_WINDOW_S
+        )
 
-    def _has_prompt_other(self, key: CellKey, view: ControllerView) -> bool:
-        """Tell whether another version serves the class in time; under overload none does."""
+    def _has_timely_alternative(self, key: CellKey, view: ControllerView) -> bool:
+        """Tell whether another version serves the class on time; under overload none does."""
         return any(
             version != key.version
             and not view.configuration.is_withdrawn(version)
@@ -223,50 +232,58 @@
         if state.serves:
             return None
         if not has_incumbent:
-            return self._settle(key, True, "no other version serves the class")
-        known = self._estimates.find(key)
+            return self._make_result(key, True, "no other version serves the class")
+        estimate = self._estimates.find(key)
         capital = (
-            math.exp(min(known.trial_pass_log_capital, HIGHEST_LOG)) if known.rating_weight else 0.0
+            math.exp(min(estimate.trial_pass_log_capital, MAX_LOG_CAPITAL))
+            if estimate.rating_weight
+            else 0.0
         )
-        if state.stage + 1 == len(STAGES) and capital >= FULL_CAPITAL:
-            return self._settle(key, True, "no worse than the class allows")
-        if state.stage + 1 < len(STAGES) and capital >= STAGES[state.stage + 1].capital:
-            budget = max(1, STAGES[state.stage + 1].budget - state.budget)
-            return self._grant(key, state, state.stage + 1, budget, view.live_hosts)
-        return self._go_on(key, state, capital, view, now)
-
-    def _go_on(
+        if state.stage + 1 == len(STAGES) and capital >= COMPLETION_CAPITAL:
+            return self._make_result(key, True, "no worse than the class allows")
+        if state.stage + 1 < len(STAGES) and capital >= STAGES[state.stage + 1].min_capital:
+            budget = max(1, STAGES[state.stage + 1].cumulative_budget - state.budget)
+            return self._make_grant(key, state, state.stage + 1, budget, view.live_hosts)
+        return self._regrant_or_reject(key, state, capital, view, now)
+
+    def _regrant_or_reject(
         self, key: CellKey, state: RolloutState, capital: float, view: ControllerView, now: float
     ) -> BudgetGrant | RolloutResult | None:
-        """Grant a stage's budget a second time when its shares seem to lie idle.
+        """Grant the budget of a stage a second time when its shares seem to stay unused.
 
-        A share lies idle at a host that died or has no such requests. It can't
-        be called back from a host that is cut off, so the budget counts both.
+        A share stays unused at a host that died or gets no such requests. It can't be revoked
+        from a host that is partitioned, so both grants count against the limit.
         """
-        grants, since = self._changed_at.get(key, (-1, now))
+        grants, since = self._last_grants.get(key, (-1, now))
         if grants != state.grants:
-            self._changed_at[key] = (state.grants, now)
+            self._last_grants[key] = (state.grants, now)
             return None
         stage = STAGES[state.stage]
-        left = STALL_FACTOR * stage.budget - state.budget
-        if now - since < STALL_S:
+        remaining = MAX_BUDGET_FACTOR * stage.cumulative_budget - state.budget
+        if now - since < STALL_TIMEOUT_S:
             return None
-        if capital >= stage.capital and left > 0:
-            return self._grant(key, state, state.stage, min(left, stage.budget), view.live_hosts)
-        return self._give_up(key, state)
-
-    def _give_up(self, key: CellKey, state: RolloutState) -> RolloutResult | None:
-        """Reject a version that has used up its requests, where its ratings lean against it.
-
-        Nothing would decide it otherwise: without requests no rating comes. This is
-        looked at once all of them are rated, so one chance in 20 is not taken often.
+        if capital >= stage.min_capital and remaining > 0:
+            return self._make_grant(
+                key, state, state.stage, min(remaining, stage.cumulative_budget), view.live_hosts
+            )
+        return self._reject_when_exhausted(key, state)
+
+    def _reject_when_exhausted(self, key: CellKey, state: RolloutState) -> RolloutResult | None:
+        """Reject a version that has used up its requests, if its ratings speak against it.
+
+        Without requests no further rating arrives, and the roll-out would never end. The test
+        is evaluated only when the ratings have arrived, so its error probability of 1 in 20 is
+        not incurred often.
         """
-        known = self._estimates.find(key)
-        if known.rating_weight < RATED_SHARE * state.budget or known.trial_capitals.quality < SHOWN:
+        estimate = self._estimates.find(key)
+        if (
+            estimate.rating_weight < MIN_RATED_FRACTION * state.budget
+            or estimate.trial_capitals.quality < SIGNIFICANT_LOG_CAPITAL
+        ):
             return None
-        return self._settle(key, False, f"quality {known.mean_quality or 0.0:.2f}")
+        return self._make_result(key, False, f"quality {estimate.mean_quality or 0.0:.2f}")
 
-    def _grant(
+    def _make_grant(
         self,
         key: CellKey,
         state: RolloutState,
@@ -275,28 +292,30 @@
         live: Sequence[Peer],
     ) -> BudgetGrant:
         record_id = next(self._ids)
-        holders = {peer.name: format_process_name(peer.name, peer.incarnation) for peer in live}
-        ranked = rank_hosts(record_id, holders)
+        process_names = {
+            peer.name: format_process_name(peer.name, peer.incarnation) for peer in live
+        }
+        ranked = rank_hosts(record_id, process_names)
         shares: dict[str, int] = {}
         for name, _ in zip(itertools.cycle(ranked), range(budget), strict=False):
-            shares[holders[name]] = shares.get(holders[name], 0) + 1
+            shares[process_names[name]] = shares.get(process_names[name], 0) + 1
         return BudgetGrant(record_id, key.class_name, str(key.version), state.grants, stage, shares)
 
-    def _settle(self, key: CellKey, serves: bool, reason: str) -> RolloutResult:
+    def _make_result(self, key: CellKey, serves: bool, reason: str) -> RolloutResult:
         return RolloutResult(next(self._ids), key.class_name, str(key.version), serves, reason)
 
 
-def _capitals(known: Estimate, is_serving: bool) -> tuple[Capitals, float]:
-    """Return the bets that count at this stage, and their bar."""
+def _select_capitals(estimate: Estimate, is_serving: bool) -> tuple[LogCapitals, float]:
+    """Return the log capitals that count in service or on trial, and their limit."""
     if is_serving:
-        return known.service_capitals, SERVICE_LOG_CAPITAL_LIMIT
-    if known.change_capitals.highest >= SERVICE_LOG_CAPITAL_LIMIT:
-        return known.change_capitals, SERVICE_LOG_CAPITAL_LIMIT
-    return known.trial_capitals, TRIAL_LOG_CAPITAL_LIMIT
+        return estimate.service_capitals, SERVICE_LOG_CAPITAL_LIMIT
+    if estimate.change_capitals.highest_without_latency >= SERVICE_LOG_CAPITAL_LIMIT:
+        return estimate.change_capitals, SERVICE_LOG_CAPITAL_LIMIT
+    return estimate.trial_capitals, TRIAL_LOG_CAPITAL_LIMIT
 
 
 def _has_incumbent(class_name: str, view: ControllerView) -> bool:
-    """Tell whether some version serves the class, so that a new one can wait."""
+    """Tell whether some version serves the class, so that a new one needs a roll-out."""
     return any(
         view.rollouts.find(CellKey(class_name, version)).serves
         for version in view.configuration.document.versions
--- a/poplarrun/versions/_cutoff_detector.py
+++ b/poplarrun/versions/_cutoff_detector.py
@@ -1,28 +1,33 @@
-"""Tells when the answers that a cascade accepts turn bad."""
+"""Detects when the first answers that a cascade accepts become bad."""
 
 import math
 from collections.abc import Sequence
 
-from poplarrun.versions._evidence import JUDGE_BINS, JudgedBin, read_bins
-from poplarrun.versions._sequential_tests import HIGHEST_MEAN, LOWEST_MEAN, STAKE_SHARES, mix_logs
+from poplarrun.versions._evidence import JUDGE_BINS, JudgedBin, decode_bins
+from poplarrun.versions._sequential_tests import (
+    MAX_MEAN,
+    MIN_MEAN,
+    STAKE_FRACTIONS,
+    mix_log_capitals,
+)
 
-# For a stake of this share, what the square of a deviation costs (Fan et al.).
-SQUARE_COSTS = tuple(math.log1p(-share) + share for share in STAKE_SHARES)
+# For each stake, the coefficient of the squared deviation in the lower bound of Fan et al.
+SQUARE_COEFFICIENTS = tuple(math.log1p(-fraction) + fraction for fraction in STAKE_FRACTIONS)
 
 
-class CutWatch:
-    """Change detectors of the answers from each cut's score on.
+class CutoffDetector:
+    """Change detectors of the answers at or above each cutoff's score.
 
-    A judge that was worth something may stop being so: a version that turns bad
-    with an unchanged confidence would go on being accepted on its good past.
-    Bins hold only sums of ratings and of their squares, so the bet is the lower
+    A judge may stop being informative: answers of a version that becomes bad with unchanged
+    confidence would otherwise still be accepted because of its good answers in the past.
+    Bins hold only sums of ratings and of their square_sum, so the bet is the lower
     bound ``log(1 + a y) >= a y + (log(1 - a) + a) y * y``, for ``y >= -1`` and
-    a stake ``0 <= a < 1``: valid like the bet itself, and a little slower.
+    a stake ``0 <= a < 1``. It is as valid as the bet itself and detects slightly later.
 
     Parameters
     ----------
     mean : float
-        Hypothesis: accepted answers are as good as this, or better.
+        Hypothesis: the mean rating of accepted answers is this or higher.
 
     References
     ----------
@@ -31,27 +36,31 @@
     """
 
     def __init__(self, mean: float) -> None:
-        self._mean = min(HIGHEST_MEAN, max(LOWEST_MEAN, mean))
-        self._logs = [[0.0] * len(STAKE_SHARES) for _ in range(JUDGE_BINS)]
+        self._mean = min(MAX_MEAN, max(MIN_MEAN, mean))
+        self._log_capitals = [[0.0] * len(STAKE_FRACTIONS) for _ in range(JUDGE_BINS)]
 
     def add(self, judged: Sequence[float]) -> None:
-        """Take the judged ratings that came, as in ``Evidence.judged``."""
-        bins = read_bins(judged)
-        for first in range(1, JUDGE_BINS):
-            self._add_from(first, bins[first:])
+        """Add new judged ratings, encoded as in ``Evidence.judged``."""
+        bins = decode_bins(judged)
+        for first_bin in range(1, JUDGE_BINS):
+            self._add_accepted(first_bin, bins[first_bin:])
 
     def log_capital(self, score: float) -> float:
-        """Return the log capital against what is accepted from a cut's score on."""
-        return mix_logs(self._logs[round(score * JUDGE_BINS)])
+        """Return the log capital against the answers at or above a cutoff's score."""
+        return mix_log_capitals(self._log_capitals[round(score * JUDGE_BINS)])
 
-    def _add_from(self, first: int, bins: Sequence[JudgedBin]) -> None:
-        rated = sum(b.rated for b in bins)
+    def _add_accepted(self, first_bin: int, bins: Sequence[JudgedBin]) -> None:
+        rated = sum(b.rated_answers for b in bins)
         if rated <= 0.0:
             return
         mean, scale = self._mean, 1.0 - self._mean
-        quality, squares = sum(b.quality for b in bins), sum(b.squares for b in bins)
-        below = (rated * mean - quality) / scale
-        squared = (rated * mean * mean - 2.0 * mean * quality + squares) / scale**2
-        logs = self._logs[first]
-        for index, (share, cost) in enumerate(zip(STAKE_SHARES, SQUARE_COSTS, strict=True)):
-            logs[index] = max(0.0, logs[index] + share * below + cost * squared)
+        quality_sum, square_sum = sum(b.quality_sum for b in bins), sum(b.square_sum for b in bins)
+        deviation_term = (rated * mean - quality_sum) / scale
+        square_term = (rated * mean * mean - 2.0 * mean * quality_sum + square_sum) / scale**2
+        log_capitals = self._log_capitals[first_bin]
+        for index, (fraction, coefficient) in enumerate(
+            zip(STAKE_FRACTIONS, SQUARE_COEFFICIENTS, strict=True)
+        ):
+            log_capitals[index] = max(
+                0.0, log_capitals[index] + fraction * deviation_term + coefficient * square_term
+            )
--- a/poplarrun/versions/_evidence.py
+++ b/poplarrun/versions/_evidence.py
@@ -1,4 +1,4 @@
-"""What was seen of each version in each class: counters that hosts add up."""
+"""Counters of the answers and ratings of each version in each class, which hosts add up."""
 
 import hashlib
 import math
@@ -11,53 +11,53 @@
 from poplarrun.contracts import VersionId
 from poplarrun.hosts import SummaryTopic
 
-# Ratings are kept as counts on this grid from 0 to 1.
+# Ratings are stored as counts on a grid of equal steps from 0 to 1.
 GRID_STEPS = 16
 GRID = tuple(step / GRID_STEPS for step in range(GRID_STEPS + 1))
-# Scores of a judge are kept in bins of equal width.
+# Judge scores are stored in bins of equal width.
 JUDGE_BINS = 8
 BIN_FIELDS = 4
 MILLI = 1000
-SCHEMA = 1
-SECOND_STEP = "/second"
+SUMMARY_SCHEMA = 1
+SECOND_STEP_SUFFIX = "/second"
 MEMBERS_MODULUS = 1 << 64
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class CellKey:
-    """A version in a class."""
+    """A cell of the table of classes and versions: one version in one class."""
 
     class_name: str
     version: VersionId
 
     @property
     def as_second_step(self) -> "CellKey":
-        """The same version where it answers what a cascade's first step could not."""
-        return CellKey(self.class_name + SECOND_STEP, self.version)
+        """The same version as the second step of a cascade, where its first answer is rejected."""
+        return CellKey(self.class_name + SECOND_STEP_SUFFIX, self.version)
 
     @property
     def hash(self) -> int:
-        """The key on the wire: 4 bytes instead of two names."""
+        """The key on the wire: a hash of 4 bytes instead of two names."""
         text = f"{self.class_name}\0{self.version}".encode()
         return int.from_bytes(hashlib.blake2b(text, digest_size=4).digest(), "big")
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerObservation:
-    """What a host saw of one answer.
+    """What a host observed of one answer.
 
     Attributes
     ----------
     failed : bool
-        It broke at the engine or came empty.
+        Whether the engine failed or returned an empty answer.
     late : bool
-        It missed a latency target of its class.
+        Whether it missed a latency target of its class.
     output_tokens : int
         Its length.
-    whole_s : float
-        Time that it took, in seconds.
-    score : float, optional
-        What a judge gave it.
+    duration_s : float
+        Time to the end of the answer, in seconds.
+    judge_score : float, optional
+        The judge's score.
     """
 
     failed: bool
@@ -69,44 +69,44 @@
 
 @dataclass(frozen=True, slots=True)
 class JudgedBin:
-    """Answers whose score fell into one bin.
+    """Answers whose judge score fell into one bin.
 
     Attributes
     ----------
-    answers, rated : float
-        How many there were, and how many of them were rated.
-    quality, squares : float
-        Sums of their ratings and of the squares of these.
+    answers, rated_answers : float
+        Number of answers, and of those that were rated.
+    quality_sum, square_sum : float
+        Sums of their ratings and of the squares of their ratings.
     """
 
     answers: float
-    rated: float
-    quality: float
-    squares: float
+    rated_answers: float
+    quality_sum: float
+    square_sum: float
 
 
-def read_bins(judged: Sequence[float]) -> list[JudgedBin]:
+def decode_bins(judged: Sequence[float]) -> list[JudgedBin]:
     """Return the bins of ``Evidence.judged``."""
     bins = [judged[i : i + BIN_FIELDS] for i in range(0, len(judged), BIN_FIELDS)]
     return [JudgedBin(a, r, q / MILLI, s / MILLI) for a, r, q, s in bins]
 
 
 class Evidence(msgspec.Struct, array_like=True):
-    """Counters of one version in one class; they only grow.
+    """Counters of one version in one class, which never decrease.
 
     Attributes
     ----------
     requests, failures, late, output_tokens : int
-        Answers, those that failed, those that were late, their tokens.
+        Number of answers, of failed ones, of late ones, and of their tokens.
     sampled : int
-        Answers that were handed to the rating service.
+        Answers that were sent to the rating service.
     whole_ms : int
-        Sum of the answers' times, in milliseconds.
+        Sum of the answers' durations, in milliseconds.
     ratings : list of int
-        How many ratings fell on each point of ``GRID``.
+        Number of ratings at each point of ``GRID``.
     judged : list of int
-        For each bin of a judge's scores: answers, rated answers, and the sums of
-        the ratings and of their squares in thousandths. Empty without a judge.
+        For each bin of judge scores: answers, rated answers, and the sums of the ratings and
+        of their squares in thousandths. Empty without a judge.
     """
 
     requests: int = 0
@@ -118,21 +118,21 @@
     ratings: list[int] = msgspec.field(default_factory=lambda: [0] * len(GRID))
     judged: list[int] = msgspec.field(default_factory=list)
 
-    def add_answer(self, seen: AnswerObservation) -> None:
+    def add_answer(self, observation: AnswerObservation) -> None:
         """Count one answer."""
         self.requests += 1
-        self.failures += seen.failed
-        self.late += seen.late
-        self.output_tokens += seen.output_tokens
-        self.whole_ms += int(seen.duration_s * MILLI)
-        if seen.judge_score is not None:
-            self._add_judged(seen.judge_score, [1, 0, 0, 0])
+        self.failures += observation.failed
+        self.late += observation.late
+        self.output_tokens += observation.output_tokens
+        self.whole_ms += int(observation.duration_s * MILLI)
+        if observation.judge_score is not None:
+            self._add_judged(observation.judge_score, [1, 0, 0, 0])
 
     def add_rating(self, quality: float, source: random.Random, score: float | None = None) -> None:
         """Count one rating, rounded at random to a neighbouring grid point.
 
-        The random rounding keeps the mean exact, so that tests of the mean
-        stay valid; rounding to the nearest point would shift it by up to 1/32.
+        Random rounding leaves the expected mean unchanged, so that tests of the mean stay
+        valid. Rounding to the nearest point would shift the mean by up to 1/32.
         """
         scaled = min(1.0, max(0.0, quality)) * GRID_STEPS
         below = min(GRID_STEPS - 1, math.floor(scaled))
@@ -142,19 +142,19 @@
             self._add_judged(score, [0, 1, *sums])
 
     def plus(self, other: "Evidence") -> "Evidence":
-        """Return the sum with another one."""
+        """Return the sum of both counters."""
         return self._combine(other, 1)
 
     def minus(self, other: "Evidence") -> "Evidence":
-        """Return what came since an earlier state."""
+        """Return the difference from an earlier state."""
         return self._combine(other, -1)
 
     def _add_judged(self, score: float, counts: list[int]) -> None:
         if not self.judged:
             self.judged = [0] * (JUDGE_BINS * BIN_FIELDS)
-        place = min(JUDGE_BINS - 1, max(0, int(score * JUDGE_BINS))) * BIN_FIELDS
+        start = min(JUDGE_BINS - 1, max(0, int(score * JUDGE_BINS))) * BIN_FIELDS
         for offset, count in enumerate(counts):
-            self.judged[place + offset] += count
+            self.judged[start + offset] += count
 
     def _combine(self, other: "Evidence", sign: int) -> "Evidence":
         ratings = [a + sign * b for a, b in zip(self.ratings, other.ratings, strict=True)]
@@ -183,15 +183,15 @@
     Attributes
     ----------
     schema : int
-        Version of this form.
-    members : int
-        Sum of the members' hashes: it changes when a host comes, goes or restarts.
+        Version of the encoding.
+    members_hash : int
+        Sum of the hashes of the hosts; it changes when a host joins, leaves or restarts.
     cells : dict of int to Evidence
-        By ``CellKey.number``.
+        By ``CellKey.hash``.
     """
 
     schema: int
-    members: int
+    members_hash: int
     cells: dict[int, Evidence]
 
 
@@ -199,38 +199,38 @@
 _decoder = msgspec.msgpack.Decoder(EvidenceSummary)
 
 
-def hash_member(host: str, incarnation: int) -> int:
-    """Return a host's part in ``EvidenceSummary.members``."""
+def hash_host(host: str, incarnation: int) -> int:
+    """Return a host's term in ``EvidenceSummary.members_hash``."""
     digest = hashlib.blake2b(f"{host}\0{incarnation}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
-def encode_summary(members: int, cells: Mapping[int, Evidence]) -> bytes:
-    """Return the bytes of a summary."""
-    return _encoder.encode(EvidenceSummary(SCHEMA, members, dict(cells)))
+def encode_summary(members_hash: int, cells: Mapping[int, Evidence]) -> bytes:
+    """Return the encoded summary."""
+    return _encoder.encode(EvidenceSummary(SUMMARY_SCHEMA, members_hash, dict(cells)))
 
 
 def decode_summary(data: bytes) -> EvidenceSummary | None:
-    """Read the bytes of a summary; None when this program can't."""
+    """Decode a summary; None when it is malformed or of another schema."""
     try:
         summary = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None
-    if summary.schema != SCHEMA:
+    if summary.schema != SUMMARY_SCHEMA:
         return None
     return summary
 
 
 def merge_summaries(payloads: Sequence[bytes]) -> bytes:
-    """Add up summaries; the order makes no difference."""
-    members = 0
+    """Add up summaries. The result doesn't depend on their order."""
+    members_hash = 0
     cells: dict[int, Evidence] = {}
     for summary in filter(None, map(decode_summary, payloads)):
-        members = (members + summary.members) % MEMBERS_MODULUS
-        for number, evidence in summary.cells.items():
-            known = cells.get(number)
-            cells[number] = evidence if known is None else known.plus(evidence)
-    return encode_summary(members, cells)
+        members_hash = (members_hash + summary.members_hash) % MEMBERS_MODULUS
+        for cell_hash, evidence in summary.cells.items():
+            total = cells.get(cell_hash)
+            cells[cell_hash] = evidence if total is None else total.plus(evidence)
+    return encode_summary(members_hash, cells)
 
 
 EVIDENCE_TOPIC = SummaryTopic("evidence", merge_summaries)
@@ -238,18 +238,18 @@
 
 @dataclass
 class AgedEvidence:
-    """Evidence in which the old counts less.
+    """Counters that decay exponentially, so that recent answers weigh more.
 
     Attributes
     ----------
     requests, failures, late, output_tokens : float
-        As in ``Evidence``, each halved with every half-life.
+        As in ``Evidence``, halved with every half-life.
     awaited : float
-        Answers handed in of which no rating came yet, halved likewise.
+        Answers sent to the rating service whose rating has not arrived, halved likewise.
     whole_ms : float
         As in ``Evidence``, halved likewise.
     ratings, judged : list of float
-        Likewise.
+        As in ``Evidence``, halved likewise.
     """
 
     requests: float = 0.0
@@ -262,7 +262,7 @@
     ratings: list[float] = field(default_factory=lambda: [0.0] * len(GRID))
 
     def add(self, delta: Evidence) -> None:
-        """Add what came."""
+        """Add new counts."""
         self.requests += delta.requests
         self.failures += delta.failures
         self.late += delta.late
@@ -277,28 +277,29 @@
                 self.ratings[index] += count
 
     def decay(self, answers_factor: float, awaited_factor: float, ratings_factor: float) -> None:
-        """Weigh all that is there less."""
+        """Multiply the counters by their decay factors."""
         self.requests *= answers_factor
         self.failures *= answers_factor
         self.late *= answers_factor
         self.output_tokens *= answers_factor
         self.awaited *= awaited_factor
         self.whole_ms *= answers_factor
-        # How many answers a cut accepts must be known of the present, like their time.
+        # The fraction of answers that a cutoff accepts must be recent, like their durations, so
+        # the counts of answers in the bins decay with the answers.
         self.judged = [
-            count * (ratings_factor if place % BIN_FIELDS else answers_factor)
-            for place, count in enumerate(self.judged)
+            count * (ratings_factor if index % BIN_FIELDS else answers_factor)
+            for index, count in enumerate(self.judged)
         ]
         self.ratings = [count * ratings_factor for count in self.ratings]
 
     @property
     def rated(self) -> float:
-        """Weight of the ratings."""
+        """Sum of the weights of the ratings."""
         return sum(self.ratings)
 
     @property
     def mean_quality(self) -> float | None:
-        """Mean rating; None without any."""
+        """Mean rating; None without ratings."""
         rated = self.rated
         if rated <= 0.0:
             return None
--- a/poplarrun/versions/_judges.py
+++ b/poplarrun/versions/_judges.py
@@ -1,4 +1,4 @@
-"""Judges: a score of an answer that is there at once, when no rating can be."""
+"""Judges score an answer as soon as it ends, before any rating can arrive."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JudgedAnswer:
-    """What a judge sees of a finished answer.
+    """A finished answer, as a judge receives it.
 
     Attributes
     ----------
     request_id : str
         The request's id.
     confidence : float, optional
-        The engine's own mean token probability, where it gives one.
+        The mean token probability that the engine reports, if any.
     """
 
     request_id: str
@@ -22,14 +22,14 @@
 
 
 class Judge(Protocol):
-    """Scores answers on the loop, so it may only look at what is at hand."""
+    """Scores answers on the event loop, so ``score`` must not block or call other services."""
 
     def score(self, answer: JudgedAnswer) -> float | None:
-        """Return a score from 0 to 1; None when nothing can be told."""
+        """Return a score from 0 to 1; None when the answer can't be scored."""
 
 
 class ConfidenceJudge:
-    """Takes the engine's confidence for the score."""
+    """Uses the engine's confidence as the score."""
 
     def score(self, answer: JudgedAnswer) -> float | None:
         """Return the engine's confidence."""
@@ -37,7 +37,7 @@
 
 
 class MemoryJudge:
-    """A ``Judge`` with given scores, for tests.
+    """A ``Judge`` that returns preset scores, for tests.
 
     Parameters
     ----------
@@ -49,5 +49,5 @@
         self._scores = scores
 
     def score(self, answer: JudgedAnswer) -> float | None:
-        """Return the given score."""
+        """Return the preset score of the request."""
         return self._scores.get(answer.request_id)
--- a/poplarrun/versions/_plans.py
+++ b/poplarrun/versions/_plans.py
@@ -1,4 +1,4 @@
-"""The ways to serve a class: one version, a mixture of two, or a cascade."""
+"""Plans for serving a class: a single version, a mixture of two, or a cascade."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -8,35 +8,35 @@
 from poplarrun.versions._cells import Estimate, Standing
 from poplarrun.versions._evidence import CellKey
 
-# A version is mixed in only once its quality is known this closely.
-LARGEST_RADIUS = 0.04
-# Whole answers that take longer than this multiple of the mean are rare.
-SLOWEST_TO_MEAN = 1.5
-# Rated escalated answers from which on they are believed.
-LEAST_ESCALATED = 15.0
+# Largest confidence radius of an undecided version that may take part in a mixture.
+MAX_MIXTURE_RADIUS = 0.04
+# Answers rarely take longer than this multiple of the mean duration.
+SLOWEST_TO_MEAN_RATIO = 1.5
+# Ratings of escalated answers from which on their estimate is used.
+MIN_ESCALATED_RATINGS = 15.0
 
 
 @dataclass(slots=True)
 class Option:
-    """A version that a client account may use, as it stands in a class.
+    """A version that a client account may use for a class.
 
     Attributes
     ----------
-    tokens : float
+    expected_output_tokens : float
         Expected length of its answer.
-    ruled_out : str
+    exclusion : str
         Why it may not answer alone; empty when it may.
     label : str
-        Its version and standing, for ``explain``.
+        Its id and standing, for ``explain``.
     cost : float
-        Expected cost of the request at hand.
+        Expected cost of the current request, in account currency.
     """
 
     version: Version
     key: CellKey
     estimate: Estimate
-    tokens: float
-    ruled_out: str = ""
+    expected_output_tokens: float
+    exclusion: str = ""
     label: str = ""
     cost: float = 0.0
 
@@ -46,7 +46,7 @@
     """One version answers."""
 
     option: Option
-    why: str
+    reason: str
 
     @property
     def cost(self) -> float:
@@ -56,16 +56,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Mixture:
-    """Requests divided between a doubtful version and a good one that covers it."""
+    """Requests divided at random between an undecided version and a good one."""
 
-    doubtful: Option
-    cover: Option
-    share: float
+    undecided: Option
+    good: Option
+    undecided_fraction: float
 
     @property
     def cost(self) -> float:
         """Expected cost."""
-        return self.share * self.doubtful.cost + (1.0 - self.share) * self.cover.cost
+        return (
+            self.undecided_fraction * self.undecided.cost
+            + (1.0 - self.undecided_fraction) * self.good.cost
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +77,7 @@
 
     first: Option
     second: Option
-    cut: ScoreCutoff
+    cutoff: ScoreCutoff
     cost: float
 
 
@@ -84,21 +87,24 @@
 def find_mixtures(
     usable: Sequence[Option], good: Sequence[Option], target: float
 ) -> Iterator[Mixture]:
-    """Give the mixtures of an undecided and a good version that meet a target.
+    """Yield the mixtures of an undecided and a good version that meet a target.
 
-    A version that can't be told from the target serves as large a share of the
-    requests as the surplus of a good one makes up for, counted from the lower
-    ends of both intervals. A version that is shown poor is never mixed in.
+    The undecided version serves the largest fraction of the requests for which the good one's
+    surplus makes up, counted from the lower bounds of both confidence intervals. A version
+    that is shown poor never takes part.
     """
     for option in usable:
-        known = option.estimate
-        if known.standing is not Standing.UNDECIDED or known.confidence_radius > LARGEST_RADIUS:
+        estimate = option.estimate
+        if (
+            estimate.standing is not Standing.UNDECIDED
+            or estimate.confidence_radius > MAX_MIXTURE_RADIUS
+        ):
             continue
-        doubt = target - lower_end(option)
-        for cover in good:
-            if option.cost < cover.cost:
-                surplus = lower_end(cover) - target
-                yield Mixture(option, cover, surplus / (surplus + doubt))
+        deficit = target - quality_lower_bound(option)
+        for good_option in good:
+            if option.cost < good_option.cost:
+                surplus = quality_lower_bound(good_option) - target
+                yield Mixture(option, good_option, surplus / (surplus + deficit))
 
 
 def find_cascades(
@@ -107,49 +113,51 @@
     targets: Targets,
     find_escalated: Callable[[Option], Estimate],
 ) -> Iterator[Cascade]:
-    """Give the cascades that meet the targets of a class.
+    """Yield the cascades that meet the targets of a class.
 
-    The first answer is held back until it is judged, so that a caller never
-    sees two. A class whose first token may not wait so long gets none.
+    The first answer is buffered until it is judged, so that a caller never receives two. A
+    class whose target for the first token is shorter than that gets no cascades.
     """
     for first in options:
-        if first.ruled_out not in ("", "quality") or not first.estimate.cutoffs:
+        if first.exclusion not in ("", "quality") or not first.estimate.cutoffs:
             continue
-        if not is_quick(first.estimate, targets):
+        if not fits_first_token_target(first.estimate, targets):
             continue
         for second in good:
             if second.cost <= first.cost:
                 continue
-            escalated = _escalated_lower(find_escalated(second))
-            step = SecondStep(lower_end(second), escalated, second.cost)
-            found = find_cutoff(first.estimate.cutoffs, first.cost, step, targets.quality)
-            if found is not None:
-                yield Cascade(first, second, *found)
+            escalated = _escalated_lower_bound(find_escalated(second))
+            step = SecondStep(quality_lower_bound(second), escalated, second.cost)
+            cutoff_and_cost = find_cutoff(first.estimate.cutoffs, first.cost, step, targets.quality)
+            if cutoff_and_cost is not None:
+                yield Cascade(first, second, *cutoff_and_cost)
 
 
-def lower_end(option: Option) -> float:
-    """Return the lower end of a version's mean quality."""
+def quality_lower_bound(option: Option) -> float:
+    """Return the lower bound of a version's mean quality."""
     mean = option.estimate.mean_quality
     return 0.0 if mean is None else mean - option.estimate.confidence_radius
 
 
-def by_cost(option: Option) -> tuple[float, VersionId]:
-    """Order options by their cost."""
+def cost_order(option: Option) -> tuple[float, VersionId]:
+    """Return the sort key that orders options by cost, and equal costs by version."""
     return option.cost, option.version.id
 
 
-def describe(options: Sequence[Option]) -> list[str]:
+def describe_options(options: Sequence[Option]) -> list[str]:
     """Return a line for each option, for ``explain``."""
-    return [f"{o.label} cost={o.cost:.6f} {o.ruled_out or 'usable'}" for o in options]
+    return [f"{o.label} cost={o.cost:.6f} {o.exclusion or 'usable'}" for o in options]
 
 
-def is_quick(known: Estimate, targets: Targets) -> bool:
-    """Tell whether a whole first answer can be awaited before the caller's first token."""
-    slowest_s = None if known.answer_time_s is None else known.answer_time_s * SLOWEST_TO_MEAN
+def fits_first_token_target(estimate: Estimate, targets: Targets) -> bool:
+    """Tell whether a whole first answer ends within the target for the caller's first token."""
+    slowest_s = (
+        None if estimate.answer_time_s is None else estimate.answer_time_s * SLOWEST_TO_MEAN_RATIO
+    )
     return slowest_s is not None and slowest_s <= targets.first_token_s
 
 
-def _escalated_lower(known: Estimate) -> float | None:
-    if known.rating_weight < LEAST_ESCALATED or known.mean_quality is None:
+def _escalated_lower_bound(estimate: Estimate) -> float | None:
+    if estimate.rating_weight < MIN_ESCALATED_RATINGS or estimate.mean_quality is None:
         return None
-    return known.mean_quality - known.confidence_radius
+    return estimate.mean_quality - estimate.confidence_radius
--- a/poplarrun/versions/_rollouts.py
+++ b/poplarrun/versions/_rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-out records in the log, and the fold that all hosts share."""
+"""The roll-out records in the log, and the fold that every host applies to them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -13,23 +13,23 @@
 
 
 class BudgetGrant(msgspec.Struct, frozen=True, tag="granted"):
-    """More requests of a class may run on a version that is being rolled out.
+    """Grants more requests of a class to a version that is being rolled out.
 
     Attributes
     ----------
     id : str
         Unique id.
     work_class, version : str
-        What is rolled out where.
+        The version that is rolled out, and the class.
     number : int
-        Count of the roll-out's grants before this one. Two stewards that grant
-        at once write the same number, and the fold takes only the first, so
+        Count of the roll-out's grants before this one. Two rollout controllers that grant
+        at the same time write the same number, and the fold applies only the first, so
         that the budget isn't granted twice.
     stage : int
         The stage that this grant belongs to.
     shares : dict of str to int
-        Requests by holder (``name_holder``). A host that is not named has none,
-        so hosts that are cut off from each other never exceed the sum.
+        Requests by host process (``format_process_name``). A host that is not named may
+        send none, so hosts that can't reach each other never exceed the sum.
     """
 
     id: str
@@ -41,14 +41,14 @@
 
 
 class RolloutResult(msgspec.Struct, frozen=True, tag="settled"):
-    """A roll-out ended: the version serves its class, or never will.
+    """Ends a roll-out: the version serves its class from now on, or is rejected.
 
     Attributes
     ----------
     serves : bool
-        True: rolled out fully. False: rejected for this class.
+        True when it is fully rolled out, False when it is rejected for this class.
     reason : str
-        For operators.
+        Explanation for operators.
     """
 
     id: str
@@ -59,22 +59,25 @@
 
 
 class RolloutClosure(msgspec.Struct, frozen=True, tag="closed"):
-    """The version is no longer offered; offered anew it is rolled out anew."""
+    """Deletes the state of a version that is no longer offered.
+
+    Offered again, it is rolled out from the beginning.
+    """
 
     id: str
     version: str
 
 
 class RolloutSnapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The whole state, written again before old records are dropped.
+    """The whole state of the fold, written before the log drops old records.
 
     Attributes
     ----------
     id : str
         Unique id.
     read_to : int
-        Offset of the last record in it. Only a snapshot that stands right
-        behind that record counts: one that another record overtook would undo it.
+        Offset of the last record that it includes. The fold applies only a snapshot that
+        directly follows that record: one behind a further record would undo it.
     cells : list of (str, str, RolloutState)
         Class, version and state.
     """
@@ -85,18 +88,18 @@
 
 
 class RolloutState(msgspec.Struct, frozen=True):
-    """Where the roll-out of a version in a class stands.
+    """The state of the roll-out of a version in a class.
 
     Attributes
     ----------
     grants : int
-        Grants so far.
+        Number of grants so far.
     stage : int
-        Stage of the last one.
+        Stage of the last grant.
     shares : dict of str to int
-        Requests granted so far, by holder.
+        Requests granted so far, by host process.
     serves : bool
-        Rolled out fully.
+        Whether it is fully rolled out.
     rejected : str
         Why it is rejected; empty when it isn't.
     """
@@ -119,16 +122,16 @@
 _decoder: msgspec.json.Decoder[RolloutRecord] = msgspec.json.Decoder(
     BudgetGrant | RolloutResult | RolloutClosure | RolloutSnapshot
 )
-UNKNOWN = RolloutState()
+NOT_ROLLED_OUT = RolloutState()
 
 
 def encode_rollout(record: RolloutRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Return the encoded record."""
     return _encoder.encode(record)
 
 
 def decode_rollout(data: bytes) -> RolloutRecord | None:
-    """Read the bytes of a record; None when they are no roll-out record."""
+    """Decode a record; None when the bytes are no roll-out record."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError):
@@ -136,11 +139,11 @@
 
 
 def format_process_name(host: str, incarnation: int) -> str:
-    """Return the name under which a host holds a share.
+    """Return the name under which a host process receives shares.
 
-    A restarted host has forgotten what it used of its share. With the
-    incarnation in the name the share stays with the process that died, so that
-    no request is counted out twice.
+    A restarted host doesn't know how much of its share it has used. Because the name contains
+    the incarnation, the share stays with the process that died, and none of its requests is
+    granted twice.
     """
     return f"{host}/{incarnation}"
 
@@ -153,10 +156,10 @@
     ----------
     read_to : int
         Offset of the last record that was folded; -1 before the first.
-    is_whole : bool
+    is_complete : bool
         False after records were missed, until the next snapshot.
-    snapshot_at : int
-        Offset of the last snapshot that counted; -1 without one.
+    snapshot_offset : int
+        Offset of the last snapshot that was applied; -1 without one.
     states : mapping of CellKey to RolloutState
         One for each version and class that was ever granted or settled.
     """
@@ -167,74 +170,74 @@
     states: Mapping[CellKey, RolloutState] = field(default_factory=dict)
 
     def find(self, key: CellKey) -> RolloutState:
-        """Return where a version stands in a class."""
-        return self.states.get(key, UNKNOWN)
+        """Return the state of a version's roll-out in a class."""
+        return self.states.get(key, NOT_ROLLED_OUT)
 
     def snapshot(self, record_id: str) -> RolloutSnapshot:
-        """Return the record that repeats this state."""
+        """Return the snapshot record of this state."""
         cells = [(k.class_name, str(k.version), s) for k, s in self.states.items()]
         return RolloutSnapshot(record_id, self.read_to, cells)
 
     def apply_snapshot(self, snapshot: RolloutSnapshot) -> "RolloutTable":
-        """Return the state that a snapshot tells, unless this one is as new."""
+        """Return the state in a snapshot, or this one if it is at least as new."""
         if self.is_complete and snapshot.read_to <= self.read_to:
             return self
         states = {CellKey(c, VersionId.parse(v)): s for c, v, s in snapshot.cells}
         return RolloutTable(snapshot.read_to, True, self.snapshot_offset, states)
 
     def skip_to(self, horizon: int) -> "RolloutTable":
-        """Return the state after records below an offset were missed."""
+        """Return the state after records below an offset were dropped by the log."""
         return RolloutTable(horizon - 1, False)
 
 
 def fold_rollout(state: RolloutTable, entry: Entry) -> RolloutTable:
-    """Apply one record of the stream; repeats change nothing."""
+    """Apply one record of the stream; a repeated record changes nothing."""
     if entry.offset <= state.read_to:
         return state
     before, state = state, replace(state, read_to=entry.offset)
     match decode_rollout(entry.data):
         case RolloutSnapshot() as snapshot if snapshot.read_to == before.read_to:
-            whole = (
+            applied = (
                 state
                 if state.is_complete
                 else replace(before, is_complete=False).apply_snapshot(snapshot)
             )
-            return replace(whole, read_to=entry.offset, snapshot_offset=entry.offset)
+            return replace(applied, read_to=entry.offset, snapshot_offset=entry.offset)
         case _ if not state.is_complete:
             return state
         case BudgetGrant() as record:
             return _fold_grant(state, record)
         case RolloutResult() as record:
-            return _fold_settled(state, record)
+            return _fold_result(state, record)
         case RolloutClosure(version=version):
-            kept = {k: s for k, s in state.states.items() if str(k.version) != version}
-            return replace(state, states=kept)
+            remaining = {k: s for k, s in state.states.items() if str(k.version) != version}
+            return replace(state, states=remaining)
         case RolloutSnapshot() | None:
             return state
 
 
 def _fold_grant(state: RolloutTable, record: BudgetGrant) -> RolloutTable:
     key = CellKey(record.work_class, VersionId.parse(record.version))
-    known = state.find(key)
-    if known.rejected or known.serves or record.number != known.grants:
+    previous = state.find(key)
+    if previous.rejected or previous.serves or record.number != previous.grants:
         return state
-    shares = dict(known.shares)
+    shares = dict(previous.shares)
     for holder, share in record.shares.items():
         shares[holder] = shares.get(holder, 0) + share
     after = RolloutState(record.number + 1, record.stage, shares)
     return replace(state, states={**state.states, key: after})
 
 
-def _fold_settled(state: RolloutTable, record: RolloutResult) -> RolloutTable:
-    """End a roll-out; a rejection holds against a later success.
+def _fold_result(state: RolloutTable, record: RolloutResult) -> RolloutTable:
+    """Apply the end of a roll-out; a later success doesn't replace a rejection.
 
-    A steward that was cut off may report success on old evidence after another
-    one rejected the version; the rejection wins in either order.
+    A rollout controller that was partitioned may report success from old evidence after
+    another one rejected the version. The rejection prevails in either order.
     """
     key = CellKey(record.work_class, VersionId.parse(record.version))
-    known = state.find(key)
-    if known.rejected:
+    previous = state.find(key)
+    if previous.rejected:
         return state
     rejected = "" if record.serves else record.reason
-    after = RolloutState(known.grants, known.stage, known.shares, record.serves, rejected)
+    after = RolloutState(previous.grants, previous.stage, previous.shares, record.serves, rejected)
     return replace(state, states={**state.states, key: after})
