--- a/features/steps/config.py
+++ b/features/steps/config.py
@@ -69,7 +69,7 @@
     assert fold_all(context.log)[0].text == document_of("bob")
 
 
-@then('the publication of "{operator}" stands in force once')
+@then('the publication of "{operator}" is accepted once')
 def step_once(context, operator):
     state, verdicts = fold_all(context.log)
     entries = context.log.read(CONFIG_STREAM, 0, 10).entries
@@ -100,7 +100,7 @@
     context.folds = [fold_all(context.log, size) for size in (1, 7, 500)]
 
 
-@then("they hold the same offset and document")
+@then("they have the same offset and document")
 def step_same(context):
     states = [state for state, _ in context.folds]
     assert states[0].offset > 0
--- a/features/steps/config_follow.py
+++ b/features/steps/config_follow.py
@@ -26,7 +26,7 @@
 
 
 class ReachableLog:
-    """A host's own way to the log, which can be cut."""
+    """A host's connection to the log, which can be cut."""
 
     def __init__(self, log):
         self.log = log
@@ -39,8 +39,8 @@
         return ReadFailed("cut") if self.cut else self.log.read(stream, from_offset, limit)
 
 
-class WatchedLog(ReachableLog):
-    """Notes the time of each read."""
+class TimedLog(ReachableLog):
+    """Records the time of each read."""
 
     def __init__(self, log, clock, reads):
         super().__init__(log)
@@ -58,14 +58,14 @@
 
 def start_follower(context, name):
     peers = context.virtual.peers[name]
-    context.ways.setdefault(name, WatchedLog(context.log, context.loop.time, context.reads))
+    context.connections.setdefault(name, TimedLog(context.log, context.loop.time, context.reads))
     context.offsets[name] = []
 
     def note(state, _):
         context.offsets[name].append(state.offset)
 
     follower = ConfigFollower(
-        context.ways[name],
+        context.connections[name],
         peers,
         context.virtual.metrics[name],
         call_here,
@@ -96,7 +96,7 @@
 @given("{zones:d} zones of {hosts:d} hosts that follow a log")
 def step_followers(context, zones, hosts):
     start_fleet(context, zones, hosts)
-    context.log, context.ways, context.keys = MemoryLog(), {}, OperatorKeys()
+    context.log, context.connections, context.keys = MemoryLog(), {}, OperatorKeys()
     context.followers, context.offsets, context.reads = {}, {}, []
     context.accepted = -1
     for name in context.virtual.peers:
@@ -105,7 +105,8 @@
 
 @given('operators "{name}" with keys')
 def step_keys(context, name):
-    # Hosts take keys from their settings at the start, which the first publication precedes.
+    # Hosts read keys from their settings at the start. Here they are set later, because the first
+    # publication is unsigned.
     context.keys = OperatorKeys({name: (b"an older key of hers", KEY), "system": (b"hosts",)})
     for follower in context.followers.values():
         follower._keys = context.keys
@@ -172,16 +173,16 @@
     del context.log._streams[CONFIG_STREAM].records[-count:]
 
 
-@when('the log is out of reach of "{hosts}"')
+@when('the log is unreachable from "{hosts}"')
 def step_cut_log(context, hosts):
     for name in names(hosts):
-        context.ways[name].cut = True
+        context.connections[name].cut = True
 
 
-@when('the log is in reach of "{hosts}"')
+@when('the log is reachable again from "{hosts}"')
 def step_reach_log(context, hosts):
     for name in names(hosts):
-        context.ways[name].cut = False
+        context.connections[name].cut = False
 
 
 @when('host "{name}" loses all peers')
@@ -200,12 +201,12 @@
     context.log.down = True
 
 
-@when("all is healed")
-def step_all_healed(context):
+@when("all faults are cleared")
+def step_faults_cleared(context):
     context.log.down = False
     context.virtual.network.heal()
-    for way in context.ways.values():
-        way.cut = False
+    for connection in context.connections.values():
+        connection.cut = False
 
 
 @when('host "{name}" is replaced')
@@ -249,16 +250,18 @@
     assert is_in_force(context, name, names(hosts))
 
 
-@then("the log was read at most {most:d} times a second, and never left alone for {pause_s:g} s")
-def step_turns(context, most, pause_s):
+@then(
+    "the log was read at most {max_reads:d} times a second, with no pause of {pause_s:g} s or more"
+)
+def step_shared_polling(context, max_reads, pause_s):
     end = context.loop.time()
     reads = [at for at in context.reads if at >= end - 60.0]
-    assert len(reads) <= most * 60, len(reads)
+    assert len(reads) <= max_reads * 60, len(reads)
     assert max(b - a for a, b in itertools.pairwise(reads)) < pause_s
 
 
-@then("no offset ever fell at any host")
-def step_never_fell(context):
+@then("the offset never decreased at any host")
+def step_never_decreased(context):
     for name, offsets in context.offsets.items():
         assert offsets == sorted(offsets), (name, offsets)
 
@@ -268,8 +271,8 @@
     assert events(context, name, event) > 0
 
 
-class KeptLines(logging.Handler):
-    """Keeps the messages."""
+class RecordedLines(logging.Handler):
+    """Records the messages of log lines."""
 
     def __init__(self):
         super().__init__()
@@ -279,16 +282,16 @@
         self.lines.append(record.getMessage())
 
 
-@given("the host's log lines are kept")
-def step_keep_lines(context):
+@given("the host's log lines are recorded")
+def step_record_lines(context):
     logger = logging.getLogger(ROOT_NAME)
-    context.kept = KeptLines()
+    context.recorded = RecordedLines()
     context.add_cleanup(logger.setLevel, logger.level)
-    context.add_cleanup(logger.removeHandler, context.kept)
+    context.add_cleanup(logger.removeHandler, context.recorded)
     logger.setLevel(logging.INFO)
-    logger.addHandler(context.kept)
+    logger.addHandler(context.recorded)
 
 
-@then('the kept lines are "{lines}"')
-def step_kept_lines(context, lines):
-    assert context.kept.lines == lines.split("; "), context.kept.lines
+@then('the recorded lines are "{lines}"')
+def step_recorded_lines(context, lines):
+    assert context.recorded.lines == lines.split("; "), context.recorded.lines
--- a/poplarrun/config/__init__.py
+++ b/poplarrun/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: publications in the log, the fold that accepts them, and following it."""
+"""Configuration: its records in the log, the fold that accepts them, and the follower."""
 
 from poplarrun.config._fold import (
     Accepted,
--- a/poplarrun/config/_fold.py
+++ b/poplarrun/config/_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the configuration stream: the same verdict on every host."""
+"""The fold of the configuration stream, which gives the same verdicts on every host."""
 
 from dataclasses import dataclass, replace
 
@@ -15,19 +15,20 @@
 from poplarrun.contracts import Document, DocumentProblems, VersionId, VersionStage, parse_document
 from poplarrun.log import Entry, Gap
 
-SEEN_RECORDS = 256
+# Ids of folded records that are remembered to recognize repeats.
+MAX_SEEN_IDS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The record is in force from this offset on."""
+    """The record has taken effect at this offset."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The publication was based on an offset that is no longer the accepted one."""
+    """The publication was based on another offset than that of the accepted publication."""
 
     based_on: int
     accepted: int
@@ -35,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The publication's document has faults."""
+    """The publication's document is invalid."""
 
     problems: DocumentProblems
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The record is not signed by a known operator key."""
+    """The record has no valid signature of a known operator key."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ignored:
-    """A repeat of a folded record, or bytes that are none."""
+    """The record has no effect, such as a repeated or an undecodable one."""
 
     reason: str
 
@@ -69,12 +70,12 @@
     entry : Entry
         The record; one at or below ``state.read_to`` changes nothing.
     keys : OperatorKeys
-        Whose signatures count; the same at every host.
+        Keys whose signatures are accepted; they must be the same on every host.
 
     Returns
     -------
     tuple of Configuration and Verdict
-        The state after the record, and what became of it.
+        The state after the record, and the verdict on the record.
     """
     if entry.offset <= state.read_to:
         return state, Ignored("already folded")
@@ -88,12 +89,12 @@
         case Snapshot():
             return _fold_snapshot(state, record, entry.offset, keys)
         case Filler():
-            return state, Ignored("a filler")
+            return state, Ignored("filler record")
     if not state.anchored and not _replaces_anything(record):
-        return state, Ignored("records before it are gone and no snapshot was read yet")
+        return state, Ignored("earlier records were dropped and no snapshot has been read yet")
     if record.id in state.seen:
-        return state, Ignored("a repeat")
-    state = replace(state, seen=(*state.seen, record.id)[-SEEN_RECORDS:])
+        return state, Ignored("repeated record")
+    state = replace(state, seen=(*state.seen, record.id)[-MAX_SEEN_IDS:])
     match record:
         case Publication():
             return _fold_publication(state, record, entry)
@@ -102,10 +103,10 @@
 
 
 def fold_gap(state: Configuration, gap: Gap) -> Configuration:
-    """Go on behind records that retention dropped before they were read.
+    """Continue behind records that retention dropped before they were read.
 
-    What is in force stays so. Publications behind the gap can't be judged,
-    because what they are based on was missed; a snapshot decides.
+    The configuration stays in force. Publications behind the gap can't be checked, because the
+    publications that they are based on were missed; the next snapshot resolves this.
     """
     return replace(state, read_to=max(state.read_to, gap.horizon - 1), anchored=False)
 
@@ -113,10 +114,10 @@
 def apply_snapshot(
     state: Configuration, snapshot: Snapshot, keys: OperatorKeys = NO_KEYS
 ) -> Configuration | None:
-    """Return the state of a snapshot; None when it is not newer than the own one.
+    """Return the state of a snapshot; None when it is not newer than the current one.
 
-    A host never takes up a lower offset: a stale peer or an old snapshot
-    would bring back a document that operators have replaced.
+    A host never goes back to a lower offset, because a stale peer or an old snapshot
+    would reactivate a document that operators have replaced.
     """
     lowest = state.offset + 1 if state.anchored else state.offset
     if snapshot.offset < max(0, lowest) or snapshot.read_to < snapshot.offset:
@@ -128,10 +129,10 @@
     state: Configuration, snapshot: Snapshot, offset: int, keys: OperatorKeys
 ) -> tuple[Configuration, Verdict]:
     if snapshot.read_to != offset - 1:
-        return state, Ignored("a snapshot that does not follow directly")
+        return state, Ignored("snapshot does not directly follow the last record it includes")
     adopted = apply_snapshot(state, snapshot, keys)
     if adopted is None:
-        return state, Ignored("a snapshot of what is known")
+        return state, Ignored("snapshot is not newer than the current state")
     return replace(adopted, read_to=offset), Accepted(adopted.offset)
 
 
@@ -150,7 +151,7 @@
                 document=document,
                 text=record.document,
                 publication=entry.data,
-                withdrawn=frozenset(v for v in state.withdrawn if _still_offered(document, v)),
+                withdrawn=frozenset(v for v in state.withdrawn if _is_still_offered(document, v)),
                 anchored=True,
             )
             return accepted, Accepted(entry.offset)
@@ -162,8 +163,8 @@
     try:
         version = VersionId.parse(record.version)
     except ValueError:
-        # One such record would otherwise stop the fold of every host for good.
-        return state, Ignored("a withdrawal of no version")
+        # An uncaught error here would stop the fold on every host permanently.
+        return state, Ignored("withdrawal does not name a version")
     return replace(state, withdrawn=state.withdrawn | {version}), Accepted(offset)
 
 
@@ -171,12 +172,12 @@
     return isinstance(record, Publication) and record.based_on == BASED_ON_ANYTHING
 
 
-def _still_offered(document: Document, version: VersionId) -> bool:
-    """Tell whether a system withdrawal outlives a publication.
+def _is_still_offered(document: Document, version: VersionId) -> bool:
+    """Tell whether a publication still offers a version, so that its withdrawal remains.
 
-    A publication that still offers the version says nothing about the
-    withdrawal: most change something else. Dropping the withdrawal there
-    would send callers to a bad version after any unrelated change.
+    Most publications change something else. Dropping the system's withdrawal with every
+    publication that offers the version would send callers to a bad version after an unrelated
+    change.
     """
     offered = document.versions.get(version)
     return offered is not None and offered.stage is VersionStage.OFFERED
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -1,4 +1,4 @@
-"""Keeps one host's configuration at the newest accepted offset."""
+"""Follows the configuration stream, so that a host has the newest accepted publication."""
 
 import random
 import time
@@ -31,37 +31,38 @@
 from poplarrun.metrics import Metrics
 from poplarrun.rendezvous import rank_hosts
 
-_notes = part_logger("config")
-ANNOUNCEMENT = "config"
-ASKED_PEERS = 2
-ASK_TIMEOUT_S = 1.0
-SNAPSHOT_PERIOD_S = 3600.0
-SNAPSHOT_RECORDS = 200
-# At most one append of a snapshot in this time, whatever asks for it.
-SNAPSHOT_PAUSE_S = 10.0
-# A log that still ends below the own offset after this time was restored.
-RESTORED_AFTER_S = 2.0
-FILLERS_AT_ONCE = 20
+_logger = part_logger("config")
+ANNOUNCEMENT_KEY = "config"
+MAX_QUERIED_PEERS = 2
+PEER_TIMEOUT_S = 1.0
+# A snapshot is due after this time, or after this many records.
+SNAPSHOT_INTERVAL_S = 3600.0
+MAX_RECORDS_SINCE_SNAPSHOT = 200
+# Minimum time between two attempts to write a snapshot, for whatever reason.
+MIN_SNAPSHOT_INTERVAL_S = 10.0
+# A log that still ends below the offset already read after this time was restored from a backup.
+RESTORE_DETECTION_DELAY_S = 2.0
+MAX_FILLERS_PER_ROUND = 20
 
-Run = Callable[..., Awaitable[Any]]
+RunBlocking = Callable[..., Awaitable[Any]]
 
 
 class ConfigFollower:
-    """Reads the log, or a peer while the log is out of reach, and folds.
+    """Reads records from the log, or from peers while the log is unreachable, and folds them.
 
     Attributes
     ----------
     poll : StreamPoll
-        Paces ``follow``.
+        Schedules the rounds of ``follow``.
 
     Parameters
     ----------
     log : Log
-        The platform's log; its calls are made with ``run``.
+        The platform's log; its blocking calls are made through ``run``.
     peers : Peers
         The other hosts.
     run : callable
-        Runs a blocking call on some thread and is awaited.
+        Coroutine function that runs a blocking call on a thread.
     on_fold : callable
         Called with each new state and the verdict that led to it.
     """
@@ -71,7 +72,7 @@
         log: Log,
         peers: Peers,
         metrics: Metrics,
-        run: Run,
+        run: RunBlocking,
         on_fold: Callable[[Configuration, Verdict], None],
         source: random.Random,
         clock: Callable[[], float] = time.monotonic,
@@ -91,60 +92,63 @@
         self._keys = keys
         self._reader = StreamReader(log, CONFIG_STREAM)
         self._cache = RecordCache()
-        self.poll = StreamPoll(peers, ANNOUNCEMENT, lambda: self.state.read_to, source)
+        self.poll = StreamPoll(peers, ANNOUNCEMENT_KEY, lambda: self.state.read_to, source)
         self._snapshot = Snapshot("", -1, -1, wall_clock(), b"", b"")
-        self._snapshot_at = -1
-        self._snapshot_tried_at = clock() - SNAPSHOT_PAUSE_S
-        self._behind_since: float | None = None
-        self._bring_forward = False
-        self._log_failed = False
-        peers.serve(SHARE_KIND, self._share)
+        self._snapshot_offset = -1
+        self._snapshot_attempted_at = clock() - MIN_SNAPSHOT_INTERVAL_S
+        self._log_behind_since: float | None = None
+        self._is_snapshot_forced = False
+        self._has_log_failed = False
+        peers.serve(SHARE_KIND, self._handle_share_request)
 
     async def follow(self) -> None:
-        """Do one round: read, ask peers where needed, write a snapshot where due."""
+        """Run one round: read the log, query peers if needed, and write a snapshot if due."""
         await self._read_log()
         if self._needs_peers():
-            await self._ask_peers()
-        await self._tend_log()
+            await self._query_peers()
+        await self._maintain_log()
 
     async def wait(self) -> None:
         """Wait for the next round."""
         await self.poll.wait(self._needs_peers())
 
-    async def _share(self, _: str, payload: bytes) -> bytes:
-        return self._cache.answer(payload, self.state)
+    async def _handle_share_request(self, _: str, payload: bytes) -> bytes:
+        return self._cache.handle_request(payload, self.state)
 
     async def _read_log(self) -> None:
         self._reader.next_offset = self.state.read_to + 1
         match await self._run(self._reader.read_new):
             case ReadFailed(reason=reason):
-                if not self._log_failed:
-                    _notes.warning("The log does not answer.", extra={"reason": reason})
-                self._log_failed = True
+                if not self._has_log_failed:
+                    _logger.warning(
+                        "The configuration log cannot be read, so peers are queried.",
+                        extra={"reason": reason},
+                    )
+                self._has_log_failed = True
                 self._metrics.count_event("log_read_failed")
             case Gap() as gap:
-                self._note_answer()
+                self._record_log_read()
                 self._metrics.count_event("log_gap")
                 self.state = fold_gap(self.state, gap)
             case entries:
-                self._note_answer()
-                self._note_end()
+                self._record_log_read()
+                self._check_log_end()
                 self._fold(entries)
                 if self._reader.next_offset < self._reader.end:
                     self.poll.wake()
 
-    def _note_answer(self) -> None:
-        if self._log_failed:
-            _notes.info("The log answers again.")
-        self._log_failed = False
+    def _record_log_read(self) -> None:
+        if self._has_log_failed:
+            _logger.info("The configuration log can be read again.")
+        self._has_log_failed = False
         self.log_read_at = self._clock()
 
-    def _note_end(self) -> None:
-        """Watch for a log that ends below what was already read from it."""
+    def _check_log_end(self) -> None:
+        """Detect a log that ends below the offset that was already read from it."""
         if self._reader.end > self.state.read_to:
-            self._behind_since = None
-        elif self._behind_since is None:
-            self._behind_since = self._clock()
+            self._log_behind_since = None
+        elif self._log_behind_since is None:
+            self._log_behind_since = self._clock()
             self._metrics.count_event("log_ends_below_read_offset")
 
     def _fold(self, entries: tuple[Entry, ...]) -> None:
@@ -154,45 +158,45 @@
                 continue
             self.state, verdict = fold_entry(self.state, entry, self._keys)
             self._cache.add(entry)
-            self._note_snapshot(entry)
+            self._record_snapshot(entry)
             self._on_fold(self.state, verdict)
         if self.state.read_to > before:
             self.poll.announce()
 
-    def _note_snapshot(self, entry: Entry) -> None:
+    def _record_snapshot(self, entry: Entry) -> None:
         match decode_signed_record(entry.data, self._keys):
             case Snapshot(read_to=read_to) as snapshot if read_to == entry.offset - 1:
-                self._snapshot, self._snapshot_at = snapshot, entry.offset
+                self._snapshot, self._snapshot_offset = snapshot, entry.offset
 
     def _needs_peers(self) -> bool:
-        announced = self._peers.announced(ANNOUNCEMENT) > self.state.read_to
-        return self._log_failed or announced or not self.state.anchored
+        announced = self._peers.announced(ANNOUNCEMENT_KEY) > self.state.read_to
+        return self._has_log_failed or announced or not self.state.anchored
 
-    async def _ask_peers(self) -> None:
+    async def _query_peers(self) -> None:
         me = self._peers.me
         others = [p for p in self._peers.live() if p.name != me.name]
         self._random.shuffle(others)
-        # The own zone first: its answers cross no link between zones.
+        # Peers of the own zone come first, because their answers don't cross zones.
         others.sort(key=lambda peer: peer.zone != me.zone)
         chosen = others[:1] + self._random.sample(others[1:], min(1, len(others[1:])))
-        for peer in chosen[:ASKED_PEERS]:
+        for peer in chosen[:MAX_QUERIED_PEERS]:
             request = ShareRequest(self.state.read_to + 1, self.state.anchored)
             payload = msgspec.msgpack.encode(request)
-            answer = await self._peers.ask(peer.name, SHARE_KIND, payload, ASK_TIMEOUT_S)
+            answer = await self._peers.ask(peer.name, SHARE_KIND, payload, PEER_TIMEOUT_S)
             if not isinstance(answer, PeerSilent):
-                self._take_answer(decode_share_answer(answer))
+                self._apply_answer(decode_share_answer(answer))
 
-    def _take_answer(self, answer: ShareAnswer | None) -> None:
+    def _apply_answer(self, answer: ShareAnswer | None) -> None:
         if answer is None:
             self._metrics.count_event("config_answer_malformed")
             return
         if answer.snapshot is not None:
-            self._take_snapshot(answer.snapshot)
+            self._apply_snapshot(answer.snapshot)
         elif answer.records and answer.records[0][0] == self.state.read_to + 1:
             self._metrics.count_event("config_from_peer")
             self._fold(tuple(Entry(offset, data) for offset, data in answer.records))
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
         adopted = apply_snapshot(self.state, snapshot, self._keys)
         is_behind = self.state.anchored and snapshot.read_to <= self.state.read_to
         if adopted is None or is_behind:
@@ -202,49 +206,55 @@
         self._metrics.count_event("config_from_peer")
         self._on_fold(self.state, Accepted(adopted.offset))
 
-    async def _tend_log(self) -> None:
-        """Keep the log able to start a fresh host: one host of all does so."""
-        if self._log_failed or not self.state.anchored or self.state.offset < 0:
+    async def _maintain_log(self) -> None:
+        """Write snapshots and fillers for starting hosts; only the owner of this task does so."""
+        if self._has_log_failed or not self.state.anchored or self.state.offset < 0:
             return
         if rank_hosts("config/snapshots", [p.name for p in self._peers.live()])[0] != (
             self._peers.me.name
         ):
             return
         now = self._clock()
-        if self._behind_since is not None and now - self._behind_since >= RESTORED_AFTER_S:
+        if (
+            self._log_behind_since is not None
+            and now - self._log_behind_since >= RESTORE_DETECTION_DELAY_S
+        ):
             await self._append_fillers()
             return
-        if not self._is_snapshot_due() or now - self._snapshot_tried_at < SNAPSHOT_PAUSE_S:
+        if (
+            not self._is_snapshot_due()
+            or now - self._snapshot_attempted_at < MIN_SNAPSHOT_INTERVAL_S
+        ):
             return
-        self._snapshot_tried_at = now
-        self._bring_forward = False
+        self._snapshot_attempted_at = now
+        self._is_snapshot_forced = False
         snapshot = make_snapshot(self.state, uuid.uuid4().hex, self._wall_clock())
         self._metrics.count_event("config_snapshot_written")
         await self._append(snapshot)
 
     def _is_snapshot_due(self) -> bool:
-        if self._bring_forward:
+        if self._is_snapshot_forced:
             return True
-        if self.state.read_to - self._snapshot_at >= SNAPSHOT_RECORDS:
+        if self.state.read_to - self._snapshot_offset >= MAX_RECORDS_SINCE_SNAPSHOT:
             return True
         horizon, end = self._reader.horizon, self._reader.end
-        if horizon > 0 and self._snapshot_at - horizon < (end - horizon) / 2:
+        if horizon > 0 and self._snapshot_offset - horizon < (end - horizon) / 2:
             return True
         age_s = self._wall_clock() - self._snapshot.published_at
-        return age_s >= SNAPSHOT_PERIOD_S
+        return age_s >= SNAPSHOT_INTERVAL_S
 
     async def _append_fillers(self) -> None:
-        """Bring a restored log forward to the offset that the hosts have read to.
+        """Advance the end of a restored log to the offset that the hosts have read to.
 
-        Its offsets would else be given out a second time: hosts that read the
-        first records there would skip the new ones, and fresh hosts would not.
-        The snapshot that follows brings the hosts' state back into the log.
+        Otherwise its offsets would be assigned a second time: hosts that read the first records
+        there would skip the new ones, and starting hosts would not. The snapshot that follows
+        writes the hosts' state to the log again.
         """
-        highest = max(self.state.read_to, self._peers.announced(ANNOUNCEMENT))
+        highest = max(self.state.read_to, self._peers.announced(ANNOUNCEMENT_KEY))
         missing = highest + 1 - self._reader.end
-        self._bring_forward = True
-        self._snapshot_tried_at = self._clock() - SNAPSHOT_PAUSE_S
-        for _ in range(min(missing, FILLERS_AT_ONCE)):
+        self._is_snapshot_forced = True
+        self._snapshot_attempted_at = self._clock() - MIN_SNAPSHOT_INTERVAL_S
+        for _ in range(min(missing, MAX_FILLERS_PER_ROUND)):
             self._metrics.count_event("log_filler_written")
             await self._append(Filler(uuid.uuid4().hex))
 
--- a/poplarrun/config/_publications.py
+++ b/poplarrun/config/_publications.py
@@ -3,25 +3,25 @@
 import msgspec
 
 CONFIG_STREAM = "config"
-# ``based_on`` of a publication that replaces whatever is in force: for a log
-# that lost every record and every snapshot of the configuration.
+# Value of ``based_on`` for a publication that replaces any configuration in force, for use when
+# the log has lost every record and every snapshot of the configuration.
 BASED_ON_ANYTHING = -2
 
 
 class Publication(msgspec.Struct, frozen=True, tag="publication"):
-    """An operator's document.
+    """An operator's publication of a document.
 
     Attributes
     ----------
     id : str
-        Unique id; the fold drops repeats of it.
+        Unique id; the fold ignores repeated records with it.
     based_on : int
         Offset of the accepted publication that the operator started from; -1
         for the first.
     operator : str
-        Name for the audit.
+        Name of the operator, for audits.
     published_at : float
-        Seconds since the epoch, by the operator's clock; for people only.
+        Seconds since the epoch, by the operator's clock; informational.
     document : str
         The YAML text.
     """
@@ -34,10 +34,10 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, tag="withdrawal"):
-    """The system's own withdrawal of a version that turned bad.
+    """The system's own withdrawal of a version that has become bad.
 
-    It holds until an operator publishes a document that offers another
-    version, or the same one again after having withdrawn it.
+    It holds until an operator publishes a document that doesn't offer the version. Offered again
+    after that, the version is no longer withdrawn.
     """
 
     id: str
@@ -47,21 +47,21 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The whole state of the fold, re-published before retention drops its records.
+    """The whole state of the fold, written again before retention drops its records.
 
-    It counts only where it directly follows ``read_to``: a record that came
-    between would be missing from the state.
+    It is applied only where it directly follows ``read_to``, because a record between the two
+    would be missing from the state.
 
     Attributes
     ----------
     offset, read_to : int
         As in the state of the fold.
     published_at : float
-        Seconds since the epoch, by the writer's clock; paces the next one.
+        Seconds since the epoch, by the writer's clock; the next one is due an interval later.
     publication : bytes
-        The accepted publication's record as it stood in the log.
+        The accepted publication's record, byte for byte as in the log.
     state : bytes
-        The rest of the state.
+        The remaining fields of the state, encoded.
     """
 
     id: str
@@ -73,7 +73,7 @@
 
 
 class Filler(msgspec.Struct, frozen=True, tag="filler"):
-    """Means nothing; brings a log that was restored at a lower offset forward."""
+    """A record without content, which advances the end of a log that was restored from a backup."""
 
     id: str
 
@@ -85,12 +85,12 @@
 
 
 def encode_record(record: ConfigRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Return the encoded record."""
     return _encoder.encode(record)
 
 
 def decode_record(data: bytes) -> ConfigRecord | None:
-    """Read the bytes of a record; None when they are no configuration record."""
+    """Decode a record; None when the bytes are no configuration record."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/poplarrun/config/_reading.py
+++ b/poplarrun/config/_reading.py
@@ -1,4 +1,4 @@
-"""Reading the configuration stream to its end, over gaps."""
+"""Reads and folds the configuration stream to its end, across gaps."""
 
 from dataclasses import dataclass, field
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FoldedStream:
-    """The state at the end of the stream, and the records that led to it."""
+    """The state at the end of the stream, and the folded records with their verdicts."""
 
     state: Configuration
     history: list[tuple[Entry, Verdict]] = field(default_factory=list)
 
 
 def fold_stream(log: Log, keys: OperatorKeys = NO_KEYS) -> FoldedStream | ReadFailed:
-    """Fold all that the log still keeps."""
+    """Fold every record that the log still holds."""
     reader = StreamReader(log, CONFIG_STREAM)
     state = Configuration()
     history: list[tuple[Entry, Verdict]] = []
--- a/poplarrun/config/_sharing.py
+++ b/poplarrun/config/_sharing.py
@@ -1,4 +1,4 @@
-"""Configuration records between hosts, for one that the log does not reach."""
+"""Serves configuration records to peers that can't read the log."""
 
 from collections import deque
 
@@ -10,19 +10,20 @@
 from poplarrun.log import Entry
 
 SHARE_KIND = "config.records"
-KEPT_RECORDS = 500
-SHARED_BYTES = 200_000
+# Records in the cache of a host, and bytes of records in one answer.
+MAX_CACHED_RECORDS = 500
+MAX_ANSWER_BYTES = 200_000
 
 
 class ShareRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the records from an offset on."""
+    """Requests the records from an offset on."""
 
     from_offset: int
     anchored: bool = True
 
 
 class ShareAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Records in order; before them a snapshot, where older records are no longer kept."""
+    """Records in order, or a snapshot where the requested records are no longer cached."""
 
     snapshot: Snapshot | None
     records: list[tuple[int, bytes]]
@@ -33,7 +34,7 @@
 
 
 def decode_share_answer(data: bytes) -> ShareAnswer | None:
-    """Read a peer's answer; None when it is none."""
+    """Decode a peer's answer; None when it is malformed."""
     try:
         return _answer_decoder.decode(data)
     except msgspec.MsgspecError:
@@ -41,19 +42,19 @@
 
 
 class RecordCache:
-    """The records folded last, kept for hosts that the log does not reach."""
+    """The most recently folded records, for peers that can't read the log."""
 
     def __init__(self) -> None:
-        self._records: deque[Entry] = deque(maxlen=KEPT_RECORDS)
+        self._records: deque[Entry] = deque(maxlen=MAX_CACHED_RECORDS)
 
     def add(self, entry: Entry) -> None:
-        """Keep a folded record; a hole before it voids the older ones."""
+        """Add a folded record. A gap in front of it empties the cache first."""
         if self._records and entry.offset != self._records[-1].offset + 1:
             self._records.clear()
         self._records.append(entry)
 
-    def answer(self, data: bytes, state: Configuration) -> bytes:
-        """Answer a share request."""
+    def handle_request(self, data: bytes, state: Configuration) -> bytes:
+        """Return the encoded answer to an encoded share request."""
         try:
             request = _request_decoder.decode(data)
         except msgspec.MsgspecError:
@@ -72,12 +73,12 @@
 
     def _records_from(self, offset: int) -> list[tuple[int, bytes]]:
         found: list[tuple[int, bytes]] = []
-        room = SHARED_BYTES
+        remaining_bytes = MAX_ANSWER_BYTES
         for entry in self._records:
             if entry.offset < offset:
                 continue
-            room -= len(entry.data)
-            if room < 0 and found:
+            remaining_bytes -= len(entry.data)
+            if remaining_bytes < 0 and found:
                 break
             found.append((entry.offset, entry.data))
         return found
--- a/poplarrun/config/_signatures.py
+++ b/poplarrun/config/_signatures.py
@@ -1,4 +1,4 @@
-"""Signed records: only holders of an operator key change the configuration."""
+"""Signatures of records, so that only holders of an operator key change the configuration."""
 
 import hashlib
 import hmac
@@ -9,12 +9,12 @@
 
 from poplarrun.config._publications import ConfigRecord, Publication, decode_record, encode_record
 
-# The key under which the hosts' own records are signed.
+# The name of the key that signs the hosts' own records.
 SYSTEM_KEY_NAME = "system"
 
 
 class _Signed(msgspec.Struct, frozen=True, tag="signed"):
-    """A record and the operator's signature of its bytes."""
+    """An encoded record and the operator's signature of its bytes."""
 
     operator: str
     signature: str
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorKeys:
-    """The secret keys of the operators, by name; several of one name while they rotate.
+    """The secret keys of the operators by name; a name has several during key rotation.
 
-    Without any key every record counts, as on a network that only operators
-    and hosts reach.
+    Without any key every record is accepted, which suits a network that only operators and
+    hosts can reach.
     """
 
     keys: Mapping[str, tuple[bytes, ...]] = field(default_factory=dict)
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsigned:
-    """A record that no known key signs; it has no effect."""
+    """A record without a valid signature of a known key; it has no effect."""
 
     reason: str
 
@@ -51,13 +51,13 @@
 
 
 def sign_record(record: ConfigRecord, operator: str, key: bytes) -> bytes:
-    """Return the bytes of a record with its operator's signature."""
+    """Return the encoded record with its operator's signature."""
     data = encode_record(record)
     return msgspec.json.encode(_Signed(operator, _sign(operator, data, key), data))
 
 
 def sign_system_record(record: ConfigRecord, keys: OperatorKeys) -> bytes:
-    """Return the bytes of a record of the hosts themselves, signed if keys are in use."""
+    """Return an encoded record of the hosts themselves, signed if keys are in use."""
     system = keys.keys.get(SYSTEM_KEY_NAME)
     return encode_record(record) if not system else sign_record(record, SYSTEM_KEY_NAME, system[0])
 
@@ -65,32 +65,33 @@
 def decode_signed_record(
     data: bytes, keys: OperatorKeys = NO_KEYS
 ) -> ConfigRecord | Unsigned | None:
-    """Read a record, signed or not; None when the bytes are none.
+    """Decode a signed or unsigned record; None when the bytes are no record.
 
-    Hosts must hold the same keys: a new key goes to every host before anyone
-    signs with it. One that lacks it refuses the record, and ``status`` shows
-    its zone at a lower offset.
+    All hosts must have the same keys: a new key must be on every host before anyone signs with
+    it. A host without it refuses the record, and ``status`` shows its zone at a lower offset.
     """
     try:
         signed = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         record = decode_record(data)
-        return Unsigned("no signature") if record is not None and keys.are_required else record
-    if keys.are_required and not _is_genuine(signed, keys):
-        return Unsigned(f"the signature of {signed.operator[:64]!r} does not fit")
+        return (
+            Unsigned("record is not signed") if record is not None and keys.are_required else record
+        )
+    if keys.are_required and not _has_valid_signature(signed, keys):
+        return Unsigned(f"the signature of {signed.operator[:64]!r} is not valid")
     record = decode_record(signed.record)
     if isinstance(record, Publication) and record.operator != signed.operator:
-        return Unsigned("the record names another operator than its signature")
+        return Unsigned("record and signature name different operators")
     return record
 
 
-def _is_genuine(signed: _Signed, keys: OperatorKeys) -> bool:
+def _has_valid_signature(signed: _Signed, keys: OperatorKeys) -> bool:
     known = keys.keys.get(signed.operator, ())
-    given = signed.signature.encode()
+    presented = signed.signature.encode()
     expected = [_sign(signed.operator, signed.record, key).encode() for key in known]
-    # Compare with every key in constant time, so that the time taken tells
-    # nothing of how much of a forged signature was right.
-    return sum([hmac.compare_digest(given, one) for one in expected]) > 0
+    # Every key is compared in constant time, so that the duration doesn't reveal how much of a
+    # forged signature was right.
+    return sum([hmac.compare_digest(presented, one) for one in expected]) > 0
 
 
 def _sign(operator: str, data: bytes, key: bytes) -> str:
--- a/poplarrun/config/_snapshots.py
+++ b/poplarrun/config/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the fold: the whole state as one record."""
+"""Snapshots, which hold the whole state of the fold in one record."""
 
 import dataclasses
 import typing
@@ -11,8 +11,8 @@
 from poplarrun.config._state import Configuration
 from poplarrun.contracts import Document, parse_document
 
-# What follows from the accepted publication, or is told beside the state.
-_DERIVED = frozenset({"document", "text", "publication", "offset", "read_to", "anchored"})
+# Fields that are derived from the accepted publication, or stored outside the encoded state.
+_EXCLUDED_FIELDS = frozenset({"document", "text", "publication", "offset", "read_to", "anchored"})
 
 
 def make_snapshot(state: Configuration, record_id: str, published_at: float) -> Snapshot:
@@ -29,7 +29,7 @@
 
 
 def read_snapshot(snapshot: Snapshot, keys: OperatorKeys) -> Configuration | None:
-    """Return the state of a snapshot; None when it is unreadable or not signed."""
+    """Return the state of a snapshot; None when it is malformed or not signed."""
     publication = decode_signed_record(snapshot.publication, keys)
     if not isinstance(publication, Publication):
         return None
@@ -61,5 +61,5 @@
 
 
 def _carried_fields() -> list[str]:
-    """Return every field that is not derived, those of later versions included."""
-    return [f.name for f in dataclasses.fields(Configuration) if f.name not in _DERIVED]
+    """Return the names of all other fields, so that a new field is included by default."""
+    return [f.name for f in dataclasses.fields(Configuration) if f.name not in _EXCLUDED_FIELDS]
--- a/poplarrun/config/_state.py
+++ b/poplarrun/config/_state.py
@@ -1,4 +1,4 @@
-"""The state of the configuration's fold."""
+"""The state of the fold of the configuration stream."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The state of the fold.
+    """The configuration in force, and the state of the fold.
 
     Attributes
     ----------
@@ -22,14 +22,14 @@
     text : str
         Its YAML text.
     publication : bytes
-        The accepted publication's record, as it stood in the log.
+        The accepted publication's record, byte for byte as in the log.
     withdrawn : frozenset of VersionId
         Versions withdrawn by the system.
     seen : tuple of str
-        Ids of the records folded last, the oldest first. Older repeats are
-        harmless: a publication's ``based_on`` is then long out of date.
+        Ids of the most recently folded records, oldest first. Repeats of older records are
+        harmless, because the ``based_on`` of a publication is out of date by then.
     anchored : bool
-        False after records were missed: only a snapshot counts then.
+        False after records were missed, until a snapshot is applied.
     """
 
     offset: int = NOTHING_ACCEPTED
@@ -42,7 +42,7 @@
     anchored: bool = True
 
     def is_withdrawn(self, version: VersionId) -> bool:
-        """Tell whether a version may get no new work."""
+        """Tell whether a version may get no new requests."""
         offered = self.document.versions.get(version)
         return (
             offered is None or offered.stage is VersionStage.WITHDRAWN or version in self.withdrawn
--- a/poplarrun/contracts/_validation.py
+++ b/poplarrun/contracts/_validation.py
@@ -131,28 +131,32 @@
     """
     data = text.encode()
     if len(data) > MAX_DOCUMENT_BYTES:
-        return _one_problem(f"{len(data)} bytes", f"at most {MAX_DOCUMENT_BYTES} bytes are allowed")
+        return _single_problem(
+            f"{len(data)} bytes", f"at most {MAX_DOCUMENT_BYTES} bytes are allowed"
+        )
     try:
         raw = yaml.load(data, Loader=_SafeLoader)
     except yaml.YAMLError as error:
-        return _one_problem(f"text that is not YAML ({error})".replace("\n", " "), "YAML is needed")
+        return _single_problem(
+            f"text that is not YAML ({error})".replace("\n", " "), "YAML is needed"
+        )
     if not isinstance(raw, dict):
-        return _one_problem(type(raw).__name__, "a mapping with classes, models, accounts, ...")
+        return _single_problem(type(raw).__name__, "a mapping with classes, models, accounts, ...")
     try:
         model = _DocumentModel.model_validate(raw)
     except ValidationError as error:
-        return DocumentProblems(tuple(_problem(raw, detail) for detail in error.errors()))
-    problems = _find_contradictions(model)
+        return DocumentProblems(tuple(_describe_error(raw, detail) for detail in error.errors()))
+    problems = _find_shared_keys(model)
     if problems:
         return DocumentProblems(problems)
     return _build_document(model)
 
 
-def _one_problem(found: str, allowed: str) -> DocumentProblems:
+def _single_problem(found: str, allowed: str) -> DocumentProblems:
     return DocumentProblems((DocumentProblem("document", found, allowed),))
 
 
-def _problem(raw: Any, detail: Any) -> DocumentProblem:
+def _describe_error(raw: Any, detail: Any) -> DocumentProblem:
     path = ".".join(str(part) for part in detail["loc"] if part != "[key]")
     last = str(detail["loc"][-1])
     if detail["type"] == "extra_forbidden" and last in ROUTING_FIELDS:
@@ -168,7 +172,7 @@
     return DocumentProblem(path, shown, detail["msg"])
 
 
-def _find_contradictions(model: _DocumentModel) -> tuple[DocumentProblem, ...]:
+def _find_shared_keys(model: _DocumentModel) -> tuple[DocumentProblem, ...]:
     """Find an API key that two client accounts share: a request would have two payers."""
     problems = []
     owner_by_hash: dict[str, str] = {}
