--- a/features/steps/claim_fold.py
+++ b/features/steps/claim_fold.py
@@ -5,7 +5,7 @@
 
 from poplarrun.claims import Claim, ClaimFold, Lost, Outcome, Release, encode_batch
 from poplarrun.claims._shard import Shard
-from poplarrun.log import Entry, MemoryLog, ThreadedLog, call_here
+from poplarrun.log import Entry, MemoryLog, ThreadedLog, call_inline
 
 STREAM = "claims-00"
 
@@ -60,14 +60,14 @@
 
 @then("at most {count:d} keys are held")
 def step_held_count(context, count):
-    assert 0 < context.fold.size <= count, context.fold.size
+    assert 0 < context.fold.key_count <= count, context.fold.key_count
 
 
 @given("a shard with {count:d} random claims with seed {seed:d}, snapshots, and dropped records")
 def step_random_shard(context, count, seed):
     source = random.Random(seed)
     context.claim_log = MemoryLog()
-    context.loop_log = ThreadedLog(context.claim_log, call_here)
+    context.loop_log = ThreadedLog(context.claim_log, call_inline)
     context.wall = 0.0
 
     async def fill():
@@ -80,7 +80,7 @@
             await shard.submit(claim, 10.0)
             if source.random() < 0.3:
                 await shard.submit(Release(claim.id, "shop", claim.key), 10.0)
-            shard.snapshot_when_due()
+            shard.write_snapshot_if_due()
             await asyncio.sleep(0)
         return shard.fold
 
@@ -103,4 +103,4 @@
 def step_same_keys(context):
     old, new = (fold.take_snapshot(0.0) for fold in (context.old_fold, context.new_fold))
     assert old == new
-    assert old.holdings
+    assert old.key_states
--- a/features/steps/versions_sessions.py
+++ b/features/steps/versions_sessions.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from poplarrun.contracts import AccountLimitSettings, ClientAccount, VersionId, hash_key
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.versions import (
     SessionRegistry,
     choose_session_replicas,
@@ -32,7 +32,7 @@
 
 @given("6 hosts in 3 zones that store session versions")
 def step_hosts(context):
-    context.network = MemoryNetwork(delay_s=0.001)
+    context.network = MemoryPeerNetwork(delay_s=0.001)
     context.peers = {
         f"h{n}": MemoryPeers(context.network, Peer(f"h{n}", "abc"[n % 3], "r", 1)) for n in range(6)
     }
--- a/poplarrun/cli/_losses.py
+++ b/poplarrun/cli/_losses.py
@@ -14,8 +14,8 @@
 import cappa
 
 from poplarrun.cli._arguments import EXIT_INVALID, AsJson
-from poplarrun.cli._story import RESTART, Line, read_lines
-from poplarrun.sizes import EVEN_CONFIDENCE
+from poplarrun.cli._timeline import RESTART, Line, read_log_lines
+from poplarrun.sizes import MIDPOINT_CONFIDENCE
 
 BAR_WIDTH = 40
 FAILURES = 400
@@ -108,7 +108,7 @@
     if fields["pause_s"] > fields["most_pause_s"] > 0.0:
         return f"pause: {_awaited(own, failures)}"
     confidence = fields.get("confidence")
-    if confidence is not None and confidence < EVEN_CONFIDENCE:
+    if confidence is not None and confidence < MIDPOINT_CONFIDENCE:
         return "poor: kept although the model doubts it"
     return None
 
@@ -168,7 +168,7 @@
     def __call__(self) -> None:
         """Print the tables, or each loss as a line of JSON."""
         try:
-            losses = find_losses(read_lines(self.logs))
+            losses = find_losses(read_log_lines(self.logs))
         except OSError as error:
             raise cappa.Exit(f"logs: {error}", code=EXIT_INVALID) from error
         if not self.as_json:
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -25,13 +25,13 @@
 )
 from poplarrun.config._snapshots import make_snapshot
 from poplarrun.config._state import Configuration
-from poplarrun.hosts import Peers, PeerSilent, StreamPoll
+from poplarrun.hosts import Peers, PeerSilent, StreamPoller
 from poplarrun.log import Entry, Gap, Log, ReadFailed, StreamReader
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.rendezvous import rank_hosts
 
-_logger = part_logger("config")
+_logger = component_logger("config")
 ANNOUNCEMENT_KEY = "config"
 MAX_QUERIED_PEERS = 2
 PEER_TIMEOUT_S = 1.0
@@ -92,7 +92,7 @@
         self._keys = keys
         self._reader = StreamReader(log, CONFIG_STREAM)
         self._cache = RecordCache()
-        self.poll = StreamPoll(peers, ANNOUNCEMENT_KEY, lambda: self.state.read_to, source)
+        self.poll = StreamPoller(peers, ANNOUNCEMENT_KEY, lambda: self.state.read_to, source)
         self._snapshot = Snapshot("", -1, -1, wall_clock(), b"", b"")
         self._snapshot_offset = -1
         self._snapshot_attempted_at = clock() - MIN_SNAPSHOT_INTERVAL_S
@@ -169,7 +169,7 @@
                 self._snapshot, self._snapshot_offset = snapshot, entry.offset
 
     def _needs_peers(self) -> bool:
-        announced = self._peers.announced(ANNOUNCEMENT_KEY) > self.state.read_to
+        announced = self._peers.highest_announced(ANNOUNCEMENT_KEY) > self.state.read_to
         return self._has_log_failed or announced or not self.state.anchored
 
     async def _query_peers(self) -> None:
@@ -250,7 +250,7 @@
         there would skip the new ones, and starting hosts would not. The snapshot that follows
         writes the hosts' state to the log again.
         """
-        highest = max(self.state.read_to, self._peers.announced(ANNOUNCEMENT_KEY))
+        highest = max(self.state.read_to, self._peers.highest_announced(ANNOUNCEMENT_KEY))
         missing = highest + 1 - self._reader.end
         self._is_snapshot_forced = True
         self._snapshot_attempted_at = self._clock() - MIN_SNAPSHOT_INTERVAL_S
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from poplarrun.links import Links
-from poplarrun.peers import HeldSessions, PeerBook, SessionAnswer, SessionAsk, encode_message
+from poplarrun.peers import HeldSessions, PeerTable, SessionAnswer, SessionQuery, encode_message
 from poplarrun.rollouts import PinnedSession, Rollouts, SessionKey
 from poplarrun.routing import InFlightRequest
-from poplarrun.transport import boot_time
+from poplarrun.transport import seconds_since_boot
 
 # Answers of keepers that are waited for, and for how long in seconds: one keeper may be
 # dead, or newer than the session.
@@ -25,15 +25,15 @@
     answer: asyncio.Future[bool]
 
 
-class SessionKeeping:
+class SessionLookup:
     """What a host tells, asks and answers of sessions.
 
     A few hosts keep each session, found by its hash, so that the messages for a request do
     not grow with the number of hosts.
     """
 
-    def __init__(self, book: PeerBook, links: Links, rollouts: Rollouts) -> None:
-        self._book = book
+    def __init__(self, peer_table: PeerTable, links: Links, rollouts: Rollouts) -> None:
+        self._peer_table = peer_table
         self._links = links
         self._rollouts = rollouts
         self._numbers = itertools.count(1)
@@ -54,7 +54,7 @@
             key = SessionKey(message.service, number)
             self._rollouts.sessions.apply_pin(PinnedSession(key, message.offset))
 
-    def answer(self, ask: SessionAsk) -> None:
+    def answer(self, ask: SessionQuery) -> None:
         """Answer a host that asks."""
         held = PinnedSession(SessionKey(ask.service, ask.number), ask.offset)
         is_held = self._rollouts.sessions.is_pinned(held)
@@ -71,12 +71,12 @@
         if answer.is_held or question.missing <= 0:
             question.answer.set_result(answer.is_held)
 
-    async def learn(self, work: InFlightRequest) -> bool:
+    async def resolve(self, work: InFlightRequest) -> bool:
         """Find out whether a request's session is held; False when nobody said so in time.
 
         Only sessions that the trial would take are asked for.
         """
-        held = self._rollouts.find_session_to_query(work, boot_time())
+        held = self._rollouts.find_session_to_query(work, seconds_since_boot())
         if held is None:
             return True
         keepers = self._keepers(held.key)
@@ -88,7 +88,7 @@
         self._questions[number] = question
         service, session = held.key.service, held.key.session_hash
         ask = encode_message(
-            SessionAsk(self._book.address, number, service, held.order_offset, session)
+            SessionQuery(self._peer_table.address, number, service, held.order_offset, session)
         )
         try:
             for keeper in keepers:
@@ -102,5 +102,5 @@
 
     def _keepers(self, key: SessionKey) -> list[str]:
         """Return the other hosts that keep a session."""
-        keepers = self._book.keepers(f"{key.service}/{key.session_hash}")
-        return [keeper for keeper in keepers if keeper != self._book.address]
+        keepers = self._peer_table.keepers(f"{key.service}/{key.session_hash}")
+        return [keeper for keeper in keepers if keeper != self._peer_table.address]
--- a/poplarrun/versions/_estimates.py
+++ b/poplarrun/versions/_estimates.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from poplarrun.contracts import Document
-from poplarrun.hosts import Gathered
+from poplarrun.hosts import CollectedSummaries
 from poplarrun.versions._cells import UNKNOWN_ESTIMATE, CellTests, Estimate, QualityTargets
 from poplarrun.versions._evidence import (
     GRID,
@@ -175,7 +175,7 @@
                 cell.evidence = received
                 self._changed.add(cell_hash)
 
-    def apply_summaries(self, gathered: Gathered) -> None:
+    def apply_summaries(self, gathered: CollectedSummaries) -> None:
         """Add what other hosts and zones counted since their previous summaries."""
         sources = {f"host {name}": data for name, data in gathered.own_zone.items()}
         sources.pop(f"host {self._host}", None)
--- a/poplarrun/versions/_manager.py
+++ b/poplarrun/versions/_manager.py
@@ -125,7 +125,7 @@
             receivers = sum(peer.zone == peers.me.zone for peer in peers.live()) - 1
             self._publish_at = now + len(payload) * receivers / MAX_EVIDENCE_BYTES_PER_S
         self.estimates.age(now)
-        self.estimates.apply_summaries(peers.gathered(EVIDENCE_TOPIC))
+        self.estimates.apply_summaries(peers.collect_summaries(EVIDENCE_TOPIC))
         self.estimates.refresh()
 
     def decide_rollouts(self, peers: Peers, now: float) -> list[DueRecord]:
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -9,11 +9,11 @@
 from functools import partial
 from typing import Any
 
-from poplarrun.billing import Bill, KeptBy
+from poplarrun.billing import Bill, BillDurability
 from poplarrun.clients import Usage
 from poplarrun.config import Configuration, Verdict
 from poplarrun.contracts import VersionId
-from poplarrun.errors import NotRun, Refusal, answer_for
+from poplarrun.errors import NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.router import BeginChat, ChatGrant
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
@@ -97,7 +97,7 @@
             (self._endpoint_tasks.follow_host_list, 2.0),
             (self._endpoint_tasks.poll_loads, 1.0),
             (self._endpoint_tasks.share_loads, 1.0),
-            (self.billing.tend, 1.0),
+            (self.billing.run_round, 1.0),
         ):
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
@@ -132,17 +132,17 @@
 
     def _note_finished(self) -> None:
         """Write down the bills that this host finishes for one that it takes for dead."""
-        finish = self.billing._finish
+        finish = self.billing._adopt_orphans
 
         def note(orphans: Any) -> None:
             self._place.history.finished_by_peers.update(bill.id for bill in orphans.bills)
             finish(orphans)
 
-        self.billing._finish = note  # type: ignore[method-assign]
+        self.billing._adopt_orphans = note  # type: ignore[method-assign]
 
     def _note_openings(self, peers: ChatPeers) -> None:
         """Write down the homes that are out of a host's sight when it opens a session."""
-        keeper = self.router.sessions.keeper
+        keeper = self.router.sessions.sessions
         open_session = keeper.open
 
         async def note(account: str, session: str, proposal: VersionId) -> VersionId:
@@ -163,10 +163,10 @@
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._place.history.kept_alone.add(bill.id)
             hosts = self._place.hosts.values()
-            holders = tuple(h.process for h in hosts if h.product.billing.holds(bill.id))
+            holders = tuple(h.process for h in hosts if h.product.billing.has_bill(bill.id))
             self._place.world.keeps.append(Keep(bill.id, now(), holders))
         return answer
 
@@ -197,7 +197,7 @@
         return choice
 
 
-class _Crossing:
+class _LoopBridge:
     """The way of one worker into its host's loop."""
 
     def __init__(self, host: "SimChatHost", worker: Worker) -> None:
@@ -211,7 +211,7 @@
             self.reach("granted")
         return answer
 
-    def tell(self, message: object) -> None:
+    def post(self, message: object) -> None:
         """Hand a message to the loop."""
         self._worker.wait_for(lambda: self._host.product.answer(message))
 
@@ -245,7 +245,7 @@
 
     def _work(self, call: ChatCall, worker: Worker) -> tuple[ChatAnswer, str | None]:
         """Do what the callers' border does with a chat; runs on the worker's thread."""
-        crossing = _Crossing(self, worker)
+        crossing = _LoopBridge(self, worker)
         crossing.reach("before begin")
         request = BeginChat(
             call.request_id,
@@ -268,7 +268,7 @@
 
 
 def _read(
-    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _Crossing, worker: Worker
+    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _LoopBridge, worker: Worker
 ) -> ChatAnswer:
     """Read a chat to its end, or go away before it."""
     shown: list[str] = []
@@ -298,6 +298,6 @@
 
 
 def _refused(call: ChatCall, refusal: Refusal, shown: str) -> ChatAnswer:
-    is_not_run = answer_for(refusal.kind).not_run is NotRun.YES
+    is_not_run = response_for(refusal.kind).not_run is NotRun.YES
     end = ChatEnd.NOT_RUN if is_not_run else ChatEnd.BROKEN if shown else ChatEnd.REFUSED
     return ChatAnswer(0.0, call.request_id, end, shown, reason=refusal.kind.value)
