--- a/features/steps/log_signatures.py
+++ b/features/steps/log_signatures.py
@@ -14,7 +14,7 @@
 from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, sign_log_record
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
-    BudgetGrant,
+    Granted,
     RolloutTable,
     encode_rollout,
     fold_rollout,
@@ -70,7 +70,7 @@
 @when("the forger appends a bill, an outcome, a lease and a roll-out")
 def step_forge(context):
     outcome = Outcome("c1", "shop", "k", Lost("forged"))
-    grant = BudgetGrant("g", "note", "larch:1", 0, 0, {"a1/1": 100})
+    grant = Granted("g", "note", "larch:1", 0, 0, {"a1/1": 100})
     log = context.forged_log
     log.append(STREAM, BILL)
     log.append(CLAIMS, encode_batch([outcome]))
--- a/features/steps/versions_exposure.py
+++ b/features/steps/versions_exposure.py
@@ -5,11 +5,11 @@
 from poplarrun.contracts import AccountLimitSettings, ClientAccount, VersionId
 from poplarrun.log import Entry
 from poplarrun.versions import (
-    BudgetGrant,
     CellKey,
-    RolloutResult,
-    RolloutSnapshot,
+    Granted,
     RolloutTable,
+    Settled,
+    Snapshot,
     Standing,
     encode_rollout,
     fold_rollout,
@@ -282,13 +282,13 @@
     match kind:
         case "grant":
             number = state.find(CellKey(CLASS, VersionId.parse("new:1"))).grants
-            return BudgetGrant(record_id, CLASS, "new:1", number, 0, {"h0/1": 4, "h1/1": 4})
+            return Granted(record_id, CLASS, "new:1", number, 0, {"h0/1": 4, "h1/1": 4})
         case "reject":
-            return RolloutResult(record_id, CLASS, "new:1", False, "quality 0.2")
+            return Settled(record_id, CLASS, "new:1", False, "quality 0.2")
         case "snapshot":
             return state.snapshot(record_id)
         case "overtaken":
-            return RolloutSnapshot(record_id, state.read_to - 1, [])
+            return Snapshot(record_id, state.read_to - 1, [])
     raise ValueError(kind)
 
 
--- a/features/steps/versions_rollout.py
+++ b/features/steps/versions_rollout.py
@@ -9,9 +9,9 @@
 from poplarrun.contracts import hash_key
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
-    BudgetGrant,
-    RolloutResult,
+    Granted,
     RolloutTable,
+    Settled,
     decode_rollout,
     fold_rollout,
 )
@@ -119,9 +119,7 @@
 def step_granted(context, version, work_class):
     def granted():
         return [
-            r
-            for r in rollout_records(context)
-            if isinstance(r, BudgetGrant) and r.version == version
+            r for r in rollout_records(context) if isinstance(r, Granted) and r.version == version
         ]
 
     wait_until(lambda: bool(granted()), "a grant")
@@ -160,10 +158,10 @@
     records = [r for r in rollout_records(context) if getattr(r, "version", "") == version]
     numbers = []
     for record in records:
-        if isinstance(record, BudgetGrant) and record.number == len(numbers):
+        if isinstance(record, Granted) and record.number == len(numbers):
             numbers.append(record.number)
     assert numbers == list(range(len(numbers))) and numbers, records
-    assert next(r.serves for r in records if isinstance(r, RolloutResult)), records
+    assert next(r.serves for r in records if isinstance(r, Settled)), records
 
 
 def send_in_session(host, **headers):
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -19,8 +19,8 @@
 from poplarrun.server._messages import RolloutStatus
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
-    RolloutSnapshot,
     SampledAnswer,
+    Snapshot,
     VersionManager,
     decode_rollout,
     encode_rollout,
@@ -153,7 +153,7 @@
         for name in self._other_hosts():
             answer = await self._peers.ask(name, ROLLOUTS_MESSAGE, b"", ASK_TIMEOUT_S)
             snapshot = decode_rollout(answer) if isinstance(answer, bytes) else None
-            if isinstance(snapshot, RolloutSnapshot):
+            if isinstance(snapshot, Snapshot):
                 self._versions.apply_rollout_snapshot(snapshot)
                 self.is_known = True
                 return
@@ -210,7 +210,7 @@
         # else it would append the same once more.
         self._caught_up = False
 
-    def _due_snapshot(self, now: float) -> list[RolloutSnapshot]:
+    def _due_snapshot(self, now: float) -> list[Snapshot]:
         """Return the snapshot that is due, so that it outlives the log's retention.
 
         Where no host has the whole state, as after a long stop of all of them,
--- a/poplarrun/versions/_controller.py
+++ b/poplarrun/versions/_controller.py
@@ -19,12 +19,12 @@
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import CellKey
 from poplarrun.versions._rollouts import (
-    BudgetGrant,
-    RolloutClosure,
+    Closed,
+    Granted,
     RolloutRecord,
-    RolloutResult,
     RolloutState,
     RolloutTable,
+    Settled,
     format_process_name,
 )
 
@@ -147,7 +147,7 @@
             is_serving = state.serves or not has_incumbent
             if offered.stage is VersionStage.WITHDRAWN:
                 has_state = key in view.rollouts.states
-                due.append(RolloutClosure(next(self._ids), str(version)) if has_state else None)
+                due.append(Closed(next(self._ids), str(version)) if has_state else None)
             elif not view.configuration.is_withdrawn(version) and not state.rejected:
                 due.append(
                     self._make_due_withdrawal(key, is_serving, view)
@@ -176,7 +176,7 @@
         text = f"{reason} in class {key.class_name}"
         return Withdrawal(record_id, str(key.version), text, evidence)
 
-    def _reject_for_quality(self, key: CellKey, is_serving: bool) -> RolloutResult | None:
+    def _reject_for_quality(self, key: CellKey, is_serving: bool) -> Settled | None:
         estimate = self._estimates.find(key)
         capitals, limit = _select_capitals(estimate, is_serving)
         if capitals.quality < limit:
@@ -185,7 +185,7 @@
 
     def _reject_for_latency(
         self, key: CellKey, is_serving: bool, view: ControllerView, now: float
-    ) -> RolloutResult | None:
+    ) -> Settled | None:
         """Reject a version whose answers are late while those of another version are on time."""
         estimate = self._estimates.find(key)
         capitals, limit = _select_capitals(estimate, is_serving)
@@ -248,7 +248,7 @@
 
     def _regrant_or_reject(
         self, key: CellKey, state: RolloutState, capital: float, view: ControllerView, now: float
-    ) -> BudgetGrant | RolloutResult | None:
+    ) -> Granted | Settled | None:
         """Grant the budget of a stage a second time when its shares seem to stay unused.
 
         A share stays unused at a host that died or gets no such requests. It can't be revoked
@@ -268,7 +268,7 @@
             )
         return self._reject_when_exhausted(key, state)
 
-    def _reject_when_exhausted(self, key: CellKey, state: RolloutState) -> RolloutResult | None:
+    def _reject_when_exhausted(self, key: CellKey, state: RolloutState) -> Settled | None:
         """Reject a version that has used up its requests, if its ratings speak against it.
 
         Without requests no further rating arrives, and the roll-out would never end. The test
@@ -290,7 +290,7 @@
         stage: int,
         budget: int,
         live: Sequence[Peer],
-    ) -> BudgetGrant:
+    ) -> Granted:
         record_id = next(self._ids)
         process_names = {
             peer.name: format_process_name(peer.name, peer.incarnation) for peer in live
@@ -299,10 +299,10 @@
         shares: dict[str, int] = {}
         for name, _ in zip(itertools.cycle(ranked), range(budget), strict=False):
             shares[process_names[name]] = shares.get(process_names[name], 0) + 1
-        return BudgetGrant(record_id, key.class_name, str(key.version), state.grants, stage, shares)
+        return Granted(record_id, key.class_name, str(key.version), state.grants, stage, shares)
 
-    def _make_result(self, key: CellKey, serves: bool, reason: str) -> RolloutResult:
-        return RolloutResult(next(self._ids), key.class_name, str(key.version), serves, reason)
+    def _make_result(self, key: CellKey, serves: bool, reason: str) -> Settled:
+        return Settled(next(self._ids), key.class_name, str(key.version), serves, reason)
 
 
 def _select_capitals(estimate: Estimate, is_serving: bool) -> tuple[LogCapitals, float]:
--- a/poplarrun/versions/_manager.py
+++ b/poplarrun/versions/_manager.py
@@ -12,7 +12,7 @@
 from poplarrun.versions._estimates import Estimates
 from poplarrun.versions._evidence import EVIDENCE_TOPIC, AnswerObservation, CellKey
 from poplarrun.versions._exposure import ExposureBudget
-from poplarrun.versions._rollouts import RolloutSnapshot, RolloutTable, fold_rollout
+from poplarrun.versions._rollouts import RolloutTable, Snapshot, fold_rollout
 from poplarrun.versions._sampling import RatingSampler, SampledAnswer
 
 # Answers queued for the rating service; beyond this the oldest are dropped.
@@ -75,7 +75,7 @@
         """Continue behind roll-out records that the log has dropped."""
         self._set_rollouts(self.rollouts.skip_to(horizon))
 
-    def apply_rollout_snapshot(self, snapshot: RolloutSnapshot) -> None:
+    def apply_rollout_snapshot(self, snapshot: Snapshot) -> None:
         """Apply another host's snapshot of the roll-outs."""
         self._set_rollouts(self.rollouts.apply_snapshot(snapshot))
 
--- a/poplarrun/versions/_rollouts.py
+++ b/poplarrun/versions/_rollouts.py
@@ -12,7 +12,7 @@
 ROLLOUTS_STREAM = "rollouts"
 
 
-class BudgetGrant(msgspec.Struct, frozen=True, tag="granted"):
+class Granted(msgspec.Struct, frozen=True, tag="granted"):
     """Grants more requests of a class to a version that is being rolled out.
 
     Attributes
@@ -40,7 +40,7 @@
     shares: dict[str, int]
 
 
-class RolloutResult(msgspec.Struct, frozen=True, tag="settled"):
+class Settled(msgspec.Struct, frozen=True, tag="settled"):
     """Ends a roll-out: the version serves its class from now on, or is rejected.
 
     Attributes
@@ -58,7 +58,7 @@
     reason: str
 
 
-class RolloutClosure(msgspec.Struct, frozen=True, tag="closed"):
+class Closed(msgspec.Struct, frozen=True, tag="closed"):
     """Deletes the state of a version that is no longer offered.
 
     Offered again, it is rolled out from the beginning.
@@ -68,7 +68,7 @@
     version: str
 
 
-class RolloutSnapshot(msgspec.Struct, frozen=True, tag="snapshot"):
+class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
     """The whole state of the fold, written before the log drops old records.
 
     Attributes
@@ -116,11 +116,11 @@
         return sum(self.shares.values())
 
 
-RolloutRecord = BudgetGrant | RolloutResult | RolloutClosure | RolloutSnapshot
+RolloutRecord = Granted | Settled | Closed | Snapshot
 
 _encoder = msgspec.json.Encoder()
 _decoder: msgspec.json.Decoder[RolloutRecord] = msgspec.json.Decoder(
-    BudgetGrant | RolloutResult | RolloutClosure | RolloutSnapshot
+    Granted | Settled | Closed | Snapshot
 )
 NOT_ROLLED_OUT = RolloutState()
 
@@ -173,12 +173,12 @@
         """Return the state of a version's roll-out in a class."""
         return self.states.get(key, NOT_ROLLED_OUT)
 
-    def snapshot(self, record_id: str) -> RolloutSnapshot:
+    def snapshot(self, record_id: str) -> Snapshot:
         """Return the snapshot record of this state."""
         cells = [(k.class_name, str(k.version), s) for k, s in self.states.items()]
-        return RolloutSnapshot(record_id, self.read_to, cells)
+        return Snapshot(record_id, self.read_to, cells)
 
-    def apply_snapshot(self, snapshot: RolloutSnapshot) -> "RolloutTable":
+    def apply_snapshot(self, snapshot: Snapshot) -> "RolloutTable":
         """Return the state in a snapshot, or this one if it is at least as new."""
         if self.is_complete and snapshot.read_to <= self.read_to:
             return self
@@ -196,7 +196,7 @@
         return state
     before, state = state, replace(state, read_to=entry.offset)
     match decode_rollout(entry.data):
-        case RolloutSnapshot() as snapshot if snapshot.read_to == before.read_to:
+        case Snapshot() as snapshot if snapshot.read_to == before.read_to:
             applied = (
                 state
                 if state.is_complete
@@ -205,18 +205,18 @@
             return replace(applied, read_to=entry.offset, snapshot_offset=entry.offset)
         case _ if not state.is_complete:
             return state
-        case BudgetGrant() as record:
+        case Granted() as record:
             return _fold_grant(state, record)
-        case RolloutResult() as record:
-            return _fold_result(state, record)
-        case RolloutClosure(version=version):
+        case Settled() as record:
+            return _fold_settled(state, record)
+        case Closed(version=version):
             remaining = {k: s for k, s in state.states.items() if str(k.version) != version}
             return replace(state, states=remaining)
-        case RolloutSnapshot() | None:
+        case Snapshot() | None:
             return state
 
 
-def _fold_grant(state: RolloutTable, record: BudgetGrant) -> RolloutTable:
+def _fold_grant(state: RolloutTable, record: Granted) -> RolloutTable:
     key = CellKey(record.work_class, VersionId.parse(record.version))
     previous = state.find(key)
     if previous.rejected or previous.serves or record.number != previous.grants:
@@ -228,7 +228,7 @@
     return replace(state, states={**state.states, key: after})
 
 
-def _fold_result(state: RolloutTable, record: RolloutResult) -> RolloutTable:
+def _fold_settled(state: RolloutTable, record: Settled) -> RolloutTable:
     """Apply the end of a roll-out; a later success doesn't replace a rejection.
 
     A rollout controller that was partitioned may report success from old evidence after
