--- a/features/steps/contracts.py
+++ b/features/steps/contracts.py
@@ -28,7 +28,7 @@
     context.parsed = parse_document(context.document)
 
 
-@then("{count:d} problems are told")
+@then("{count:d} problems are reported")
 def step_count(context, count):
     assert len(context.parsed.problems) == count, [str(p) for p in context.parsed.problems]
 
@@ -40,6 +40,6 @@
     assert text in str(found[0]), str(found[0])
 
 
-@then("no problem is told")
+@then("no problem is reported")
 def step_no_problem(context):
     assert isinstance(context.parsed, Document), context.parsed
--- a/features/steps/versions_exposure.py
+++ b/features/steps/versions_exposure.py
@@ -195,14 +195,14 @@
     offer(context, "old:1", name)
 
 
-@when('simulated zone "{zone}" is cut off after {count:d} requests')
-def step_cut(context, zone, count):
+@when('simulated zone "{zone}" is partitioned after {count:d} requests')
+def step_partition(context, zone, count):
     send(context, count)
     context.world.cut_zone(zone)
 
 
-@when("the simulated zones are joined again")
-def step_heal(context):
+@when("the simulated partition ends")
+def step_end_partition(context):
     context.world.heal()
     context.world.advance(3.0)
 
--- a/features/steps/versions_sessions.py
+++ b/features/steps/versions_sessions.py
@@ -88,8 +88,8 @@
     context.network.down.add(context.last_replica)
 
 
-@when('the sessions of zone "{zone}" are cut off')
-def step_cut(context, zone):
+@when('the sessions of zone "{zone}" are partitioned')
+def step_partition(context, zone):
     inside = [name for name, peers in context.peers.items() if peers.me.zone == zone]
     context.network.cut(inside, context.peers.keys() - set(inside))
 
--- a/features/versions_exposure.feature
+++ b/features/versions_exposure.feature
@@ -3,14 +3,14 @@
   Background:
     Given a simulated world of 6 hosts in 3 zones with "old:1" in service for "digest"
 
-  Scenario: A zone is cut off in the middle of a roll-out
+  Scenario: A zone is partitioned during a roll-out
     # Callers of the partitioned zone are still served. Its hosts have only the shares that the
     # log grants them, so that both sides together send the bad version no more requests than were
     # granted. After the partition they learn of its withdrawal.
     When the bad version "new:1" is offered
-    And simulated zone "c" is cut off after 5 requests
+    And simulated zone "c" is partitioned after 5 requests
     And 2000 simulated requests are sent
-    And the simulated zones are joined again
+    And the simulated partition ends
     Then at most 48 simulated requests ran on "new:1"
     And no simulated request was refused
     And "new:1" is withdrawn or rejected at all simulated hosts
--- a/features/versions_sessions.feature
+++ b/features/versions_sessions.feature
@@ -31,11 +31,11 @@
       | 1      |
       | 3      |
 
-  Scenario: A zone is cut off and the caller carries the token
+  Scenario: A zone is partitioned and the caller presents the token
     # The partitioned host reaches no replica of the session. The token alone names the version;
     # without it another version could be selected.
     When host "h0" alone opens session "brief-2" for "larch:1"
-    And the sessions of zone "c" are cut off
+    And the sessions of zone "c" are partitioned
     Then the token that host "h0" issued names "larch:1" for session "brief-2" at any host
     And the token with one byte changed is refused
 
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -52,7 +52,7 @@
 
     Attributes
     ----------
-    poll : StreamPoll
+    poll : StreamPoller
         Schedules the rounds of ``follow``.
 
     Parameters
--- a/poplarrun/contracts/__init__.py
+++ b/poplarrun/contracts/__init__.py
@@ -1,4 +1,4 @@
-"""What operators promise: classes, client accounts, versions and services."""
+"""The operators' document: classes, client accounts, versions and services."""
 
 from poplarrun.contracts._document import (
     AccountLimitSettings,
--- a/poplarrun/contracts/_document.py
+++ b/poplarrun/contracts/_document.py
@@ -1,4 +1,4 @@
-"""The operators' document as data classes, valid by construction."""
+"""The data classes of a validated operators' document."""
 
 import enum
 import fnmatch
@@ -22,7 +22,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "VersionId":
-        """Read the form that ``str`` gives.
+        """Parse the form that ``str`` returns.
 
         Raises
         ------
@@ -36,21 +36,21 @@
 
 
 class VersionStage(enum.Enum):
-    """What operators ask for a version; the system runs the roll-out between."""
+    """The stage that operators set for a version; the system rolls out offered versions."""
 
     OFFERED = "offered"
     WITHDRAWN = "withdrawn"
 
 
 class UnmetTargetsPolicy(enum.Enum):
-    """What a class wants when no allowed version meets its targets."""
+    """How a class is served when no allowed version meets its targets."""
 
     BEST_EFFORT = "best-effort"
     REFUSE = "refuse"
 
 
 class MissingKeyPolicy(enum.Enum):
-    """What a non-idempotent operation wants when it comes without a key."""
+    """How a request for a non-idempotent operation without an idempotency key is handled."""
 
     REFUSE = "refuse"
     SEND_ONCE = "send-once"
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One version of a model, as operators offer it."""
+    """A version of a model in the operators' document."""
 
     id: VersionId
     stage: VersionStage
@@ -87,9 +87,10 @@
     quality : float
         Mean rating that answers must reach, 0 to 1.
     first_token_s, between_tokens_s, whole_s : float
-        Latency bounds in seconds that 95 in 100 requests must meet.
+        Latency bounds in seconds that 95 in 100 requests must meet: time to the first token,
+        time between tokens, and time to the end of the answer.
     cost_per_request : float, optional
-        Mean cost that the class may reach, in account currency.
+        Maximum mean cost of a request, in account currency.
     """
 
     quality: float
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkClass:
-    """A class of work: its targets, and its importance (9 is the highest)."""
+    """A class of requests: its targets, and its importance (9 is the highest)."""
 
     name: str
     importance: int
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLimitSettings:
-    """Limits of a client account over all hosts together; None is no limit."""
+    """Limits of a client account over all hosts together; None means no limit."""
 
     requests_per_second: float | None = None
     tokens_per_minute: float | None = None
@@ -121,15 +122,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account: who it is and what it may use.
+    """A client account: its keys, permissions and limits.
 
     Attributes
     ----------
     key_hashes : tuple of str
-        Hashes of the API keys that name the account.
+        Hashes of the API keys that identify the account.
     classes, versions, services : tuple of str
-        Shell patterns of what is allowed: class names, ``model:version``,
-        and ``service/operation``.
+        Shell patterns of what is allowed: class names, ``model:version``, and
+        ``service/operation``.
     """
 
     name: str
@@ -140,7 +141,7 @@
     limits: AccountLimitSettings
 
     def allows_class(self, name: str) -> bool:
-        """Tell whether the account may send work of a class."""
+        """Tell whether the account may send requests of a class."""
         return _matches_any(name, self.classes)
 
     def allows_version(self, version: VersionId) -> bool:
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """An operation of a plain service."""
+    """An operation of a plain service, with its price in account currency."""
 
     name: str
     idempotent: bool
@@ -165,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service beside the model engines."""
+    """A plain service, as opposed to a model engine."""
 
     name: str
     operations: dict[str, Operation]
@@ -173,7 +174,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """A whole configuration: everything that operators may set."""
+    """The whole configuration that operators set."""
 
     classes: dict[str, WorkClass] = field(default_factory=dict)
     versions: dict[VersionId, Version] = field(default_factory=dict)
@@ -189,10 +190,10 @@
         }
 
     def account_for_key(self, key: str) -> ClientAccount | None:
-        """Return the client account that an API key names.
+        """Return the client account that an API key belongs to.
 
-        The lookup is by SHA-256 of the key, so its timing tells nothing about
-        a stored key that a caller could use to build a nearer guess.
+        The lookup uses the SHA-256 of the key, so its timing reveals nothing about a stored key
+        that would help a caller to guess it.
         """
         return self._account_by_key_hash.get(hash_key(key))
 
--- a/poplarrun/contracts/_keys.py
+++ b/poplarrun/contracts/_keys.py
@@ -1,4 +1,4 @@
-"""API keys: kept as hashes, compared in constant time."""
+"""API keys, which are stored as hashes and compared in constant time."""
 
 import hashlib
 import hmac
@@ -7,10 +7,10 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form of an API key that a document holds."""
+    """Return the hash of an API key in the form that documents contain."""
     return HASH_PREFIX + hashlib.sha256(key.encode()).hexdigest()
 
 
 def matches_key(key: str, stored: str) -> bool:
-    """Tell whether a presented key is the one behind a stored hash."""
+    """Tell whether a presented key has the stored hash."""
     return hmac.compare_digest(hash_key(key), stored)
--- a/poplarrun/contracts/_validation.py
+++ b/poplarrun/contracts/_validation.py
@@ -1,4 +1,4 @@
-"""The border of the operators' document: YAML in, data classes or problems out."""
+"""Validates the operators' YAML document and converts it to data classes."""
 
 from dataclasses import dataclass
 from typing import Annotated, Any, Literal
@@ -24,11 +24,12 @@
 
 MAX_DOCUMENT_BYTES = 1_000_000
 MILLISECONDS_PER_SECOND = 1000.0
-# Operators give targets only: these names would set a route by hand.
+# Operators set targets only. Fields with these names are refused with a message of their own,
+# because they would configure routes.
 ROUTING_FIELDS = frozenset({"weight", "weights", "host", "hosts", "endpoint", "endpoints", "route"})
 
-# The loader in C where PyYAML has it: a publication is folded on the loop, and
-# the loader in Python held it for a tenth of a second at a hundred accounts.
+# The C loader where PyYAML has it: a publication is parsed on the event loop, and the Python loader
+# blocked it for a tenth of a second with a hundred accounts.
 _SafeLoader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 Name = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentProblem:
-    """One fault of a document: where, what was found, what is allowed."""
+    """One fault of a document: its path, the value found, and what is allowed."""
 
     path: str
     found: str
@@ -122,12 +123,12 @@
 
 
 def parse_document(text: str) -> Document | DocumentProblems:
-    """Read a YAML document.
+    """Parse and validate a YAML document.
 
     Returns
     -------
     Document or DocumentProblems
-        The document, or every fault found in it at once.
+        The document, or all faults found in it.
     """
     data = text.encode()
     if len(data) > MAX_DOCUMENT_BYTES:
@@ -164,7 +165,7 @@
             path, repr(last), "operators set targets and permissions, never routes"
         )
     if detail["type"] == "extra_forbidden":
-        return DocumentProblem(path, repr(last), "no such field is known here")
+        return DocumentProblem(path, repr(last), "unknown field")
     if detail["type"] == "missing":
         return DocumentProblem(path, "nothing", "this field is required")
     found = detail["input"]
@@ -173,7 +174,7 @@
 
 
 def _find_shared_keys(model: _DocumentModel) -> tuple[DocumentProblem, ...]:
-    """Find an API key that two client accounts share: a request would have two payers."""
+    """Find API keys that two client accounts share; a request with one would have two payers."""
     problems = []
     owner_by_hash: dict[str, str] = {}
     for name, account in model.accounts.items():
--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -189,7 +189,7 @@
         return [rollout for rollout in self._rollouts.values() if rollout.is_in_progress]
 
     def recent(self, now: float) -> list[Rollout]:
-        """Return the roll-outs that other hosts are told of: in progress or recently ended."""
+        """Return the roll-outs to publish to other hosts: in progress or recently ended."""
         return [
             rollout
             for rollout in self._rollouts.values()
--- a/poplarrun/routing/__init__.py
+++ b/poplarrun/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: which route, services, client account and limits a request falls under."""
+"""Routing: the configuration of routes, services and client accounts, and the requests."""
 
 from poplarrun.routing._catalogue import (
     Account,
--- a/poplarrun/routing/_catalogue.py
+++ b/poplarrun/routing/_catalogue.py
@@ -1,14 +1,14 @@
-"""The operators' configuration as the decisions see it: routes, services, accounts."""
+"""The catalogue: the operators' routes, services, client accounts and caller limits."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class RepeatPolicy(enum.Enum):
-    """What may be sent to an endpoint more than once.
+    """Whether a request of a route may be sent to endpoints more than once.
 
-    ``STREAM`` is an answer in events; whether it may go on elsewhere stands in
-    its route's ``is_resumable``.
+    ``STREAM`` requests are answered with an event stream; whether another endpoint may resume
+    it depends on the route's ``is_resumable``.
     """
 
     IDEMPOTENT = "idempotent"
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSize:
-    """One model of a service.
+    """One model size of a service.
 
     Attributes
     ----------
     cost : float
-        Price of 1,000 generated tokens; 1,000 prompt tokens cost a quarter.
+        Price of 1,000 generated tokens; 1,000 prompt tokens cost a quarter of it.
     """
 
     name: str
@@ -32,18 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of like endpoints.
+    """A group of interchangeable endpoints.
 
     Attributes
     ----------
-    most_connections : int
+    max_connections : int
         Connections that one endpoint accepts from all hosts together.
-    places : int
-        Requests that one endpoint runs at once; 0 where the listing tells.
+    slots : int
+        Requests that one endpoint runs concurrently; 0 where the endpoint list gives the number
+        for each endpoint.
     cache_tokens : int
-        Prompt tokens that one endpoint holds in memory; 0 for plain services.
-    sizes : tuple of Size
-        Models of its endpoints.
+        Capacity of the prompt cache of one endpoint, in tokens; 0 for plain services.
+    sizes : tuple of ModelSize
+        Model sizes of its endpoints.
     """
 
     name: str
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceWeight:
-    """A service's part of a route, as a weight among the others."""
+    """The weight of a service among the services of a route."""
 
     service: str
     weight: float
@@ -63,16 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyTargets:
-    """The times that an answer should keep, in seconds.
+    """The latency targets of a route, in seconds.
 
     Attributes
     ----------
     timeout_s : float
-        Longest time that a caller may be kept waiting.
+        Maximum time that a caller may wait for the answer.
     target_s : float
-        Time to the answer, or to a stream's first event, within which it is in time.
-    gap_s : float
-        Longest pause between two events of a stream that is in time.
+        Target for the time to the answer, or to the first event of a stream.
+    event_gap_s : float
+        Target for the longest time between two events of a stream.
     """
 
     timeout_s: float
@@ -82,14 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host name and path prefix go.
+    """A route: how requests with one host name and path prefix are forwarded.
 
     Attributes
     ----------
-    rank : int
-        Importance; 0 is the highest.
+    priority : int
+        Priority of its requests; 0 is the highest.
     sizes : tuple of str
-        Models that may answer, smallest first; empty where the caller names one.
+        Model sizes that may answer, smallest first; empty where the caller names one.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
     @property
     def can_repeat(self) -> bool:
-        """Whether a request that may have run can be sent once more."""
+        """Whether a request that may already have run can be sent again."""
         match self.repeat_policy:
             case RepeatPolicy.IDEMPOTENT:
                 return True
@@ -116,13 +117,13 @@
                 return False
 
     def choose_service(self, point: float) -> str:
-        """Return the service at a point from 0 to 1 of the shares laid end to end."""
-        whole = sum(share.weight for share in self.service_weights)
-        left = point * whole
-        for share in self.service_weights:
-            left -= share.weight
-            if left < 0.0:
-                return share.service
+        """Return the service at a point from 0 to 1 of the cumulative distribution of weights."""
+        total_weight = sum(service_weight.weight for service_weight in self.service_weights)
+        remaining_weight = point * total_weight
+        for service_weight in self.service_weights:
+            remaining_weight -= service_weight.weight
+            if remaining_weight < 0.0:
+                return service_weight.service
         return self.service_weights[-1].service
 
 
@@ -132,8 +133,8 @@
 
     Attributes
     ----------
-    rank : int, optional
-        Goes before the rank of the route; 0 is the highest.
+    priority : int, optional
+        Replaces the priority of the route; 0 is the highest.
     """
 
     name: str
@@ -142,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take."""
+    """Limits on the size of callers' requests, and timeouts for sending them."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -152,14 +153,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """One version of the whole configuration.
+    """One version of the routing configuration.
 
     Attributes
     ----------
     routes : dict of str to tuple of Route
-        By host name; the longest prefix first.
+        Routes by host name, with the longest prefix first.
     accounts : dict of str to Account
-        By API key; None where no request carries a key.
+        Client accounts by API key; None where requests carry no keys.
     """
 
     version: int
@@ -169,14 +170,14 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def find_account(self, key: str | None) -> Account | None:
-        """Return the account that holds a key."""
+        """Return the client account of an API key."""
         if self.accounts is None or key is None:
             return None
         return self.accounts.get(key)
--- a/poplarrun/routing/_requests.py
+++ b/poplarrun/routing/_requests.py
@@ -1,4 +1,4 @@
-"""A request as the decisions see it, whatever protocol it came by."""
+"""Requests, independent of the protocol that they arrive by."""
 
 import zlib
 from dataclasses import dataclass, field
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A beginning of a prompt that other requests may share.
+    """A part of a prompt that other requests may begin with too.
 
     Attributes
     ----------
     key : str
-        Names the part's content.
+        Identifies the content of the part.
     tokens : int
-        Its length.
+        Its length, in tokens.
     """
 
     key: str
@@ -26,30 +26,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a caller sent.
+    """A request as the caller sent it.
 
     Attributes
     ----------
     id : str
         The caller's id of this attempt.
     headers : tuple of (bytes, bytes)
-        Headers that go to the endpoint as they are.
+        Headers that are forwarded to the endpoint unchanged.
     time_left_s : float
-        How long the caller waits.
+        Time until the caller's deadline, in seconds.
     api_key : str, optional
-        The presented key.
-    parts : tuple of PromptPart
-        The prompt in order.
-    prompt_tokens, most_tokens : int
-        Length of the prompt, bound of the answer, in tokens.
+        The API key that it carries.
+    prompt_parts : tuple of PromptPart
+        The parts of the prompt, in order.
+    prompt_tokens, max_tokens : int
+        Length of the prompt and maximum length of the answer, in tokens.
     model : str, optional
-        The model that the caller names; "*" leaves it to the route's sizes.
-    session : str, optional
-        Requests of one session belong together.
+        The model size that the caller names; "*" allows the sizes of the route.
+    session_id : str, optional
+        Id that the requests of one session share.
     resume_after : int, optional
-        Id of the last event of a broken stream that the caller has.
+        Id of the last event that the caller received of an interrupted stream.
     hinted_tokens : int, optional
-        The caller's estimate of the answer's length: right at the median, often far off.
+        The caller's estimate of the answer's length, in tokens. Its median is right, but single
+        estimates are often far off.
     """
 
     id: str
@@ -70,12 +71,12 @@
 
     @property
     def session_hash(self) -> int:
-        """Hash of the session's id, the same on all hosts; of the request's without one."""
+        """Hash of the session id, or of the request id without one; the same on all hosts."""
         return zlib.crc32((self.session_id or self.id).encode())
 
     @property
     def expected_tokens(self) -> int:
-        """Length of the answer as far as anybody can tell, in tokens."""
+        """Expected length of the answer, in tokens: the caller's estimate or the maximum."""
         if self.hinted_tokens is None:
             return self.max_tokens
         return min(self.hinted_tokens, self.max_tokens or self.hinted_tokens)
@@ -83,26 +84,26 @@
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """An admitted request on its way; changed by the decisions only.
+    """An admitted request and the state of its attempts.
 
     Attributes
     ----------
-    arrived_at, give_up_at : float
-        When it came, and when its caller must have an answer, in seconds of the
-        clock that counts suspension.
-    sends, runs, failures, connect_failures : int
-        Times that its bytes went to a socket, that an endpoint may have run it without
-        an answer for the caller, that it failed there, and that no connection came about.
+    arrived_at, deadline_at : float
+        When it arrived, and when its caller must have an answer, in seconds of a clock that also
+        advances while the machine is suspended.
+    sends, possible_runs, failures, connect_failures : int
+        Number of attempts whose bytes were written to a socket, that an endpoint may have run
+        without an answer for the caller, that failed at an endpoint, and that got no connection.
     may_have_run : bool
-        Whether an endpoint may have begun.
-    tried : set of str
+        Whether an endpoint may have started to run it.
+    tried_endpoints : set of str
         Endpoints that it was sent to.
-    last_event : int, optional
-        Id of the last event that the caller has.
-    version : str, optional
+    last_event_id : int, optional
+        Id of the last event that the caller received.
+    session_version : str, optional
         Endpoint version that its session keeps.
-    size : str, optional
-        Model of the present send.
+    model_size : str, optional
+        Model size of the current attempt.
     """
 
     request: Request
@@ -123,11 +124,11 @@
 
     @property
     def priority(self) -> int:
-        """Importance; 0 is the highest."""
+        """Priority of the client account if it has one, else of the route; 0 is the highest."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     def remaining_s(self, now: float) -> float:
-        """Return the seconds until the caller must have an answer."""
+        """Return the time until the caller's deadline, in seconds."""
         return self.deadline_at - now
--- a/poplarrun/routing/_rollouts.py
+++ b/poplarrun/routing/_rollouts.py
@@ -1,11 +1,11 @@
-"""Roll-outs of endpoint versions: the operators' order and the system's word on it."""
+"""Roll-outs of endpoint versions: the operators' orders and the recorded phases."""
 
 import enum
 from dataclasses import dataclass
 
 
 class RolloutPhase(enum.Enum):
-    """How far a roll-out is."""
+    """The recorded phase of a roll-out."""
 
     ACTIVE = "active"
     COMPLETED = "completed"
@@ -13,7 +13,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing may follow."""
+        """Whether no other phase may follow."""
         return self is not RolloutPhase.ACTIVE
 
 
@@ -24,9 +24,9 @@
     Attributes
     ----------
     offset : int
-        Place of the order in the log; a later order of a service goes first.
+        Offset of the order in the log; a later order replaces earlier ones of the service.
     duration_s : float
-        Time in which it should be done.
+        Time in which the roll-out should complete, in seconds.
     """
 
     service: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """What the system has recorded of a roll-out."""
+    """The phase that the hosts have recorded for a roll-out."""
 
     service: str
     target: str
--- a/poplarrun/versions/_estimates.py
+++ b/poplarrun/versions/_estimates.py
@@ -175,11 +175,11 @@
                 cell.evidence = received
                 self._changed.add(cell_hash)
 
-    def apply_summaries(self, gathered: CollectedSummaries) -> None:
+    def apply_summaries(self, summaries: CollectedSummaries) -> None:
         """Add what other hosts and zones counted since their previous summaries."""
-        sources = {f"host {name}": data for name, data in gathered.own_zone.items()}
+        sources = {f"host {name}": data for name, data in summaries.own_zone.items()}
         sources.pop(f"host {self._host}", None)
-        sources |= {f"zone {name}": data for name, data in gathered.other_zones.items()}
+        sources |= {f"zone {name}": data for name, data in summaries.other_zones.items()}
         for name, data in sources.items():
             summary = decode_summary(data)
             if summary is not None:
--- a/poplarrun/versions/_manager.py
+++ b/poplarrun/versions/_manager.py
@@ -47,7 +47,7 @@
         self._exposure = ExposureBudget(me.name, me.incarnation)
         self._selector = VersionSelector(self.estimates, self._exposure, source)
         self._sampler = RatingSampler(source)
-        self._steward = VersionRolloutController(me.name, me.incarnation, self.estimates)
+        self._rollout_controller = VersionRolloutController(me.name, me.incarnation, self.estimates)
         self._samples: deque[SampledAnswer] = deque(maxlen=MAX_QUEUED_SAMPLES)
         self._configuration = Configuration()
         self._publish_at = -math.inf
@@ -131,4 +131,4 @@
     def decide_rollouts(self, peers: Peers, now: float) -> list[DueRecord]:
         """Return the records that this host, as rollout controller, must append now."""
         view = ControllerView(self._configuration, self.rollouts, peers.live())
-        return self._steward.decide_records(view, now)
+        return self._rollout_controller.decide_records(view, now)
