--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,21 +1,21 @@
 Feature: The caller gets the whole answer, in order
 
-  Scenario: Chunks come late, repeated and out of order
-    # An engine's chunks carry positions; the caller must see each once, in order.
+  Scenario: Chunks arrive late, repeatedly and out of order
+    # An engine's chunks carry positions. The caller must get each once, in order.
     Given the chunks 1, 0, 0, 3, 2, 1, 4
     When they are reassembled
     Then the text is "0 1 2 3 4 "
 
-  Scenario: A missing chunk holds back what follows
+  Scenario: Chunks behind a missing one are buffered
     Given the chunks 0, 2, 3
     When they are reassembled
     Then the text is "0 "
     And position 1 is missing
 
-  Scenario Outline: An engine's bytes come cut at any place
-    # A read of the connection can end within a line, a chunk or a chunk's size, and can
-    # bring many tokens at once. Whatever the cuts, the answer is the same, and its
-    # connection serves the next call, which sees nothing of the answer before.
+  Scenario Outline: A read of an engine's answer can end at any byte
+    # A read can end within a line, a chunk or a chunk's size, and can return many tokens at
+    # once. The answer must always be the same, and the connection must be reusable for the
+    # next call without leftovers of the previous answer.
     Given an engine that sends its bytes <size> at a time
     When it is asked for two answers
     Then both are whole
@@ -27,9 +27,9 @@
       | 7     |
       | 10000 |
 
-  Scenario Outline: An engine's body is not what it must be
-    # The connection closes within a chunk, or the bytes are no chunks: the answer is
-    # broken after what came whole, and never taken for a whole one.
+  Scenario Outline: An engine's body has an invalid chunked encoding
+    # The connection closes within a chunk, or the bytes are no valid chunks. The answer is
+    # reported as broken after its complete chunks, and never as a complete one.
     Given an engine that sends <fault>
     When it is asked for an answer
     Then it is broken
@@ -41,8 +41,8 @@
       | a wrong size    |
       | an endless size |
 
-  Scenario: Bytes after an answer's end
-    # Were the connection used again, its next caller would read what is left over.
+  Scenario: Bytes follow the end of an answer
+    # If the connection were reused, its next caller would read the leftover bytes.
     Given an engine that sends more than a body
     When it is asked for two answers
     Then both are whole
--- a/features/steps/security.py
+++ b/features/steps/security.py
@@ -29,7 +29,7 @@
 from poplarrun.links import NngLinks, TlsFiles
 from poplarrun.log import Appended
 from poplarrun.server._bodies import read_chat_body
-from poplarrun.server._http_server import CallerCertificate
+from poplarrun.server._http_server import ReloadableCertificate
 from poplarrun.settings import CallersTls
 from standins import LogStandIn
 from standins.fleet import free_address, wait_until
@@ -200,7 +200,7 @@
     context.files = CallersTls(certificate=folder / "host.crt", key=folder / "host.key")
     shutil.copy(CERTIFICATES / "own-host.crt", context.files.certificate)
     shutil.copy(CERTIFICATES / "own-host.key", context.files.key)
-    context.shown = CallerCertificate(context.files)
+    context.shown = ReloadableCertificate(context.files)
 
 
 @when("only the certificate's file is replaced, and both are read again")
@@ -208,7 +208,7 @@
     shutil.copy(CERTIFICATES / "renewed-host.crt", context.files.certificate)
     later_s = time.time() + 10.0
     os.utime(context.files.certificate, (later_s, later_s))
-    assert not context.shown.renew()
+    assert not context.shown.reload()
 
 
 @then("callers still see the first certificate")
--- a/poplarrun/answers/__init__.py
+++ b/poplarrun/answers/__init__.py
@@ -1,4 +1,4 @@
-"""Answers: putting the chunks of a stream in order."""
+"""Answers: reassembly of streamed chunks."""
 
 from poplarrun.answers._reassembly import Reassembly
 
--- a/poplarrun/answers/_reassembly.py
+++ b/poplarrun/answers/_reassembly.py
@@ -1,48 +1,48 @@
-"""Late, repeated and out-of-order chunks become one answer."""
+"""Reassembles an answer from late, repeated and out-of-order chunks."""
 
 from poplarrun.clients import Chunk
 
-# An engine that runs so far ahead of a missing chunk has lost it for good.
-MAX_HELD_CHUNKS = 1000
+# Number of chunks buffered behind a missing one from which that one is considered lost.
+MAX_BUFFERED_CHUNKS = 1000
 
 
 class Reassembly:
-    """Gives out the text of each position once, in order.
+    """Returns the text of each position once, in order.
 
     Attributes
     ----------
     next_position : int
-        The position that is missing next; a resumed stream starts there.
+        The first position that hasn't arrived; a resumed stream starts there.
     """
 
     def __init__(self) -> None:
         self.next_position = 0
-        self._held: dict[int, str] = {}
+        self._buffered: dict[int, str] = {}
 
     @property
     def has_gap(self) -> bool:
-        """Whether chunks are held behind a missing one."""
-        return bool(self._held)
+        """Whether chunks are buffered behind a missing one."""
+        return bool(self._buffered)
 
     @property
-    def is_overfull(self) -> bool:
-        """Whether so much is held that the missing chunk must be asked for again."""
-        return len(self._held) > MAX_HELD_CHUNKS
+    def is_buffer_full(self) -> bool:
+        """Whether the missing chunk is considered lost and must be requested again."""
+        return len(self._buffered) > MAX_BUFFERED_CHUNKS
 
     def add(self, chunk: Chunk) -> str:
-        """Take one chunk; return the text that can be given out now."""
+        """Add a chunk; return the text that is complete up to the next gap."""
         if chunk.position < self.next_position:
             return ""
-        if chunk.position == self.next_position and not self._held:
+        if chunk.position == self.next_position and not self._buffered:
             self.next_position += 1
             return chunk.text
-        self._held[chunk.position] = chunk.text
+        self._buffered[chunk.position] = chunk.text
         text = ""
-        while self.next_position in self._held:
-            text += self._held.pop(self.next_position)
+        while self.next_position in self._buffered:
+            text += self._buffered.pop(self.next_position)
             self.next_position += 1
         return text
 
-    def drop_held(self) -> None:
-        """Forget what is held, before a stream is resumed at ``next_position``."""
-        self._held.clear()
+    def discard_buffered(self) -> None:
+        """Discard the buffered chunks, before a stream is resumed at ``next_position``."""
+        self._buffered.clear()
--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -170,7 +170,7 @@
             return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
         size = work.model_size or self.sizes.first_size(work)
         versions = self._choose_versions(work, now)
-        is_proving = versions.allowed is not None and any(
+        is_in_shift = versions.allowed is not None and any(
             self.rollouts.is_in_shift(work.service, version, now) for version in versions.allowed
         )
         estimate = self.placement.choose(
@@ -180,7 +180,7 @@
             size or "",
             versions.allowed,
             versions.excluded,
-            concentrate_load=is_proving,
+            concentrate_load=is_in_shift,
         )
         reason = versions.reason
         if estimate is None and versions.allowed is not None:
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -81,7 +81,7 @@
         return list(self._chats)
 
     def list_open_work(self) -> list[OpenRequest]:
-        """Return the demand of the open chat requests for engines."""
+        """Return the open chat requests, for the demand for engines."""
         return [
             OpenRequest(
                 chat.version.id,
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -284,30 +284,30 @@
         match verdict:
             case Won():
                 return self._choose_endpoint_within_limits(call)
-            case Taken(state=holding):
+            case Taken(state=key_state):
                 call.claim = None
-                if holding is not None and holding.claim.fingerprint != claim.fingerprint:
+                if key_state is not None and key_state.claim.fingerprint != claim.fingerprint:
                     message = "the key was used for another operation or body"
                     return self._refuse(call, ErrorKind.IDEMPOTENCY_KEY_REUSED, message)
                 return self._answer_repeat(
-                    call, derive_outcome(self._apply_local_outcome(holding), self.peers.live())
+                    call, derive_outcome(self._apply_local_outcome(key_state), self.peers.live())
                 )
-            case Unsettled(may_be_logged=may_stand):
-                if not may_stand:
+            case Unsettled(may_be_logged=may_be_logged):
+                if not may_be_logged:
                     call.claim = None
                 message = "the log did not confirm the claim; repeat with the same key"
                 return self._refuse(call, ErrorKind.LOG_UNAVAILABLE, message)
             case Voided():
                 raise AssertionError("only this host voids its claims, and did not yet")
 
-    def _apply_local_outcome(self, holding: KeyState | None) -> KeyState | None:
+    def _apply_local_outcome(self, key_state: KeyState | None) -> KeyState | None:
         """Add an outcome recorded at this host that isn't in the log yet."""
-        if holding is None or self.claims is None:
-            return holding
-        match self.claims.find_unsettled(holding.claim.id):
+        if key_state is None or self.claims is None:
+            return key_state
+        match self.claims.find_unsettled(key_state.claim.id):
             case Outcome(result=result):
-                return KeyState(holding.claim, result)
-        return holding
+                return KeyState(key_state.claim, result)
+        return key_state
 
     def _answer_repeat(self, call: _Call, outcome: KnownOutcome) -> Replay | Refusal:
         """Answer a call whose key is held by another claim."""
--- a/poplarrun/server/_bodies.py
+++ b/poplarrun/server/_bodies.py
@@ -50,7 +50,7 @@
         return "\n".join(f"{message.role}: {message.text}" for message in self.messages)
 
     @property
-    def token_bound(self) -> int:
+    def max_answer_tokens(self) -> int:
         """Upper bound of the answer, in tokens."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_MAX_TOKENS
 
@@ -111,7 +111,7 @@
         """Return the events of a clean end."""
         return self._event({}, "stop", usage=_usage(usage)) + DONE_EVENT
 
-    def render_break(self, refusal: Refusal) -> bytes:
+    def render_error(self, refusal: Refusal) -> bytes:
         """Return the event of a broken answer; no clean end follows it."""
         return DATA_PREFIX + render_error(refusal) + EVENT_END
 
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -19,7 +19,7 @@
     render_models,
     render_outcome,
 )
-from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece, new_request_id
+from poplarrun.server._chats import BrokenAnswer, ChatExecution, Piece, new_request_id
 from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import ListClasses
 from poplarrun.server._operations import OperationRun
@@ -116,13 +116,13 @@
             api_key=read_key(),
             class_name=body.model,
             prompt_tokens=len(body.prompt.split()),
-            max_tokens=body.token_bound,
+            max_tokens=body.max_answer_tokens,
             session=session,
             blocks=hash_blocks(body.prompt),
             session_token=cherrypy.request.headers.get(SESSION_TOKEN_HEADER),
         )
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
-        run = ChatRun(self._crossing, self._engine, request, body.prompt, body.stream)
+        run = ChatExecution(self._crossing, self._engine, request, body.prompt, body.stream)
         first = run.start()
         if isinstance(first, Refusal):
             return send_refusal(first)
@@ -133,13 +133,15 @@
             return self._stream_answer(run, first, request)
         return self._whole_answer(run, first, request)
 
-    def _stream_answer(self, run: ChatRun, first: Piece, request: BeginChat) -> Iterator[bytes]:
+    def _stream_answer(
+        self, run: ChatExecution, first: Piece, request: BeginChat
+    ) -> Iterator[bytes]:
         cherrypy.response.stream = True
         cherrypy.response.headers["Content-Type"] = EVENT_STREAM
         cherrypy.response.headers["Cache-Control"] = "no-cache"
         return _render_stream(run, first, ChunkRenderer(request.request_id, request.class_name))
 
-    def _whole_answer(self, run: ChatRun, first: Piece, request: BeginChat) -> bytes:
+    def _whole_answer(self, run: ChatExecution, first: Piece, request: BeginChat) -> bytes:
         for piece in run.pieces(first):
             match piece:
                 case BrokenAnswer(refusal=refusal):
@@ -195,7 +197,7 @@
     return send_json(render_outcome(key, KnownOutcome(OutcomeKind.RAN, ran)), ran.status)
 
 
-def _render_stream(run: ChatRun, first: Piece, renderer: ChunkRenderer) -> Iterator[bytes]:
+def _render_stream(run: ChatExecution, first: Piece, renderer: ChunkRenderer) -> Iterator[bytes]:
     for piece in run.pieces(first):
         match piece:
             case list():
@@ -203,4 +205,4 @@
             case Usage() as usage:
                 yield renderer.render_end(usage)
             case BrokenAnswer(refusal=refusal):
-                yield renderer.render_break(refusal)
+                yield renderer.render_error(refusal)
--- a/poplarrun/server/_chats.py
+++ b/poplarrun/server/_chats.py
@@ -32,7 +32,7 @@
 Piece = list[str] | Usage | BrokenAnswer
 
 
-class ChatRun:
+class ChatExecution:
     """Runs one chat request on the calling thread.
 
     Parameters
@@ -185,7 +185,7 @@
                     return usage
                 case [EngineFailed() as failed, *_]:
                     pass
-                case [] if not self._reassembly.is_overfull:
+                case [] if not self._reassembly.is_buffer_full:
                     continue
                 case _:
                     failed = EngineFailed(started=True, reason="gap")
@@ -229,7 +229,7 @@
     def _go_on(self, failed: EngineFailed) -> BrokenAnswer | None:
         request_id = self._request.request_id
         _log.warning("An attempt broke.", extra={"request_id": request_id, "reason": failed.reason})
-        self._reassembly.drop_held()
+        self._reassembly.discard_buffered()
         position = self._reassembly.next_position
         failure = AttemptFailed(request_id, failed.started, failed.reason, position, self._is_shown)
         match self._crossing.ask(failure):
--- a/poplarrun/server/_daemon.py
+++ b/poplarrun/server/_daemon.py
@@ -20,7 +20,7 @@
 from poplarrun.logging import component_logger, configure_logging
 from poplarrun.server._callers import CallersApi
 from poplarrun.server._host import EntryHost
-from poplarrun.server._http_server import CallerCertificate, make_server, start_more_threads
+from poplarrun.server._http_server import ReloadableCertificate, make_server, start_more_threads
 from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import Leave
 from poplarrun.server._observers import RootApi
@@ -64,25 +64,25 @@
                 HttpWeightStore(settings.platform.weights) if settings.platform.weights else None
             ),
         )
-        self.crossing = LoopBridge(self.host.handle)
+        self.loop_bridge = LoopBridge(self.host.handle)
         services_tls = settings.tls.services
         services = HttpServiceCaller(None if services_tls is None else _read_tls(services_tls))
-        callers = CallersApi(self.crossing, engine, services, settings.limits.body_bytes)
+        callers = CallersApi(self.loop_bridge, engine, services, settings.limits.body_bytes)
         tls = settings.tls.callers
-        self._certificate = None if tls is None else CallerCertificate(tls)
+        self._certificate = None if tls is None else ReloadableCertificate(tls)
         self._server = make_server(
             settings,
-            RootApi(self.crossing, callers),
+            RootApi(self.loop_bridge, callers),
             self._certificate,
-            lambda: self.host.readiness.leaving,
+            lambda: self.host.readiness.is_leaving,
         )
         self._stopped = threading.Event()
         self._log = component_logger("daemon")
 
     def start(self) -> None:
         """Start the loop and serve HTTP on threads of their own."""
-        self.crossing.start()
-        self.crossing.loop.call_soon_threadsafe(self.host.start_tasks)
+        self.loop_bridge.start()
+        self.loop_bridge.loop.call_soon_threadsafe(self.host.start_tasks)
         self._server.prepare()
         threading.Thread(target=self._server.serve, name="http", daemon=True).start()
         more = (self._server, self.host.settings)
@@ -98,14 +98,14 @@
         balancer has noticed. Then it refuses new requests, waits for the open
         ones, hands over what it keeps and leaves the other hosts.
         """
-        self.host.readiness.leaving = True
+        self.host.readiness.is_leaving = True
         self._log.info("Leaving.", extra={"open_requests": self.host.router.open_requests})
         time.sleep(self.host.settings.stop.balancer_time_s)
-        self.host.readiness.stopping = True
+        self.host.readiness.is_stopping = True
         left = self._drain()
         self._close_server()
-        self.crossing.ask(Leave())
-        self.crossing.stop()
+        self.loop_bridge.ask(Leave())
+        self.loop_bridge.stop()
         self._stopped.set()
         self._log.info("Stopped.", extra={"open_requests": left})
         return left
@@ -137,7 +137,7 @@
     def _watch_certificate(self) -> None:
         assert self._certificate is not None
         while not self._stopped.wait(CERTIFICATE_POLL_S):
-            if self._certificate.renew():
+            if self._certificate.reload():
                 self._log.info("A new certificate is in use.")
 
 
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -35,7 +35,7 @@
 
     Attributes
     ----------
-    list_seen_at : float, optional
+    host_list_read_at : float, optional
         When the host list first answered.
     entry_hosts : ListedHosts
         The entry hosts of the list.
@@ -51,7 +51,7 @@
         in_thread: InThread,
         clock: Callable[[], float],
     ) -> None:
-        self.list_seen_at: float | None = None
+        self.host_list_read_at: float | None = None
         self.entry_hosts = ListedHostTable(metrics.count_event)
         self._peers = peers
         self._endpoints = table
@@ -62,19 +62,19 @@
         self._in_thread = in_thread
         self._clock = clock
 
-    def knows_engines(self) -> bool:
+    def has_engine_reports(self) -> bool:
         """Tell whether the engines told what they have loaded, or had the time to.
 
         Before that a fresh host would refuse requests that others can serve.
         """
-        if self.list_seen_at is None:
+        if self.host_list_read_at is None:
             return False
-        if self._clock() - self.list_seen_at > FIRST_REPORTS_BOUND_S:
+        if self._clock() - self.host_list_read_at > FIRST_REPORTS_BOUND_S:
             return True
         engines = [e for e in self._endpoints.list_endpoints() if e.kind is HostKind.MODEL_ENGINE]
         return all(e.measured_at > -math.inf or e.consecutive_failures > 0 for e in engines)
 
-    async def follow_host_list(self) -> None:
+    async def update_host_list(self) -> None:
         """Take over the platform's host list."""
         match await self._in_thread(self._host_list.read):
             case ListUnavailable():
@@ -82,7 +82,7 @@
             case listed:
                 self._endpoints.apply_host_list(listed, self._clock())
                 self.entry_hosts.apply_list(listed, self._peers.zones(), self._clock())
-                self.list_seen_at = self.list_seen_at or self._clock()
+                self.host_list_read_at = self.host_list_read_at or self._clock()
 
     async def poll_loads(self) -> None:
         """Ask the engines that fall to this host for their loads."""
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -191,7 +191,7 @@
         """Start the parts' tasks; called on the loop."""
         self.peers.start()
         for step, period_s in (
-            (self._endpoint_tasks.follow_host_list, HOST_LIST_POLL_S),
+            (self._endpoint_tasks.update_host_list, HOST_LIST_POLL_S),
             (self._endpoint_tasks.poll_loads, LOAD_POLL_S),
             (self._endpoint_tasks.share_loads, LOAD_SHARE_S),
             (self._endpoint_tasks.poll_cache_events, EVENTS_POLL_S),
@@ -201,15 +201,15 @@
             (self.billing.run_round, TEND_BILLS_S),
             (self._bill_snapshots.write_due_snapshots, TEND_BILL_SNAPSHOTS_S),
             (self._version_tasks.exchange_evidence, EVIDENCE_PERIOD_S),
-            (self._version_tasks.run_steward, STEWARD_PERIOD_S),
+            (self._version_tasks.run_rollout_controller, STEWARD_PERIOD_S),
             (self._version_tasks.rate_answers, RATINGS_POLL_S),
             (self._order_tasks.share_demand, ORDERS_PERIOD_S),
             (self._order_tasks.run_orders, ORDERS_PERIOD_S),
         ):
-            self._tasks.repeat(step, partial(asyncio.sleep, period_s))
-        self._tasks.repeat(self._follow_config, self.config.wait)
-        self._tasks.repeat(self._version_tasks.follow_rollouts, self._version_tasks.wait)
-        self._tasks.repeat(self._release_held, self._held.wait)
+            self._tasks.run_periodically(step, partial(asyncio.sleep, period_s))
+        self._tasks.run_periodically(self._follow_config, self.config.wait)
+        self._tasks.run_periodically(self._version_tasks.follow_rollouts, self._version_tasks.wait)
+        self._tasks.run_periodically(self._release_held, self._held.wait)
 
     def handle(self, message: object) -> Any:
         """Answer one message; the only entry for other threads.
@@ -245,7 +245,7 @@
     def _answer(self, message: object) -> Any:
         now = self._clock()
         match message:
-            case BeginChat() | BeginOperation() if refusal := self.readiness.refuse():
+            case BeginChat() | BeginOperation() if refusal := self.readiness.check_request():
                 return refusal
             case BeginChat(session=None, session_token=None):
                 return self._begin_chat(message, now)
@@ -302,7 +302,7 @@
             return request
         # The host may have begun its stop meanwhile, and does not wait for a
         # request that has not begun.
-        refusal = self.readiness.refuse()
+        refusal = self.readiness.check_request()
         if refusal is not None:
             return refusal
         answer = self._begin_chat(request, self._clock())
--- a/poplarrun/server/_http_server.py
+++ b/poplarrun/server/_http_server.py
@@ -40,7 +40,7 @@
         return wrapped, {"wsgi.url_scheme": "https", "HTTPS": "on"}
 
 
-class CallerCertificate:
+class ReloadableCertificate:
     """The certificate that callers see; it can be renewed while the server runs."""
 
     def __init__(self, files: CallersTls) -> None:
@@ -48,7 +48,7 @@
         self._changed_at = self._read_change()
         self.adapter = _LateHandshakeAdapter(str(files.certificate), str(files.key))
 
-    def renew(self) -> bool:
+    def reload(self) -> bool:
         """Take new files up for connections from now on; tell whether there were any."""
         changed_at = self._read_change()
         if changed_at in (0.0, self._changed_at):
@@ -86,7 +86,7 @@
 def make_server(
     settings: HostSettings,
     root: object,
-    certificate: CallerCertificate | None,
+    certificate: ReloadableCertificate | None,
     is_leaving: Callable[[], bool],
 ) -> wsgi.Server:
     """Return the server of a host, not listening yet."""
--- a/poplarrun/server/_readiness.py
+++ b/poplarrun/server/_readiness.py
@@ -26,9 +26,9 @@
 
     Attributes
     ----------
-    leaving : bool
+    is_leaving : bool
         Whether the host's stop has begun; it still serves.
-    stopping : bool
+    is_stopping : bool
         Whether it refuses new requests.
     """
 
@@ -42,8 +42,8 @@
         limits: AccountLimits,
         has_peers: bool,
     ) -> None:
-        self.leaving = False
-        self.stopping = False
+        self.is_leaving = False
+        self.is_stopping = False
         self._threads = threads
         self._router = router
         self._endpoint_tasks = endpoint_tasks
@@ -60,16 +60,16 @@
     def list_missing(self) -> list[str]:
         """Return what keeps the balancer's callers away; empty when the host is ready."""
         missing = self._list_unserved()
-        if not self._endpoint_tasks.knows_engines():
+        if not self._endpoint_tasks.has_engine_reports():
             missing.append("reports of the engines")
         if self._has_peers and not self._limits.has_initial_shares:
             missing.append("first parts of the account limits")
-        if self.leaving:
+        if self.is_leaving:
             missing.append("the host is leaving")
         return missing
 
     @property
-    def takes_requests(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a request is served: a configuration is in force and endpoints are known.
 
         A leaving host still serves: until the balancer has noticed, it goes
@@ -81,16 +81,16 @@
         missing = []
         if self._router.context.configuration.offset < 0:
             missing.append("a configuration")
-        if not self._version_tasks.is_known:
+        if not self._version_tasks.has_rollouts:
             missing.append("the roll-outs")
-        if self._endpoint_tasks.list_seen_at is None:
+        if self._endpoint_tasks.host_list_read_at is None:
             missing.append("the host list")
-        if self.stopping:
+        if self.is_stopping:
             missing.append("the host is stopping")
         return missing
 
     @property
-    def is_crowded(self) -> bool:
+    def has_no_free_thread(self) -> bool:
         """Whether only the threads are left that answer everything but requests.
 
         Each open request holds a thread. Were all of them held, callers, the
@@ -99,12 +99,12 @@
         reserved = max(MIN_RESERVED_THREADS, self._threads // RESERVED_SHARE)
         return self._router.open_requests >= self._threads - reserved
 
-    def refuse(self) -> Refusal | None:
+    def check_request(self) -> Refusal | None:
         """Refuse a new request that this host can't take now."""
-        if not self.takes_requests:
-            kind = ErrorKind.STOPPING if self.stopping else ErrorKind.NOT_READY
+        if not self.accepts_requests:
+            kind = ErrorKind.STOPPING if self.is_stopping else ErrorKind.NOT_READY
             return self._count(kind, "this host takes no requests now; try another")
-        if self.is_crowded:
+        if self.has_no_free_thread:
             return self._count(ErrorKind.QUEUE_FULL, "this host has no thread left; try another")
         if self._billing.is_full:
             return self._count(ErrorKind.BILL_NOT_KEPT, "the log has taken no bills for long")
--- a/poplarrun/server/_tasks.py
+++ b/poplarrun/server/_tasks.py
@@ -27,7 +27,7 @@
         # The loop holds tasks weakly: one that nothing else names may be collected.
         self._kept: set[asyncio.Task[None]] = set()
 
-    def repeat(self, step: Step, pause: Pause) -> None:
+    def run_periodically(self, step: Step, pause: Pause) -> None:
         """Run a step for ever, with a pause after each run."""
         self.spawn(self._repeat(step, pause))
 
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -98,7 +98,7 @@
         self._snapshot_due_at = clock() + SNAPSHOT_PERIOD_S
         self._snapshot_seen = -1
         self._incomplete_since: float | None = None
-        self.is_known = False
+        self.has_rollouts = False
         self.on_withdrawal: Callable[[], None] = lambda: None
         peers.serve(ROLLOUTS_MESSAGE, self._tell_rollouts)
         peers.serve(ESTIMATES_MESSAGE, self._tell_estimates)
@@ -124,7 +124,7 @@
         match await self._in_thread(self._reader.read_new):
             case ReadFailed():
                 self._metrics.count_event("log_read_failed")
-                if not self.is_known:
+                if not self.has_rollouts:
                     await self._ask_peers()
             case Gap() as gap:
                 self._reader.next_offset = gap.horizon
@@ -138,11 +138,11 @@
                 self._caught_up = self._reader.next_offset >= self._reader.end
                 if not self._caught_up:
                     self._poll.wake()
-                self.is_known = self.is_known or self._caught_up
+                self.has_rollouts = self.has_rollouts or self._caught_up
 
     async def wait(self) -> None:
         """Wait for the next round of ``follow_rollouts``."""
-        await self._poll.wait(not self.is_known or not self._versions.rollouts.is_complete)
+        await self._poll.wait(not self.has_rollouts or not self._versions.rollouts.is_complete)
 
     async def _ask_peers(self) -> None:
         """Ask another host for the roll-outs that the log does not tell.
@@ -155,7 +155,7 @@
             snapshot = decode_rollout(answer) if isinstance(answer, bytes) else None
             if isinstance(snapshot, RolloutSnapshot):
                 self._versions.apply_rollout_snapshot(snapshot)
-                self.is_known = True
+                self.has_rollouts = True
                 return
 
     async def _adopt_estimates(self) -> None:
@@ -180,7 +180,7 @@
 
     async def _tell_rollouts(self, _: str, __: bytes) -> bytes:
         rollouts = self._versions.rollouts
-        if not self.is_known or not rollouts.is_complete:
+        if not self.has_rollouts or not rollouts.is_complete:
             return b""
         return encode_rollout(rollouts.snapshot("told"))
 
@@ -190,7 +190,7 @@
             await self._adopt_estimates()
         self._versions.exchange_evidence(self._peers, self._clock())
 
-    async def run_steward(self) -> None:
+    async def run_rollout_controller(self) -> None:
         """Append the records that are due; the fold drops what another host did first."""
         if not self._caught_up:
             return
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -16,7 +16,7 @@
 from poplarrun.errors import NotRun, Refusal, response_for
 from poplarrun.hosts import Peer
 from poplarrun.router import BeginChat, ChatGrant
-from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
+from poplarrun.server._chats import BrokenAnswer, ChatExecution, Piece
 from poplarrun.server._host import EntryHost
 from poplarrun.settings import HostSettings, PlatformAddresses
 from poplarrun.versions import Choice, ChoiceRequest, ChosenVersion, Escalation
@@ -94,15 +94,17 @@
     def start_chat_tasks(self) -> None:
         """Start the tasks that chats need."""
         for step, period_s in (
-            (self._endpoint_tasks.follow_host_list, 2.0),
+            (self._endpoint_tasks.update_host_list, 2.0),
             (self._endpoint_tasks.poll_loads, 1.0),
             (self._endpoint_tasks.share_loads, 1.0),
             (self.billing.run_round, 1.0),
         ):
-            self._tasks.repeat(step, partial(asyncio.sleep, period_s))
-        self._tasks.repeat(self._follow_config, self.config.wait)
-        self._tasks.repeat(self._version_tasks.follow_rollouts, partial(asyncio.sleep, 2.0))
-        self._tasks.repeat(self._release_held, self._held.wait)
+            self._tasks.run_periodically(step, partial(asyncio.sleep, period_s))
+        self._tasks.run_periodically(self._follow_config, self.config.wait)
+        self._tasks.run_periodically(
+            self._version_tasks.follow_rollouts, partial(asyncio.sleep, 2.0)
+        )
+        self._tasks.run_periodically(self._release_held, self._held.wait)
 
     async def answer(self, message: Any) -> Any:
         """Answer one message of a worker."""
@@ -257,7 +259,7 @@
             session_token=call.token,
         )
         engine = SimEngine(self.place.engines, worker)
-        run = ChatRun(crossing, engine, request, "one two three", call.is_streamed)  # type: ignore
+        run = ChatExecution(crossing, engine, request, "one two three", call.is_streamed)  # type: ignore
         first = run.start()
         if isinstance(first, Refusal):
             return _refused(call, first, ""), run.session_token
@@ -268,7 +270,11 @@
 
 
 def _read(
-    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _LoopBridge, worker: Worker
+    call: ChatCall,
+    run: ChatExecution,
+    pieces: Iterator[Piece],
+    crossing: _LoopBridge,
+    worker: Worker,
 ) -> ChatAnswer:
     """Read a chat to its end, or go away before it."""
     shown: list[str] = []
