--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -12,7 +12,7 @@
 )
 from poplarrun.dispatch import (
     ConfigView,
-    ConnectionLost,
+    ConnectionBroke,
     SendDecision,
     event_gap_timeout_s,
     first_event_timeout_s,
@@ -31,7 +31,7 @@
         if isinstance(step, Refusal):
             return work.sends
         attempt = dispatch.record_sent(work, step, now)
-        failure = ConnectionLost("reset")
+        failure = ConnectionBroke("reset")
         if dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, now) is not None:
             return work.sends
 
@@ -78,7 +78,7 @@
     dispatch, work = context.dispatch, context.work
     step = dispatch.choose_endpoint(work, at)
     attempt = dispatch.record_sent(work, step, at)
-    failure = ConnectionLost("reset")
+    failure = ConnectionBroke("reset")
     assert dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, broken) is None
     context.broken_at = broken
 
@@ -124,7 +124,7 @@
     step = dispatch.choose_endpoint(work, 100.1)
     assert isinstance(step, SendDecision)
     attempt = dispatch.record_sent(work, step, 100.1)
-    dispatch.handle_failure(work, step.estimate.endpoint, attempt, ConnectionLost("reset"), 100.2)
+    dispatch.handle_failure(work, step.estimate.endpoint, attempt, ConnectionBroke("reset"), 100.2)
     dispatch.placement.update_endpoints([])
     context.refusal = dispatch.choose_endpoint(work, 100.3)
 
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -10,11 +10,11 @@
     make_work,
 )
 from poplarrun.dispatch import (
+    AnswerFailed,
     ConfigView,
-    ConnectionLost,
-    EndpointErrorResponse,
-    ResponseTimeout,
+    ConnectionBroke,
     SendDecision,
+    TookTooLong,
 )
 from poplarrun.placement import EndpointEstimate
 from poplarrun.rollouts import (
@@ -134,7 +134,7 @@
         send_to(context, "new", number, 102.0, 102.1)
     for work, attempt in [send_to(context, "new", 100 + n, 103.0) for n in range(broken)]:
         member = attempt.estimate.endpoint
-        dispatch.handle_failure(work, member, attempt, ConnectionLost("reset"), 103.5)
+        dispatch.handle_failure(work, member, attempt, ConnectionBroke("reset"), 103.5)
 
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
@@ -281,7 +281,7 @@
     assert len(context.late) == count
     for work, attempt in context.late:
         member = attempt.estimate.endpoint
-        context.dispatch.handle_failure(work, member, attempt, EndpointErrorResponse(500), 106.0)
+        context.dispatch.handle_failure(work, member, attempt, AnswerFailed(500), 106.0)
 
 
 @then("the version on trial has {bad:d} bad and {slow:d} slow answers of {ended:d}")
@@ -331,7 +331,7 @@
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
         if number * silent // good != (number + 1) * silent // good:
             work, attempt = send_to(context, "new", 200 + number, sent_at)
-            given_up.append((sent_at + patience, work, attempt, ResponseTimeout(patience)))
+            given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
     give_up_silent(dispatch, given_up, math.inf)
 
 
@@ -349,7 +349,7 @@
     for number in range(silent):
         sent_at = dark_at - 0.1 + number / 20.0
         work, attempt = send_to(context, "new", 200 + number, sent_at)
-        given_up.append((sent_at + patience, work, attempt, ResponseTimeout(patience)))
+        given_up.append((sent_at + patience, work, attempt, TookTooLong(patience)))
     give_up_silent(dispatch, given_up, math.inf)
 
 
--- a/poplarrun/dispatch/__init__.py
+++ b/poplarrun/dispatch/__init__.py
@@ -3,31 +3,31 @@
 from poplarrun.dispatch._config_view import ConfigView
 from poplarrun.dispatch._dispatcher import Dispatcher, SendDecision
 from poplarrun.dispatch._failures import (
+    AnswerFailed,
     Attempt,
-    ConnectionLost,
-    EndpointErrorResponse,
+    ConnectionBroke,
     Failure,
     Garbled,
     NoConnection,
-    NotExecuted,
-    ResponseTimeout,
+    SaidNotRun,
+    TookTooLong,
     failure_label,
     may_have_run,
 )
 from poplarrun.dispatch._timeouts import event_gap_timeout_s, first_event_timeout_s
 
 __all__ = [
+    "AnswerFailed",
     "Attempt",
     "ConfigView",
-    "ConnectionLost",
+    "ConnectionBroke",
     "Dispatcher",
-    "EndpointErrorResponse",
     "Failure",
     "Garbled",
     "NoConnection",
-    "NotExecuted",
-    "ResponseTimeout",
+    "SaidNotRun",
     "SendDecision",
+    "TookTooLong",
     "event_gap_timeout_s",
     "failure_label",
     "first_event_timeout_s",
--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -8,12 +8,12 @@
 
 from poplarrun.dispatch._config_view import ConfigView
 from poplarrun.dispatch._failures import (
+    AnswerFailed,
     Attempt,
-    EndpointErrorResponse,
     Failure,
     NoConnection,
-    NotExecuted,
-    ResponseTimeout,
+    SaidNotRun,
+    TookTooLong,
     may_have_run,
 )
 from poplarrun.errors import ErrorKind, Refusal
@@ -289,18 +289,18 @@
         if attempt is not None:
             self._close_attempt(attempt)
         match failure:
-            case NotExecuted(is_other_instance=True):
+            case SaidNotRun(is_other_lifetime=True):
                 endpoint.record_failure(now)
-            case NotExecuted():
+            case SaidNotRun():
                 endpoint.record_overloaded(now)
-            case EndpointErrorResponse():
+            case AnswerFailed():
                 if attempt is not None:
                     self._record_evidence(work, attempt, True, AnswerTimes())
             case NoConnection():
                 work.connect_failures += 1
                 work.tried_endpoints.add(endpoint.record.instance_id)
                 endpoint.record_failure(now)
-            case ResponseTimeout(waited_s) if attempt is not None and _was_responsive(
+            case TookTooLong(waited_s) if attempt is not None and _was_responsive(
                 endpoint, waited_s, now
             ):
                 self._record_evidence(work, attempt, True, AnswerTimes())
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -17,28 +17,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotExecuted:
+class SaidNotRun:
     """The endpoint reported that it did not run the request.
 
     Attributes
     ----------
-    is_other_instance : bool
+    is_other_lifetime : bool
         Whether another endpoint instance now has the address.
     """
 
     status: int
-    is_other_instance: bool = False
+    is_other_lifetime: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointErrorResponse:
+class AnswerFailed:
     """The endpoint ran the request and answered with an error."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionLost:
+class ConnectionBroke:
     """The connection closed before the answer was complete; the request may have run."""
 
     reason: str
@@ -52,20 +52,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ResponseTimeout:
+class TookTooLong:
     """The endpoint was silent until its timeout; the request may have run."""
 
     waited_s: float
 
 
-Failure = (
-    NoConnection | NotExecuted | EndpointErrorResponse | ConnectionLost | Garbled | ResponseTimeout
-)
+Failure = NoConnection | SaidNotRun | AnswerFailed | ConnectionBroke | Garbled | TookTooLong
 
 
 def may_have_run(failure: Failure) -> bool:
     """Return whether the endpoint may have started to execute the request."""
-    return not isinstance(failure, NoConnection | NotExecuted)
+    return not isinstance(failure, NoConnection | SaidNotRun)
 
 
 def failure_label(failure: Failure) -> str:
@@ -73,17 +71,17 @@
     match failure:
         case NoConnection():
             return "no_connection"
-        case NotExecuted(is_other_instance=True):
+        case SaidNotRun(is_other_lifetime=True):
             return "other_lifetime"
-        case NotExecuted(status=status):
+        case SaidNotRun(status=status):
             return f"not_run_{status}"
-        case EndpointErrorResponse(status=status):
+        case AnswerFailed(status=status):
             return f"answer_{status}"
-        case ConnectionLost():
+        case ConnectionBroke():
             return "broken"
         case Garbled():
             return "garbled"
-        case ResponseTimeout():
+        case TookTooLong():
             return "too_long"
 
 
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass
 
 from poplarrun.dispatch import (
+    AnswerFailed,
     Attempt,
-    ConnectionLost,
+    ConnectionBroke,
     Dispatcher,
-    EndpointErrorResponse,
     Failure,
     Garbled,
     NoConnection,
-    NotExecuted,
-    ResponseTimeout,
+    SaidNotRun,
     SendDecision,
+    TookTooLong,
     event_gap_timeout_s,
     first_event_timeout_s,
 )
@@ -109,7 +109,7 @@
             async with asyncio.timeout(max(0.0, work.remaining_s(seconds_since_boot()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
-            self._end_attempt(ResponseTimeout(seconds_since_boot() - work.arrived_at))
+            self._end_attempt(TookTooLong(seconds_since_boot() - work.arrived_at))
             refusal = self._out_of_time()
         except asyncio.CancelledError:
             self._recorder.left(work)
@@ -196,9 +196,9 @@
             async with asyncio.timeout(patience_s):
                 head = await connection.read_head()
         except TimeoutError as error:
-            raise AttemptError(ResponseTimeout(seconds_since_boot() - attempt.sent_at)) from error
+            raise AttemptError(TookTooLong(seconds_since_boot() - attempt.sent_at)) from error
         except ConnectionBroken as error:
-            raise AttemptError(ConnectionLost(str(error))) from error
+            raise AttemptError(ConnectionBroke(str(error))) from error
         answer = decode_answer(head.status, head.headers)
         attempt.confidence = answer.confidence
         self._check_answer(answer, connection)
@@ -225,7 +225,7 @@
             raise AttemptError(Garbled("answers another request"))
         # Without an id, only the first answer on a connection is surely this one's.
         if answer.is_not_run and (is_ours or connection.uses == 1):
-            raise AttemptError(NotExecuted(answer.status, answer.status == 421))
+            raise AttemptError(SaidNotRun(answer.status, answer.status == 421))
         if not answer.is_genuine or not is_ours:
             raise AttemptError(Garbled("bears no signature"))
 
@@ -243,7 +243,7 @@
         body = await self._read_body(opened)
         self._give_back(opened)
         self._failed_answer = _Whole(opened.answer, body)
-        raise AttemptError(EndpointErrorResponse(opened.answer.status))
+        raise AttemptError(AnswerFailed(opened.answer.status))
 
     async def _read_body(self, opened: _Open) -> bytes:
         parts: list[bytes] = []
@@ -255,7 +255,7 @@
                 if size > MOST_ANSWER_BYTES:
                     raise AttemptError(Garbled("the answer is too large"))
         except ConnectionBroken as error:
-            raise AttemptError(ConnectionLost(str(error))) from error
+            raise AttemptError(ConnectionBroke(str(error))) from error
         return b"".join(parts)
 
     async def _relay_stream(self, opened: _Open) -> None:
@@ -272,11 +272,11 @@
                     await self._pass_on(opened, events)
                     patience_s = event_gap_timeout_s(self._work)
         except TimeoutError as error:
-            raise AttemptError(ResponseTimeout(patience_s or 0.0)) from error
+            raise AttemptError(TookTooLong(patience_s or 0.0)) from error
         except (ConnectionBroken, MalformedStream) as error:
-            raise AttemptError(ConnectionLost(str(error))) from error
+            raise AttemptError(ConnectionBroke(str(error))) from error
         if not cutter.is_between:
-            raise AttemptError(ConnectionLost("ended inside an event"))
+            raise AttemptError(ConnectionBroke("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
             self._is_started = True
