--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -9,13 +9,7 @@
     make_request,
     make_work,
 )
-from poplarrun.dispatch import (
-    ConfigView,
-    ConnectionLost,
-    EndpointErrorResponse,
-    ResponseTimeout,
-    SendDecision,
-)
+from poplarrun.dispatch import AnswerFailed, ConfigView, ConnectionBroke, SendDecision, TookTooLong
 from poplarrun.placement import EndpointEstimate
 from poplarrun.rollouts import (
     AnswerStatistics,
@@ -134,7 +128,7 @@
         send_to(context, "new", number, 102.0, 102.1)
     for work, attempt in [send_to(context, "new", 100 + n, 103.0) for n in range(broken)]:
         member = attempt.estimate.endpoint
-        dispatch.handle_failure(work, member, attempt, ConnectionLost("reset"), 103.5)
+        dispatch.handle_failure(work, member, attempt, ConnectionBroke("reset"), 103.5)
 
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
@@ -284,7 +278,7 @@
     assert len(context.late) == count
     for work, attempt in context.late:
         member = attempt.estimate.endpoint
-        context.dispatch.handle_failure(work, member, attempt, EndpointErrorResponse(500), 106.0)
+        context.dispatch.handle_failure(work, member, attempt, AnswerFailed(500), 106.0)
 
 
 @then("the version on trial has {bad:d} bad and {slow:d} slow answers of {ended:d}")
@@ -336,7 +330,7 @@
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
         if number * silent // good != (number + 1) * silent // good:
             work, attempt = send_to(context, "new", 200 + number, sent_at)
-            pending.append((sent_at + timeout, work, attempt, ResponseTimeout(timeout)))
+            pending.append((sent_at + timeout, work, attempt, TookTooLong(timeout)))
     time_out_answers(dispatch, pending, math.inf)
 
 
@@ -354,7 +348,7 @@
     for number in range(silent):
         sent_at = dark_at - 0.1 + number / 20.0
         work, attempt = send_to(context, "new", 200 + number, sent_at)
-        pending.append((sent_at + timeout, work, attempt, ResponseTimeout(timeout)))
+        pending.append((sent_at + timeout, work, attempt, TookTooLong(timeout)))
     time_out_answers(dispatch, pending, math.inf)
 
 
