--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -16,7 +16,7 @@
 from poplarrun.logging import EVENTS, NonBlockingHandler
 from poplarrun.metrics import Metrics
 from poplarrun.peers import DOCUMENTS, Digest, PeerTable
-from poplarrun.platform import LatestRecords, NoAnswer, Records, decode_listing
+from poplarrun.platform import LatestRecords, NoAnswer, Records, decode_endpoint_record
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import CallerServer, ConnectionPool
 from standins._ports import free_port
@@ -129,7 +129,7 @@
     async def read():
         # The first step reads the latest records.
         for _ in range(count + 1):
-            await context.follower._step()
+            await context.follower._read_once()
 
     asyncio.run(read())
 
@@ -268,10 +268,10 @@
 
 @given("a record of an endpoint {kind}")
 def step_record(context, kind):
-    assert decode_listing("engine-1", json.dumps(RECORD).encode()) is not None
+    assert decode_endpoint_record("engine-1", json.dumps(RECORD).encode()) is not None
     context.record = INVALID_RECORDS[kind].encode()
 
 
 @then("no endpoint is derived from it")
 def step_no_endpoint(context):
-    assert decode_listing("engine-1", context.record) is None
+    assert decode_endpoint_record("engine-1", context.record) is None
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -33,8 +33,8 @@
     context.peer_tables = [PeerTable("10.0.0.0:1", "a")]
 
 
-def wait_of(peer_table, current_as_of, topic=ENDPOINTS):
-    return ReadSchedule().wait_s(peer_table.reader_rank(topic, NOW), current_as_of, NOW)
+def wait_of(peer_table, confirmed_at, topic=ENDPOINTS):
+    return ReadSchedule().wait_s(peer_table.reader_rank(topic, NOW), confirmed_at, NOW)
 
 
 @then('exactly one of them reads "{topic}" now')
@@ -117,24 +117,24 @@
     context.follower = ListingFollower(
         context.store, context.directory, Placement("a", None), SharedReader(ENDPOINTS, peer_table)
     )
-    assert asyncio.run(context.follower._step())
-    context.follower.current_as_of = 0.0
+    assert asyncio.run(context.follower._read_once())
+    context.follower.confirmed_at = 0.0
 
 
 @when("it receives records {first:d} to {last:d} from a peer")
 def step_records(context, first, last):
-    context.follower.take_changes(make_entries(first, last), False)
+    context.follower.apply_changes(make_entries(first, last), False)
 
 
 @when("it receives records {first:d} to {last:d}, then {again:d} to {end:d} from a peer")
 def step_records_twice(context, first, last, again, end):
-    context.follower.take_changes(make_entries(first, last), False)
-    context.follower.take_changes(make_entries(again, end), False)
+    context.follower.apply_changes(make_entries(first, last), False)
+    context.follower.apply_changes(make_entries(again, end), False)
 
 
 @when("it receives from a peer that record {number:d} removes endpoint {gone:d} after an outage")
 def step_expiry(context, number, gone):
-    context.follower.take_changes((Entry(f"engine-{gone}", None, number),), True)
+    context.follower.apply_changes((Entry(f"engine-{gone}", None, number),), True)
 
 
 @then("it lists the endpoints of records {first:d} to {last:d}, each once")
@@ -151,34 +151,34 @@
     now = seconds_since_boot()
     health = context.follower._health
     health.answered_at = now - cut
-    context.follower._note_answer(now)
-    context.follower._take_records((Entry(f"engine-{gone}", None, number),), now)
+    context.follower._record_answer(now)
+    context.follower._apply_records((Entry(f"engine-{gone}", None, number),), now)
 
 
 @when("a peer reports that the store has answered it for the last {steady:f} s")
 def step_steady(context, steady):
     now = seconds_since_boot()
-    context.follower.note_steady(now - steady, now)
+    context.follower.record_available(now - steady, now)
 
 
 @when("a peer that has read up to record {last:d} proves its list current at {at:f}")
 def step_proves(context, last, at):
-    context.follower.note_proof(last + 1, at)
+    context.follower.record_proof(last + 1, at)
 
 
 @then("its list is proven current as of {at:f}")
 def step_current(context, at):
-    assert context.follower.current_as_of == at
+    assert context.follower.confirmed_at == at
 
 
 @then("it reads the store at once from record {number:d}")
 def step_reads(context, number):
     async def read():
         async with asyncio.timeout(1.0):
-            await context.follower.reading.wait(lambda: context.follower.current_as_of)
-        await context.follower._step()
+            await context.follower.reader.wait_until_due(lambda: context.follower.confirmed_at)
+        await context.follower._read_once()
 
-    context.follower.current_as_of = seconds_since_boot()
+    context.follower.confirmed_at = seconds_since_boot()
     asyncio.run(read())
     assert context.store.reads == [number], context.store.reads
 
--- a/features/steps/steward.py
+++ b/features/steps/steward.py
@@ -71,7 +71,7 @@
     async def run_rounds():
         for _ in range(count):
             for rollout in context.rollouts.active():
-                await context.controller._look_after(rollout)
+                await context.controller._evaluate(rollout)
             context.now += 0.25
 
     asyncio.run(run_rounds())
--- a/poplarrun/gateway/__init__.py
+++ b/poplarrun/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: the face that forwards requests as they are, on one loop."""
+"""Gateway: forwards callers' requests unchanged to endpoints, on one event loop."""
 
 from poplarrun.gateway._host import GatewayHost
 
--- a/poplarrun/gateway/__main__.py
+++ b/poplarrun/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m poplarrun.gateway``: a host on the users' platform."""
+"""``python -m poplarrun.gateway``: run a gateway host on the platform."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Serve until the platform asks to stop; return the exit code."""
+    """Serve until the platform asks the host to stop; return the exit code."""
     path = Path(os.environ.get(PATH_VARIABLE, ""))
     settings = load_node_settings(path)
     if isinstance(settings, InvalidSettings):
--- a/poplarrun/gateway/_activity.py
+++ b/poplarrun/gateway/_activity.py
@@ -1,4 +1,4 @@
-"""What a host tells others of its load and of roll-outs, and what it makes of their word."""
+"""Exchange of load totals and roll-out progress between this host's components and digests."""
 
 from dataclasses import dataclass
 
@@ -18,116 +18,118 @@
 from poplarrun.rollouts import Rollouts, Tally
 from poplarrun.routing import RolloutOrder, RolloutPhase, RolloutStatus
 
-# Under this name the sum of all other hosts stands among the tallies and loads.
+# Name of the entry for the totals of all other hosts among loads and tallies.
 OTHERS = "others"
 MILLISECONDS_PER_S = 1000.0
-# Least pause between two sums over all that other hosts told, in seconds.
-SUM_PAUSE_S = 0.05
+# Shortest interval between two summations of the totals of other hosts.
+MIN_SUM_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutState:
-    """How far a roll-out is, as far as other hosts must know at once.
+    """Progress of a roll-out of which other hosts must learn at once.
 
     Attributes
     ----------
     offset : int
-        Place of its order in the store's log.
+        Offset of the order in the store's log.
     """
 
     offset: int
     phase: RolloutPhase | None
-    is_shifted: bool
+    is_shift_decided: bool
 
 
-class Sharing:
-    """Loads, tallies and roll-outs, between this host's parts and the digests.
+class ActivityExchange:
+    """Fills digests with loads, tallies and roll-out progress, and applies those received.
 
     Parameters
     ----------
     zone : str
-        The host's own availability zone.
+        Availability zone of this host.
     """
 
     def __init__(self, zone: str, placement: Placement, rollouts: Rollouts) -> None:
         self._zone = zone
         self._placement = placement
         self._rollouts = rollouts
-        self._shares = TotalsTable()
-        self._is_news = False
-        self._summed_at = float("-inf")
+        self._totals_table = TotalsTable()
+        self._has_new_totals = False
+        self._last_sum_at = float("-inf")
 
-    def own(self) -> ActivityTotals:
-        """Return what this host runs, and saw of the versions in roll-outs."""
-        return ActivityTotals(1, self._loads(), self._tally_news())
+    def own_totals(self) -> ActivityTotals:
+        """Return the totals of this host alone."""
+        return ActivityTotals(1, self._loads(), self._tallies())
 
-    def note_told(self, share: ActivityTotals, stamp: float) -> None:
-        """Remember what this host told of itself, to take it out of the sums told back."""
-        self._shares.record_own(share, stamp)
+    def record_sent(self, totals: ActivityTotals, stamp: float) -> None:
+        """Remember the own totals that were sent, to subtract them from received totals."""
+        self._totals_table.record_own(totals, stamp)
 
     def stamp_of(self, host: str) -> float:
-        """Return the stamp of the share of a host that counts in the sums."""
-        return self._shares.stamp_of(host)
+        """Return the stamp of the totals of a host that are included in sums."""
+        return self._totals_table.stamp_of(host)
 
-    def sum_up(self, scope: Scope, own: ActivityTotals, now: float) -> ActivityTotals:
-        """Return the sum that a digest of a scope carries."""
+    def totals_for_scope(self, scope: Scope, own: ActivityTotals, now: float) -> ActivityTotals:
+        """Return the totals that a digest of a scope carries."""
         match scope:
             case Scope.ZONE:
-                return self._shares.compute_zone_totals(own, now)
+                return self._totals_table.compute_zone_totals(own, now)
             case Scope.FLEET:
-                return self._shares.compute_fleet_totals(own, now)
+                return self._totals_table.compute_fleet_totals(own, now)
             case _:
                 return own
 
-    def take(self, digest: Digest, now: float) -> None:
-        """Take in what a digest tells."""
-        self._take_rollouts(digest, now)
+    def apply_digest(self, digest: Digest, now: float) -> None:
+        """Apply the roll-out progress and the totals of a digest."""
+        self._apply_rollouts(digest, now)
         if digest.scope is Scope.NONE:
             return
-        share = decode_totals(digest.totals)
-        if share is None:
+        totals = decode_totals(digest.totals)
+        if totals is None:
             write_event(events.MessageUnreadable(len(digest.totals)))
             return
-        told = ReceivedTotals(share, now, digest.stamp)
-        is_near = digest.zone == self._zone
+        received = ReceivedTotals(totals, now, digest.stamp)
+        is_own_zone = digest.zone == self._zone
         match digest.scope:
-            case Scope.HOST if is_near:
-                self._shares.apply_host_totals(digest.address, told)
-            case Scope.ZONE if not is_near:
-                self._shares.apply_zone_totals(digest.zone, digest.address, told)
-            case Scope.FLEET if is_near:
-                self._shares.apply_fleet_totals(digest.address, told, digest.included_stamp)
-        self._is_news = True
-        if now - self._summed_at >= SUM_PAUSE_S:
-            self.apply(now)
-
-    def apply(self, now: float) -> None:
-        """Bring the sum of all others to the choice of endpoints and to the roll-outs."""
-        if not self._is_news:
+            case Scope.HOST if is_own_zone:
+                self._totals_table.apply_host_totals(digest.address, received)
+            case Scope.ZONE if not is_own_zone:
+                self._totals_table.apply_zone_totals(digest.zone, digest.address, received)
+            case Scope.FLEET if is_own_zone:
+                self._totals_table.apply_fleet_totals(
+                    digest.address, received, digest.included_stamp
+                )
+        self._has_new_totals = True
+        if now - self._last_sum_at >= MIN_SUM_INTERVAL_S:
+            self.apply_totals(now)
+
+    def apply_totals(self, now: float) -> None:
+        """Pass the totals of all other hosts to the choice of endpoints and to the roll-outs."""
+        if not self._has_new_totals:
             return
-        self._is_news = False
-        self._summed_at = now
-        others = self._shares.estimate_others(now)
+        self._has_new_totals = False
+        self._last_sum_at = now
+        others = self._totals_table.estimate_others(now)
         loads = {
-            load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS_PER_S)
+            load.instance_id: (load.in_flight, load.pending_ms / MILLISECONDS_PER_S)
             for load in others.loads
         }
         self._placement.apply_peer_load(OTHERS, loads)
         tallies = {
-            (news.service, news.version, news.kind): Tally(
-                news.ended,
-                news.failures,
-                news.slow,
-                news.paced,
-                news.log_pace,
-                set(news.broken),
+            (tally.service, tally.version, tally.kind): Tally(
+                tally.answers,
+                tally.failures,
+                tally.slow,
+                tally.paced_answers,
+                tally.log_pace_sum,
+                set(tally.interrupting_endpoints),
             )
-            for news in others.tallies
+            for tally in others.tallies
         }
         self._rollouts.statistics.apply_host_tallies(OTHERS, tallies)
 
     def rollout_states(self) -> list[RolloutState]:
-        """Return how far the roll-outs under way are."""
+        """Return the state of the roll-outs in progress."""
         return [
             RolloutState(
                 rollout.order.offset, rollout.recorded_phase, rollout.shift_decided_at is not None
@@ -135,8 +137,8 @@
             for rollout in self._rollouts.active()
         ]
 
-    def rollout_news(self, now: float) -> list[RolloutProgress]:
-        """Return what this host knows of the roll-outs under way."""
+    def rollout_progress(self, now: float) -> list[RolloutProgress]:
+        """Return what this host knows of the progress of recent roll-outs."""
         return [
             RolloutProgress(
                 rollout.order.service,
@@ -153,15 +155,15 @@
     def _loads(self) -> list[EndpointLoad]:
         return [
             EndpointLoad(
-                member.record.instance_id,
-                member.in_flight,
-                int(member.pending_prefill_s * MILLISECONDS_PER_S),
+                endpoint.record.instance_id,
+                endpoint.in_flight,
+                int(endpoint.pending_prefill_s * MILLISECONDS_PER_S),
             )
-            for member in self._placement.endpoints()
-            if member.in_flight
+            for endpoint in self._placement.endpoints()
+            if endpoint.in_flight
         ]
 
-    def _tally_news(self) -> list[VersionTally]:
+    def _tallies(self) -> list[VersionTally]:
         active = {rollout.order.service for rollout in self._rollouts.active()}
         return [
             VersionTally(
@@ -177,25 +179,31 @@
             if key[0] in active
         ]
 
-    def _take_rollouts(self, digest: Digest, now: float) -> None:
-        for news in digest.rollouts:
-            order = RolloutOrder(news.service, news.target, news.duration_s, news.offset)
-            if self._rollouts.apply_order(order, now, news.age_s):
+    def _apply_rollouts(self, digest: Digest, now: float) -> None:
+        for progress in digest.rollouts:
+            order = RolloutOrder(
+                progress.service, progress.target, progress.duration_s, progress.offset
+            )
+            if self._rollouts.apply_order(order, now, progress.age_s):
                 write_event(
                     events.RolloutOrdered(
-                        order.service, order.target, order.duration_s, digest.address, news.age_s
+                        order.service,
+                        order.target,
+                        order.duration_s,
+                        digest.address,
+                        progress.age_s,
                     )
                 )
-            rollout = self._rollouts.find(news.service)
-            if rollout is None or rollout.order.offset != news.offset:
+            rollout = self._rollouts.find(progress.service)
+            if rollout is None or rollout.order.offset != progress.offset:
                 continue
-            shifted_age_s = news.shifted_age_s
-            if shifted_age_s is not None and rollout.record_shift(now - shifted_age_s):
+            shift_decided_age_s = progress.shift_decided_age_s
+            if shift_decided_age_s is not None and rollout.record_shift(now - shift_decided_age_s):
                 write_event(
                     events.RolloutShifted(
                         order.service, order.target, digest.address, now - rollout.started_at
                     )
                 )
-            if news.phase is not None:
-                status = RolloutStatus(news.service, news.target, news.phase)
+            if progress.phase is not None:
+                status = RolloutStatus(progress.service, progress.target, progress.phase)
                 self._rollouts.apply_status(status)
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -1,4 +1,4 @@
-"""Followers of the store: the operators' documents, and the listed endpoints."""
+"""Followers of the store: operators' documents, list of endpoints, and phases of roll-outs."""
 
 import asyncio
 import math
@@ -25,134 +25,135 @@
     Refused,
     StoreClient,
     decode_catalogue,
-    decode_listing,
+    decode_endpoint_record,
     decode_order,
     decode_status,
 )
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import seconds_since_boot
 
-# Pause after a read of listed endpoints, in seconds: many may change one after the other.
-CHANGED_PAUSE_S = 0.1
-# Records that are taken away so soon after an outage may belong to endpoints that live.
-LAPSE_S = 0.8
-# Pause after a failed call, in seconds: long enough not to press a busy store.
-FAILED_PAUSE_S = 0.25
+# Pause after a read of the list of endpoints, since many may change one after the other.
+READ_PAUSE_S = 0.1
+# Records removed within this time after an outage may be those of live endpoints.
+LAPSE_WINDOW_S = 0.8
+# Pause after a failed call, long enough not to overload a busy store.
+RETRY_DELAY_S = 0.25
 
 
 @dataclass
 class StoreHealth:
-    """Whether the store answers this host.
+    """Detects outages of the store as seen by this host.
 
     Attributes
     ----------
-    outage_s : float
-        Without an answer, or a peer's proof, for longer than this an outage is under way, in
-        which endpoints' records may lapse although they live.
     answered_at : float
-        When it last did.
-    lost_at, back_at : float
-        When it answered last before an outage, and first after it.
-    steady_since : float
-        Since when it has answered without one.
-    is_out : bool
-        Whether an outage is under way.
+        When the store last answered.
+    outage_timeout_s : float
+        Time without an answer, or a peer's proof, after which there is an outage, in which
+        records of live endpoints may expire.
+    outage_began_at, outage_ended_at : float
+        Times of the last answer before the latest outage and of the first one after it.
+    available_since : float
+        Since when the store has answered without an outage.
+    is_outage : bool
+        Whether there is an outage now.
     """
 
     answered_at: float = 0.0
-    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_timeout_s
-    lost_at: float = math.inf
-    back_at: float = -math.inf
-    steady_since: float = math.inf
-    is_out: bool = False
-
-    def note_answer(self, now: float) -> bool:
-        """Take in an answer; True at the end of an outage."""
-        was_out = self.is_out or now - self.answered_at > self.outage_s + CHANGED_PAUSE_S
-        if was_out:
-            self.lost_at = self.answered_at
-            self.back_at = now
-        if was_out or self.steady_since == math.inf:
-            self.steady_since = now
+    outage_timeout_s: float = DEFAULT_READ_TIMEOUTS.outage_timeout_s
+    outage_began_at: float = math.inf
+    outage_ended_at: float = -math.inf
+    available_since: float = math.inf
+    is_outage: bool = False
+
+    def record_answer(self, now: float) -> bool:
+        """Record an answer; return True if it ends an outage."""
+        was_outage = self.is_outage or now - self.answered_at > self.outage_timeout_s + READ_PAUSE_S
+        if was_outage:
+            self.outage_began_at = self.answered_at
+            self.outage_ended_at = now
+        if was_outage or self.available_since == math.inf:
+            self.available_since = now
         self.answered_at = now
-        self.is_out = False
-        return was_out
+        self.is_outage = False
+        return was_outage
 
-    def note_proof(self, true_at: float) -> None:
-        """Take in that a peer has read all that the store had at a time."""
-        self.answered_at = max(self.answered_at, true_at)
+    def record_proof(self, confirmed_at: float) -> None:
+        """Record that a peer had read all records of the store at a time."""
+        self.answered_at = max(self.answered_at, confirmed_at)
 
-    def note_failure(self, now: float) -> bool:
-        """Take in a failure; True at the beginning of an outage."""
-        begins = not self.is_out and now - self.answered_at > self.outage_s
-        self.is_out = self.is_out or begins
+    def record_failure(self, now: float) -> bool:
+        """Record a failed call; return True if an outage begins."""
+        begins = not self.is_outage and now - self.answered_at > self.outage_timeout_s
+        self.is_outage = self.is_outage or begins
         return begins
 
-    def steady_s(self, now: float) -> float:
+    def available_s(self, now: float) -> float:
         """Return for how long the store has answered without an outage."""
-        if self.is_out or now - self.answered_at > self.outage_s:
+        if self.is_outage or now - self.answered_at > self.outage_timeout_s:
             return 0.0
-        return max(0.0, now - self.steady_since)
+        return max(0.0, now - self.available_since)
 
-    def note_steady(self, since: float, until: float) -> bool:
-        """Take in that the store answered a peer all that time.
+    def record_available(self, since: float, until: float) -> bool:
+        """Record that the store answered a peer during a period.
 
-        True where that shows that only this host was cut off, and there was no outage.
+        Return True if it thereby turns out that only this host was cut off from the store, and
+        that there was no outage.
         """
-        if self.is_out or since > self.lost_at or until < self.back_at:
+        if self.is_outage or since > self.outage_began_at or until < self.outage_ended_at:
             return False
-        was_taken_for_out = self.back_at > -math.inf
-        self.back_at = -math.inf
-        return was_taken_for_out
+        had_outage = self.outage_ended_at > -math.inf
+        self.outage_ended_at = -math.inf
+        return had_outage
 
 
-def _tell_nobody() -> None:
-    """Tell the zone nothing: there are no peers yet."""
+def _publish_nothing() -> None:
+    """Do nothing; used until the follower is connected to peers."""
 
 
-def _tell_no_changes(entries: tuple[Entry, ...], is_lapse: bool) -> None:
-    """Tell the zone nothing: there are no peers yet."""
+def _publish_no_changes(entries: tuple[Entry, ...], is_lapse: bool) -> None:
+    """Do nothing; used until the follower is connected to peers."""
 
 
 class DocumentFollower:
-    """Follows the operators' configuration and roll-out orders."""
+    """Follows the operators' configuration and orders of roll-outs."""
 
     def __init__(
         self,
         store: StoreClient,
-        knowledge: ConfigView,
+        config_view: ConfigView,
         rollouts: Rollouts,
-        changed: Callable[[], None],
-        reading: SharedReader,
+        on_change: Callable[[], None],
+        reader: SharedReader,
     ) -> None:
         self.offset: int | None = None
         self.raw_config = b""
-        self.reading = reading
-        self.tell_zone: Callable[[], None] = _tell_nobody
+        self.reader = reader
+        self.publish_proof: Callable[[], None] = _publish_nothing
         self._store = store
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._rollouts = rollouts
-        self._changed = changed
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
+        self._on_change = on_change
+        self._health = StoreHealth(seconds_since_boot(), reader.timeouts.outage_timeout_s)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the topic forever."""
         while True:
-            await self.reading.wait(lambda: self._knowledge.confirmed_at)
-            if await self._step():
-                self.tell_zone()
+            await self.reader.wait_until_due(lambda: self._config_view.confirmed_at)
+            if await self._read_once():
+                self.publish_proof()
             else:
-                await asyncio.sleep(FAILED_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _step(self) -> bool:
+    async def _read_once(self) -> bool:
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
-                self._take_all(entries, now)
+            case LatestRecords(entries=entries, end_offset=end, confirmed_at=confirmed_at):
+                self._apply_entries(entries, now)
                 self.offset = end
-            case Records(entries=entries, end_offset=end, current_as_of=current_as_of):
-                self._take_all(entries, now)
+            case Records(entries=entries, end_offset=end, confirmed_at=confirmed_at):
+                self._apply_entries(entries, now)
                 self.offset = entries[-1].offset + 1 if entries else self.offset
                 if self.offset is not None and self.offset < end:
                     return True
@@ -161,37 +162,37 @@
                 self.offset = None
                 return True
             case Refused() | NoAnswer():
-                self.reading.has_failed = True
-                if self._health.note_failure(now):
+                self.reader.has_failed = True
+                if self._health.record_failure(now):
                     write_event(events.StoreLost("documents", repr(answer)))
                 return False
-        self.reading.has_failed = False
-        if self._health.note_answer(now):
+        self.reader.has_failed = False
+        if self._health.record_answer(now):
             write_event(events.StoreBack("documents", self.offset or 0))
-        if self._knowledge.catalogue is not None:
-            self._knowledge.confirm(current_as_of)
+        if self._config_view.catalogue is not None:
+            self._config_view.confirm(confirmed_at)
         return True
 
     async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
         if self.offset is None:
             return await self._store.read_latest(OPERATOR_TOPIC)
-        return await self._store.read(OPERATOR_TOPIC, self.offset, self.reading.held_s)
+        return await self._store.read(OPERATOR_TOPIC, self.offset, self.reader.long_poll_s)
 
-    def note_proof(self, true_at: float) -> None:
-        """Take in that a peer proved the configuration of this host the newest."""
-        self._knowledge.confirm(true_at)
-        self._health.note_proof(true_at)
+    def record_proof(self, confirmed_at: float) -> None:
+        """Record that a peer proved this host's configuration to be current."""
+        self._config_view.confirm(confirmed_at)
+        self._health.record_proof(confirmed_at)
 
-    def _take_all(self, entries: tuple[Entry, ...], now: float) -> None:
+    def _apply_entries(self, entries: tuple[Entry, ...], now: float) -> None:
         for entry in entries:
-            self._take(entry, now)
+            self._apply_entry(entry, now)
 
-    def _take(self, entry: Entry, now: float) -> None:
+    def _apply_entry(self, entry: Entry, now: float) -> None:
         if entry.value is None:
             return
         try:
             if entry.key == CONFIG_KEY:
-                self.take_config(entry.value)
+                self.apply_config(entry.value)
             elif entry.key.startswith(ROLLOUT_PREFIX):
                 order = decode_order(entry.value, entry.offset)
                 if self._rollouts.apply_order(order, now):
@@ -203,187 +204,188 @@
         except MalformedDocument as error:
             write_event(events.DocumentIgnored(entry.key, str(error)))
 
-    def take_config(self, value: bytes, source: str = "store") -> None:
-        """Take in a configuration as it stands in the store.
+    def apply_config(self, value: bytes, source: str = "store") -> None:
+        """Apply a configuration document.
 
         Raises
         ------
-        Malformed
-            When it can't be decoded.
+        MalformedDocument
+            If it can't be decoded.
         """
         catalogue = decode_catalogue(value)
-        if self._knowledge.apply_catalogue(catalogue):
+        if self._config_view.apply_catalogue(catalogue):
             self.raw_config = value
             write_event(events.ConfigInForce(catalogue.version, source))
-            self._changed()
+            self._on_change()
 
 
 class ListingFollower:
-    """Follows the listed endpoints."""
+    """Follows the list of endpoints."""
 
     def __init__(
         self,
         store: StoreClient,
         directory: EndpointDirectory,
         placement: Placement,
-        reading: SharedReader,
+        reader: SharedReader,
     ) -> None:
-        self.is_known = False
-        self.is_served = False
-        self.current_as_of = float("-inf")
-        self.reading = reading
-        self.tell_zone: Callable[[], None] = _tell_nobody
-        self.tell_changes: Callable[[tuple[Entry, ...], bool], None] = _tell_no_changes
+        self.has_read_store = False
+        self.is_usable = False
+        self.confirmed_at = float("-inf")
+        self.reader = reader
+        self.publish_proof: Callable[[], None] = _publish_nothing
+        self.publish_changes: Callable[[tuple[Entry, ...], bool], None] = _publish_no_changes
         self._store = store
         self._directory = directory
         self._placement = placement
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
+        self._health = StoreHealth(seconds_since_boot(), reader.timeouts.outage_timeout_s)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the topic forever."""
         while True:
-            await self.reading.wait(lambda: self.current_as_of)
-            is_good = await self._step()
+            await self.reader.wait_until_due(lambda: self.confirmed_at)
+            has_succeeded = await self._read_once()
             self._expire(seconds_since_boot())
-            if is_good:
-                self.tell_zone()
-            await asyncio.sleep(CHANGED_PAUSE_S if is_good else FAILED_PAUSE_S)
+            if has_succeeded:
+                self.publish_proof()
+            await asyncio.sleep(READ_PAUSE_S if has_succeeded else RETRY_DELAY_S)
 
-    async def _step(self) -> bool:
+    async def _read_once(self) -> bool:
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
-                self._take_newest(entries, now)
+            case LatestRecords(entries=entries, end_offset=end, confirmed_at=confirmed_at):
+                self._apply_latest(entries, now)
                 self._directory.next_offset = end
-                self.is_known = True
-                self.is_served = True
-            case Records(entries=entries, current_as_of=current_as_of):
-                self._note_answer(now)
-                self._take_records(entries, now)
+                self.has_read_store = True
+                self.is_usable = True
+            case Records(entries=entries, confirmed_at=confirmed_at):
+                self._record_answer(now)
+                self._apply_records(entries, now)
             case OffsetExpired():
                 write_event(events.HistoryDropped("endpoints"))
-                self.is_known = False
-                return await self._step()
+                self.has_read_store = False
+                return await self._read_once()
             case Refused() | NoAnswer():
-                self.reading.has_failed = True
-                if self._health.note_failure(now):
+                self.reader.has_failed = True
+                if self._health.record_failure(now):
                     write_event(events.StoreLost("endpoints", repr(answer)))
                 return False
-        self.reading.has_failed = False
-        self._note_answer(now)
-        self.current_as_of = max(self.current_as_of, current_as_of)
+        self.reader.has_failed = False
+        self._record_answer(now)
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
         self._placement.update_endpoints(self._directory.records())
         return True
 
-    def _take_records(self, entries: tuple[Entry, ...], now: float) -> None:
-        is_lapse = self._is_lapse(now)
+    def _apply_records(self, entries: tuple[Entry, ...], now: float) -> None:
+        is_lapse = self._may_have_expired(now)
         for entry in entries:
-            self._take(entry, now, is_lapse)
+            self._apply_entry(entry, now, is_lapse)
         if entries:
-            # A peer may have told of some of them while the read was under way.
+            # Some of them may have arrived from a peer while the read was in progress.
             self._directory.next_offset = max(self._directory.next_offset, entries[-1].offset + 1)
-            self.tell_changes(entries, is_lapse)
+            self.publish_changes(entries, is_lapse)
 
-    def note_proof(self, end: int, true_at: float) -> None:
-        """Take in that a peer had read all that the store had at a time."""
-        if not self.is_known:
+    def record_proof(self, end: int, confirmed_at: float) -> None:
+        """Record that a peer had read all records of the store at a time."""
+        if not self.has_read_store:
             return
         if end > self._directory.next_offset:
-            self.reading.hurry()
+            self.reader.read_now()
         elif end == self._directory.next_offset:
-            self.current_as_of = max(self.current_as_of, true_at)
-            self._health.note_proof(true_at)
+            self.confirmed_at = max(self.confirmed_at, confirmed_at)
+            self._health.record_proof(confirmed_at)
 
-    def steady_s(self, now: float) -> float:
+    def available_s(self, now: float) -> float:
         """Return for how long the store has answered without an outage."""
-        return self._health.steady_s(now)
+        return self._health.available_s(now)
 
-    def note_steady(self, since: float, until: float) -> None:
-        """Take in that the store answered a peer all that time.
+    def record_available(self, since: float, until: float) -> None:
+        """Record that the store answered a peer during a period.
 
-        What was taken for lapsed in an outage that there was not has really left.
+        If this host's outage turns out to have been none, the endpoints that it kept because
+        their records might have expired have really left.
         """
-        if self._health.note_steady(since, until):
-            self._drop_lapsed(seconds_since_boot(), 0.0)
+        if self._health.record_available(since, until):
+            self._remove_lapsed(seconds_since_boot(), 0.0)
 
-    def take_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
-        """Take in records that a peer has read; after a gap this host reads for itself."""
-        if not self.is_known or not entries:
+    def apply_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
+        """Apply records that a peer has read; if some are missing, read them from the store."""
+        if not self.has_read_store or not entries:
             return
         if entries[0].offset > self._directory.next_offset:
-            self.reading.hurry()
+            self.reader.read_now()
             return
-        fresh = [entry for entry in entries if entry.offset >= self._directory.next_offset]
-        if not fresh:
+        new_entries = [entry for entry in entries if entry.offset >= self._directory.next_offset]
+        if not new_entries:
             return
         now = seconds_since_boot()
-        for entry in fresh:
-            self._take(entry, now, is_lapse)
-        self._directory.next_offset = fresh[-1].offset + 1
+        for entry in new_entries:
+            self._apply_entry(entry, now, is_lapse)
+        self._directory.next_offset = new_entries[-1].offset + 1
         self._placement.update_endpoints(self._directory.records())
 
-    def take_from_peer(self) -> None:
-        """Put what a peer told of the endpoints into force.
+    def apply_peer_listing(self) -> None:
+        """Use the endpoints that a peer sent.
 
-        The place in the log stays: records that a peer has read are read again.
+        The read offset stays, so that this host reads the peer's records again.
         """
-        self.is_served = True
+        self.is_usable = True
         self._placement.update_endpoints(self._directory.records())
 
     async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
-        if not self.is_known:
+        if not self.has_read_store:
             return await self._store.read_latest(ENDPOINT_TOPIC)
-        offset, held_s = self._directory.next_offset, self.reading.held_s
-        return await self._store.read(ENDPOINT_TOPIC, offset, held_s)
+        offset, long_poll_s = self._directory.next_offset, self.reader.long_poll_s
+        return await self._store.read(ENDPOINT_TOPIC, offset, long_poll_s)
 
-    def _note_answer(self, now: float) -> None:
-        if self._health.note_answer(now):
+    def _record_answer(self, now: float) -> None:
+        if self._health.record_answer(now):
             write_event(events.StoreBack("endpoints", self._directory.next_offset))
 
-    def _take_newest(self, entries: tuple[Entry, ...], now: float) -> None:
-        listed = {entry.key for entry in entries}
-        is_lapse = self._is_lapse(now)
+    def _apply_latest(self, entries: tuple[Entry, ...], now: float) -> None:
+        listed_ids = {entry.key for entry in entries}
+        is_lapse = self._may_have_expired(now)
         for entry in entries:
-            self._take(entry, now, is_lapse)
-        for listing in self._directory.records():
-            if listing.instance_id not in listed:
-                self._remove(listing.instance_id, now, is_lapse)
+            self._apply_entry(entry, now, is_lapse)
+        for record in self._directory.records():
+            if record.instance_id not in listed_ids:
+                self._remove(record.instance_id, now, is_lapse)
 
-    def _is_lapse(self, now: float) -> bool:
-        """Return whether records that are gone may have lapsed with an outage of the store."""
-        return self._health.is_out or now - self._health.back_at < LAPSE_S
+    def _may_have_expired(self, now: float) -> bool:
+        """Return whether records removed now may have expired in an outage of the store."""
+        return self._health.is_outage or now - self._health.outage_ended_at < LAPSE_WINDOW_S
 
-    def _take(self, entry: Entry, now: float, is_lapse: bool) -> None:
+    def _apply_entry(self, entry: Entry, now: float, is_lapse: bool) -> None:
         if entry.value is None:
             self._remove(entry.key, now, is_lapse)
             return
-        listing = decode_listing(entry.key, entry.value)
-        if listing is None:
+        record = decode_endpoint_record(entry.key, entry.value)
+        if record is None:
             write_event(events.RecordIgnored(entry.key))
             return
-        event = self._directory.apply(listing, now)
+        event = self._directory.apply(record, now)
         if event not in (DirectoryEvent.NOTHING, DirectoryEvent.CHANGED):
             write_event(
                 events.EndpointChanged(
-                    listing.instance_id,
+                    record.instance_id,
                     event.value,
-                    listing.service,
-                    listing.address,
-                    listing.version,
+                    record.service,
+                    record.address,
+                    record.version,
                 )
             )
 
-    def _remove(self, lifetime: str, now: float, is_lapse: bool) -> None:
-        event = self._directory.remove(lifetime, now, is_lapse)
+    def _remove(self, instance_id: str, now: float, is_lapse: bool) -> None:
+        event = self._directory.remove(instance_id, now, is_lapse)
         if event is DirectoryEvent.REMOVED:
-            write_event(events.EndpointsGone([lifetime], "removed"))
+            write_event(events.EndpointsGone([instance_id], "removed"))
 
     def _expire(self, now: float) -> None:
-        if not self._health.is_out:
-            self._drop_lapsed(now, LAPSE_GRACE_S)
+        if not self._health.is_outage:
+            self._remove_lapsed(now, LAPSE_GRACE_S)
 
-    def _drop_lapsed(self, now: float, grace_s: float) -> None:
+    def _remove_lapsed(self, now: float, grace_s: float) -> None:
         gone = self._directory.expire(now, grace_s)
         if gone:
             write_event(events.EndpointsGone(gone, "lapsed"))
@@ -391,7 +393,7 @@
 
 
 class StatusFollower:
-    """Reads what is recorded of roll-outs, while any is under way."""
+    """Reads the recorded phases of roll-outs while any is in progress."""
 
     def __init__(self, store: StoreClient, rollouts: Rollouts) -> None:
         self.offset = 0
@@ -399,7 +401,7 @@
         self._rollouts = rollouts
 
     async def read(self) -> bool:
-        """Read to the end of the records; False when the store does not answer."""
+        """Read all records; return False if the store does not answer."""
         answer = await self._store.read_latest(STATUS_TOPIC)
         if not isinstance(answer, LatestRecords):
             return False
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its answer: sends, failures and sends elsewhere."""
+"""Forwarding of one request: sends, failures, retries at other endpoints, and the answer."""
 
 import asyncio
 from dataclasses import dataclass
@@ -32,16 +32,16 @@
     seconds_since_boot,
 )
 
-# Longest wait for a connection, in seconds. Both ways between zones take some 10 ms;
-# an opening packet that was dropped is repeated only after a second.
+# Longest wait for a connection. The round trip between zones takes some 10 ms; a lost SYN packet is
+# repeated only after a second.
 CONNECT_TIMEOUT_S = 0.4
-# Largest answer of a plain service that is kept until it is whole, in bytes.
-MOST_ANSWER_BYTES = 8 * 1024 * 1024
-SUCCESS = range(200, 300)
+# Largest answer of a plain service, which is buffered until it is complete.
+MAX_ANSWER_BYTES = 8 * 1024 * 1024
+SUCCESS_STATUSES = range(200, 300)
 
 
 class AttemptError(Exception):
-    """Carries a failure of one send out of the reading of its answer."""
+    """Raised with the failure of one send while its answer is read."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(str(failure))
@@ -49,7 +49,7 @@
 
 
 class RefusedError(Exception):
-    """Carries a refusal out of the step that would have sent the request."""
+    """Raised with a refusal in place of sending the request."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -57,8 +57,8 @@
 
 
 @dataclass(slots=True)
-class _Open:
-    """A send whose answer is awaited."""
+class _OpenAnswer:
+    """A send of which the head of the answer has arrived."""
 
     attempt: Attempt
     connection: ClientConnection
@@ -66,134 +66,134 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Whole:
-    """An answer that was read to its end."""
+class _CompleteAnswer:
+    """An answer that was read completely."""
 
     answer: EndpointAnswer
     body: bytes
 
 
 class RequestForwarder:
-    """One admitted request.
+    """Forwards one admitted request.
 
     Parameters
     ----------
     caller : CallerConnection
-        Gets the answer; the exchange is cancelled when it leaves.
+        Gets the answer; the forwarding is cancelled when it disconnects.
     """
 
     def __init__(
         self,
-        dispatch: Dispatcher,
+        dispatcher: Dispatcher,
         pool: ConnectionPool,
         caller: CallerConnection,
         work: InFlightRequest,
         recorder: RequestRecorder,
         sessions: SessionLookup,
     ) -> None:
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._pool = pool
         self._caller = caller
         self._work = work
         self._recorder = recorder
         self._sessions = sessions
         self._is_started = False
-        self._failed_answer: _Whole | None = None
+        self._error_answer: _CompleteAnswer | None = None
         self._attempt: Attempt | None = None
         self._connection: ClientConnection | None = None
 
     async def run(self) -> None:
-        """Answer the caller, by a whole answer, a refusal or a break-off."""
+        """Answer the caller with a complete answer, a refusal, or an aborted answer."""
         work = self._work
         try:
             async with asyncio.timeout(max(0.0, work.remaining_s(seconds_since_boot()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
-            self._end_attempt(ResponseTimeout(seconds_since_boot() - work.arrived_at))
-            refusal = self._out_of_time()
+            self._fail_attempt(ResponseTimeout(seconds_since_boot() - work.arrived_at))
+            refusal = self._timeout_refusal()
         except asyncio.CancelledError:
-            self._recorder.left(work)
+            self._recorder.record_disconnect(work)
             raise
         finally:
-            self._drop_attempt()
+            self._cancel_attempt()
         if refusal is not None:
             self._refuse(refusal)
 
     async def _try_endpoints(self) -> Refusal | None:
-        """Send until an answer is whole; None when the caller has it."""
+        """Send until an answer is complete; return a refusal if there is none."""
         if not await self._sessions.resolve(self._work):
-            self._recorder.unanswered()
+            self._recorder.record_session_unanswered()
         while True:
             now = seconds_since_boot()
-            step = self._dispatch.choose_endpoint(self._work, now)
-            self._recorder.chosen(self._work, seconds_since_boot() - now)
-            if isinstance(step, Refusal):
-                return step
+            decision = self._dispatcher.choose_endpoint(self._work, now)
+            self._recorder.record_choice(self._work, seconds_since_boot() - now)
+            if isinstance(decision, Refusal):
+                return decision
             try:
-                if await self._try_one(step):
+                if await self._send_once(decision):
                     return None
             except RefusedError as error:
                 return error.refusal
             except AttemptError as error:
-                refusal = self._learn(step, error.failure)
+                refusal = self._handle_failure(decision, error.failure)
                 if refusal is not None:
                     return refusal
 
-    async def _try_one(self, step: SendDecision) -> bool:
-        """Send once; False when a larger model is to be asked instead."""
+    async def _send_once(self, decision: SendDecision) -> bool:
+        """Send once; return False if a larger model should be asked instead."""
         is_stream = self._work.route.repeat_policy is RepeatPolicy.STREAM
-        opened = await self._open(step)
-        answer = opened.answer
-        if answer.status not in SUCCESS:
-            await self._read_failure(opened)
+        open_answer = await self._send_and_read_head(decision)
+        answer = open_answer.answer
+        if answer.status not in SUCCESS_STATUSES:
+            await self._read_error_answer(open_answer)
         elif not is_stream:
-            await self._relay_whole(opened)
-        elif self._drop_for_larger(opened):
+            await self._forward_complete(open_answer)
+        elif self._escalate(open_answer):
             return False
         else:
-            await self._relay_stream(opened)
+            await self._forward_stream(open_answer)
         return True
 
-    def _drop_for_larger(self, opened: _Open) -> bool:
-        """Drop a doubtful answer, of which the caller has seen nothing."""
-        confidence = opened.answer.confidence
+    def _escalate(self, open_answer: _OpenAnswer) -> bool:
+        """Discard an answer of low confidence of which the caller has got nothing yet."""
+        confidence = open_answer.answer.confidence
         now = seconds_since_boot()
         if self._is_started or confidence is None:
             return False
-        if not self._dispatch.try_escalate(self._work, opened.attempt, confidence, now):
+        if not self._dispatcher.try_escalate(self._work, open_answer.attempt, confidence, now):
             return False
         self._attempt = None
         self._abort_connection()
-        self._recorder.dropped(self._work, confidence)
+        self._recorder.record_escalation(self._work, confidence)
         return True
 
-    async def _open(self, step: SendDecision) -> _Open:
-        """Connect, send and wait for the head of the answer."""
-        connection = await self._connect(step)
+    async def _send_and_read_head(self, decision: SendDecision) -> _OpenAnswer:
+        """Connect, send, and wait for the head of the answer."""
+        connection = await self._connect(decision)
         self._connection = connection
         work = self._work
-        # Nothing may be awaited between this check and the hand-over: a request that
-        # waited, or a host that was suspended, would send what is due to be refused.
+        # There must be no await between this check and the send: after waiting, or after a
+        # suspension of the host, a request could be sent that has to be refused by then.
         now = seconds_since_boot()
-        refusal = self._dispatch.recheck(work, now)
+        refusal = self._dispatcher.recheck(work, now)
         if refusal is not None:
             raise RefusedError(refusal)
-        lifetime = step.estimate.endpoint.record.instance_id
-        is_resumed, work.model_size = work.last_event_id is not None, step.size
-        headers = encode_request_headers(work, lifetime, work.remaining_s(now), step.urgency)
+        instance_id = decision.estimate.endpoint.record.instance_id
+        is_resumed, work.model_size = work.last_event_id is not None, decision.size
+        headers = encode_request_headers(work, instance_id, work.remaining_s(now), decision.urgency)
         request = work.request
         is_sent = connection.send(request.method, request.target, headers, request.body)
         if not is_sent:
-            raise AttemptError(NoConnection("closed before the send"))
-        attempt = self._dispatch.record_sent(work, step, now)
+            raise AttemptError(NoConnection("connection closed before the send"))
+        attempt = self._dispatcher.record_sent(work, decision, now)
         self._attempt = attempt
-        # What may run only once is left to end although its caller has gone: whether it
-        # ran would stay unknown otherwise.
+        # A request that may run only once is completed even if its caller disconnects, because
+        # otherwise it would stay unknown whether it ran.
         self._caller.is_shielded = not work.route.can_repeat
-        self._recorder.sent(work, step, now, is_resumed)
-        patience_s = first_event_timeout_s(work, step.estimate)
+        self._recorder.record_send(work, decision, now, is_resumed)
+        timeout_s = first_event_timeout_s(work, decision.estimate)
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 head = await connection.read_head()
         except TimeoutError as error:
             raise AttemptError(ResponseTimeout(seconds_since_boot() - attempt.sent_at)) from error
@@ -202,151 +202,153 @@
         answer = decode_answer(head.status, head.headers)
         attempt.confidence = answer.confidence
         self._check_answer(answer, connection)
-        return _Open(attempt, connection, answer)
+        return _OpenAnswer(attempt, connection, answer)
 
-    async def _connect(self, step: SendDecision) -> ClientConnection:
-        listing = step.estimate.endpoint.record
+    async def _connect(self, decision: SendDecision) -> ClientConnection:
+        record = decision.estimate.endpoint.record
         if self._work.route.can_repeat:
-            idle = self._pool.acquire_idle(listing.address, listing.instance_id)
+            idle = self._pool.acquire_idle(record.address, record.instance_id)
             if idle is not None:
                 return idle
-        # What may run only once gets a connection of its own: on one that was used
-        # before, the endpoint may be closing it, and a late second answer of the
-        # request before would be taken for this one's.
+        # A request that may run only once gets a new connection. The endpoint may be closing a
+        # reused one, and a late second answer to the previous request could be mistaken for the
+        # answer to this one.
         try:
-            return await self._pool.open(listing.address, CONNECT_TIMEOUT_S)
+            return await self._pool.open(record.address, CONNECT_TIMEOUT_S)
         except ConnectFailed as error:
             raise AttemptError(NoConnection(str(error))) from error
 
     def _check_answer(self, answer: EndpointAnswer, connection: ClientConnection) -> None:
-        """Tell apart what the endpoint states, and bytes that answer something else."""
-        is_ours = answer.request_id == self._work.request.id
-        if answer.request_id is not None and not is_ours:
+        """Raise unless the answer comes from the endpoint and belongs to this request."""
+        answers_request = answer.request_id == self._work.request.id
+        if answer.request_id is not None and not answers_request:
             raise AttemptError(Garbled("answers another request"))
-        # Without an id, only the first answer on a connection is surely this one's.
-        if answer.is_not_run and (is_ours or connection.uses == 1):
+        # Without a request id, only the first answer on a connection surely belongs to this one.
+        if answer.is_not_run and (answers_request or connection.uses == 1):
             raise AttemptError(NotExecuted(answer.status, answer.status == 421))
-        if not answer.is_signed or not is_ours:
-            raise AttemptError(Garbled("bears no signature"))
+        if not answer.is_signed or not answers_request:
+            raise AttemptError(Garbled("has no signature or no request id"))
 
-    async def _relay_whole(self, opened: _Open) -> None:
-        body = await self._read_body(opened)
+    async def _forward_complete(self, open_answer: _OpenAnswer) -> None:
+        body = await self._read_body(open_answer)
         now = seconds_since_boot()
-        self._dispatch.record_first_event(self._work, opened.attempt, now)
-        self._recorder.first(self._work, opened.attempt)
-        self._end_well(opened, now)
+        self._dispatcher.record_first_event(self._work, open_answer.attempt, now)
+        self._recorder.record_first_event(self._work, open_answer.attempt)
+        self._complete(open_answer, now)
         self._is_started = True
-        self._caller.respond(opened.answer.status, list(opened.answer.headers), body)
+        self._caller.respond(open_answer.answer.status, list(open_answer.answer.headers), body)
 
-    async def _read_failure(self, opened: _Open) -> None:
-        """Keep a failure of the endpoint's own; the caller gets it if nothing follows."""
-        body = await self._read_body(opened)
-        self._give_back(opened)
-        self._failed_answer = _Whole(opened.answer, body)
-        raise AttemptError(ErrorResponse(opened.answer.status))
+    async def _read_error_answer(self, open_answer: _OpenAnswer) -> None:
+        """Keep an error answer of the endpoint, which the caller gets if all retries fail."""
+        body = await self._read_body(open_answer)
+        self._release_connection(open_answer)
+        self._error_answer = _CompleteAnswer(open_answer.answer, body)
+        raise AttemptError(ErrorResponse(open_answer.answer.status))
 
-    async def _read_body(self, opened: _Open) -> bytes:
+    async def _read_body(self, open_answer: _OpenAnswer) -> bytes:
         parts: list[bytes] = []
         size = 0
         try:
-            while (data := await opened.connection.read_data()) is not None:
+            while (data := await open_answer.connection.read_data()) is not None:
                 parts.append(data)
                 size += len(data)
-                if size > MOST_ANSWER_BYTES:
-                    raise AttemptError(Garbled("the answer is too large"))
+                if size > MAX_ANSWER_BYTES:
+                    raise AttemptError(Garbled("the answer exceeds the size limit"))
         except ConnectionBroken as error:
             raise AttemptError(ConnectionLost(str(error))) from error
         return b"".join(parts)
 
-    async def _relay_stream(self, opened: _Open) -> None:
-        cutter = EventParser()
-        patience_s = first_event_timeout_s(self._work, opened.attempt.estimate)
+    async def _forward_stream(self, open_answer: _OpenAnswer) -> None:
+        parser = EventParser()
+        timeout_s = first_event_timeout_s(self._work, open_answer.attempt.estimate)
         try:
             while True:
-                async with asyncio.timeout(patience_s):
-                    data = await opened.connection.read_data()
+                async with asyncio.timeout(timeout_s):
+                    data = await open_answer.connection.read_data()
                 if data is None:
                     break
-                events = cutter.feed(data)
+                events = parser.feed(data)
                 if events:
-                    await self._pass_on(opened, events)
-                    patience_s = event_gap_timeout_s(self._work)
+                    await self._forward_events(open_answer, events)
+                    timeout_s = event_gap_timeout_s(self._work)
         except TimeoutError as error:
-            raise AttemptError(ResponseTimeout(patience_s or 0.0)) from error
+            raise AttemptError(ResponseTimeout(timeout_s or 0.0)) from error
         except (ConnectionBroken, MalformedStream) as error:
             raise AttemptError(ConnectionLost(str(error))) from error
-        if not cutter.is_at_boundary:
+        if not parser.is_at_boundary:
             raise AttemptError(ConnectionLost("ended inside an event"))
         if not self._is_started:
-            self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
+            self._caller.start_stream(open_answer.answer.status, list(open_answer.answer.headers))
             self._is_started = True
-        self._end_well(opened, seconds_since_boot())
+        self._complete(open_answer, seconds_since_boot())
         self._caller.end_response()
 
-    async def _pass_on(self, opened: _Open, events: list[Event]) -> None:
-        """Send whole events to the caller, each once and in order."""
-        if opened.attempt.first_event_at is None:
-            self._dispatch.record_first_event(self._work, opened.attempt, seconds_since_boot())
-            self._recorder.first(self._work, opened.attempt)
-        opened.attempt.record_events(len(events), seconds_since_boot())
-        due = self._due(events)
-        if not due:
+    async def _forward_events(self, open_answer: _OpenAnswer, events: list[Event]) -> None:
+        """Forward complete events to the caller, each once and in order."""
+        if open_answer.attempt.first_event_at is None:
+            self._dispatcher.record_first_event(
+                self._work, open_answer.attempt, seconds_since_boot()
+            )
+            self._recorder.record_first_event(self._work, open_answer.attempt)
+        open_answer.attempt.record_events(len(events), seconds_since_boot())
+        new_events = self._select_new_events(events)
+        if not new_events:
             return
         if not self._is_started:
             self._is_started = True
-            self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
-        await self._caller.send_chunk(b"".join(event.data for event in due))
+            self._caller.start_stream(open_answer.answer.status, list(open_answer.answer.headers))
+        await self._caller.send_chunk(b"".join(event.data for event in new_events))
 
-    def _due(self, events: list[Event]) -> list[Event]:
-        """Return the events that follow those that the caller has."""
+    def _select_new_events(self, events: list[Event]) -> list[Event]:
+        """Return the events that follow those that the caller already has."""
         work = self._work
-        due = []
+        new_events = []
         for event in events:
             if event.id is None:
-                due.append(event)
+                new_events.append(event)
                 continue
-            before = work.last_event_id
-            if before is not None and event.id <= before:
+            last_event_id = work.last_event_id
+            if last_event_id is not None and event.id <= last_event_id:
                 continue
-            if before is not None and event.id > before + 1:
-                raise AttemptError(Garbled(f"event {event.id} follows {before}"))
+            if last_event_id is not None and event.id > last_event_id + 1:
+                raise AttemptError(Garbled(f"event {event.id} follows {last_event_id}"))
             work.last_event_id = event.id
-            due.append(event)
-        return due
+            new_events.append(event)
+        return new_events
 
-    def _end_well(self, opened: _Open, now: float) -> None:
+    def _complete(self, open_answer: _OpenAnswer, now: float) -> None:
         self._attempt = None
-        self._give_back(opened)
-        self._dispatch.record_completed(self._work, opened.attempt, now)
-        self._recorder.answered(self._work, opened.answer.status, opened.attempt)
+        self._release_connection(open_answer)
+        self._dispatcher.record_completed(self._work, open_answer.attempt, now)
+        self._recorder.record_answer(self._work, open_answer.answer.status, open_answer.attempt)
 
-    def _give_back(self, opened: _Open) -> None:
+    def _release_connection(self, open_answer: _OpenAnswer) -> None:
         self._connection = None
-        lifetime = opened.attempt.estimate.endpoint.record.instance_id
-        self._pool.release(opened.connection, lifetime)
+        instance_id = open_answer.attempt.estimate.endpoint.record.instance_id
+        self._pool.release(open_answer.connection, instance_id)
 
-    def _learn(self, step: SendDecision, failure: Failure) -> Refusal | None:
-        """Close a broken send; None where another one follows."""
+    def _handle_failure(self, decision: SendDecision, failure: Failure) -> Refusal | None:
+        """Record a failed send; return a refusal unless it is to be retried."""
         attempt, self._attempt = self._attempt, None
         self._abort_connection()
-        refusal = self._dispatch.handle_failure(
-            self._work, step.estimate.endpoint, attempt, failure, seconds_since_boot()
+        refusal = self._dispatcher.handle_failure(
+            self._work, decision.estimate.endpoint, attempt, failure, seconds_since_boot()
         )
-        self._recorder.failed(self._work, step, failure, refusal is not None)
+        self._recorder.record_failure(self._work, decision, failure, refusal is not None)
         return refusal
 
-    def _end_attempt(self, failure: Failure) -> None:
+    def _fail_attempt(self, failure: Failure) -> None:
         if self._attempt is not None:
-            member = self._attempt.estimate.endpoint
+            endpoint = self._attempt.estimate.endpoint
             attempt, self._attempt = self._attempt, None
-            self._dispatch.handle_failure(
-                self._work, member, attempt, failure, seconds_since_boot()
+            self._dispatcher.handle_failure(
+                self._work, endpoint, attempt, failure, seconds_since_boot()
             )
 
-    def _drop_attempt(self) -> None:
-        """Stop what is still under way at an endpoint: nobody waits for it."""
+    def _cancel_attempt(self) -> None:
+        """Cancel what is still in progress at an endpoint, since nobody waits for it."""
         if self._attempt is not None:
-            self._dispatch.record_cancelled(self._attempt)
+            self._dispatcher.record_cancelled(self._attempt)
             self._attempt = None
         self._abort_connection()
 
@@ -355,28 +357,28 @@
             self._connection.abort()
             self._connection = None
 
-    def _out_of_time(self) -> Refusal:
+    def _timeout_refusal(self) -> Refusal:
         if self._work.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_SILENT, "no answer in time")
         return Refusal(ErrorKind.DEADLINE_UNREACHABLE, "no endpoint in time", retry_after_s=0.0)
 
     def _refuse(self, refusal: Refusal) -> None:
-        """Tell the caller that there is no answer, or break a begun one off."""
+        """Refuse the request, or abort the answer if it has begun."""
         if self._is_started:
-            self._recorder.refused(self._work, refusal, True)
+            self._recorder.record_refusal(self._work, refusal, True)
             self._caller.abort_response()
             return
-        if self._failed_answer is not None:
-            answer = self._failed_answer.answer
-            self._recorder.answered(self._work, answer.status)
-            self._caller.respond(answer.status, list(answer.headers), self._failed_answer.body)
+        if self._error_answer is not None:
+            answer = self._error_answer.answer
+            self._recorder.record_answer(self._work, answer.status)
+            self._caller.respond(answer.status, list(answer.headers), self._error_answer.body)
             return
-        self._recorder.refused(self._work, refusal, False)
+        self._recorder.record_refusal(self._work, refusal, False)
         respond_refusal(self._caller, refusal)
 
 
 def respond_refusal(caller: CallerConnection, refusal: Refusal) -> None:
-    """Answer with a refusal; 429 and 503 promise that the request has not run."""
+    """Send a refusal to the caller; 429 and 503 promise that the request has not run."""
     answer = response_for(refusal.kind)
     headers = [(b"Content-Type", b"text/plain")]
     retry_s = refusal.retry_after_s if refusal.retry_after_s is not None else answer.retry_after_s
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -1,4 +1,4 @@
-"""One host of the gateway: its parts, their tasks, and the planned stop."""
+"""A gateway host: its components, their tasks, and the planned stop."""
 
 import asyncio
 import random
@@ -41,35 +41,35 @@
     seconds_since_boot,
 )
 
-# Part of the operators' bound on second sends that is used, and the hosts among
-# which the allowance is divided until it is known how many there are.
+# Fraction of the operators' bound on retries that is used, and the number of hosts among which the
+# allowance is divided at least, while it is not known how many there are.
 RETRY_FRACTION = 0.85
-FIRST_HOSTS = 8
-# While it stops, a host still takes new connections for so long, in seconds: the
-# balancer asks once a second and takes a host out after two misses.
-BALANCER_S = 2.6
-# Time kept free before the platform kills a host that stops, in seconds.
+MIN_HOSTS = 8
+# For this long a stopping host accepts new connections: the load balancer checks readiness once a
+# second, and removes a host after two failed checks.
+BALANCER_GRACE_S = 2.6
+# Margin before the platform kills a stopping host.
 STOP_MARGIN_S = 0.7
-HOUSEKEEPING_S = 1.0
-STOP_POLL_S = 0.05
+HOUSEKEEPING_INTERVAL_S = 1.0
+STOP_POLL_INTERVAL_S = 0.05
 
 
-def host_retry_allowance(whole: float, peers: int) -> float:
-    """Return one host's part of the second sends that all hosts may make besides.
+def host_retry_allowance(total: float, peers: int) -> float:
+    """Return one host's part of the retries that all hosts may make beyond the earned ones.
 
-    A host that hears fewer peers than there are would take too much: it never counts
-    on fewer than ``FIRST_HOSTS``. Below one no second send could ever be made.
+    A host that hears fewer peers than there are would use too many, so it divides by
+    ``MIN_HOSTS`` at least. With less than one retry, it could never make any.
     """
-    return max(1.0, RETRY_FRACTION * whole / max(FIRST_HOSTS, peers + 1))
+    return max(1.0, RETRY_FRACTION * total / max(MIN_HOSTS, peers + 1))
 
 
 class GatewayHost:
-    """A host that serves callers and follows the store.
+    """A host that forwards callers' requests and follows the store.
 
     Parameters
     ----------
     path : Path
-        The settings file, read again on a signal and when it changes.
+        The settings file, which is reloaded on a signal and when it changes.
     """
 
     def __init__(self, path: Path, settings: NodeSettings, handler: NonBlockingHandler) -> None:
@@ -79,45 +79,45 @@
         self.metrics = Metrics()
         self.metrics.attach_line_counts(handler.line_counts)
         self._store = StoreClient(settings.store_address, self._record_call)
-        self._knowledge = ConfigView(settings.key_revocation_s)
+        self._config_view = ConfigView(settings.revocation_limit_s)
         self._directory = EndpointDirectory()
         self._placement = Placement(settings.zone, random.Random())
-        self._rollouts = Rollouts(settings.session_s, settings.max_exposure_fraction)
-        self._dispatch = Dispatcher(
-            self._knowledge,
+        self._rollouts = Rollouts(settings.session_timeout_s, settings.max_exposure_fraction)
+        self._dispatcher = Dispatcher(
+            self._config_view,
             self._placement,
             self._rollouts,
             SizePolicy(),
-            RETRY_FRACTION * settings.retries_per_request,
+            RETRY_FRACTION * settings.retry_ratio,
             host_retry_allowance(settings.retry_allowance, 0),
             settings.retry_window_s,
         )
         self._pool = ConnectionPool()
         self._recorder = RequestRecorder(self.metrics)
         self._callers = CallerServer(self._serve, self._report_crash)
-        self._observers = CallerServer(self._observe, self._report_crash)
+        self._observers = CallerServer(self._serve_observer, self._report_crash)
         self._capacity = compute_capacity(settings.memory_mb, settings.max_sockets)
         self._callers.max_connections = self._capacity.max_caller_connections
         peer_table = PeerTable(settings.peer_address, settings.zone)
-        times = ReadTimeouts.for_bound(settings.change_propagation_s)
+        timeouts = ReadTimeouts.for_bound(settings.change_propagation_s)
         self._documents = DocumentFollower(
             self._store,
-            self._knowledge,
+            self._config_view,
             self._rollouts,
             self._apply_limits,
-            SharedReader(DOCUMENTS, peer_table, times),
+            SharedReader(DOCUMENTS, peer_table, timeouts),
         )
         self._listings = ListingFollower(
             self._store,
             self._directory,
             self._placement,
-            SharedReader(ENDPOINTS, peer_table, times),
+            SharedReader(ENDPOINTS, peer_table, timeouts),
         )
         self._peering = Peering(
             peer_table,
             NngLinks(settings.peer_address),
             self._store,
-            self._knowledge,
+            self._config_view,
             self._documents,
             self._listings,
             self._directory,
@@ -128,33 +128,33 @@
             self._store,
             self._rollouts,
             self._peering.job_rank,
-            self._dispatch.record_open_evidence,
+            self._dispatcher.record_open_evidence,
         )
-        self._open = 0
-        self._is_closed = False
+        self._open_count = 0
+        self._refuses_new = False
         self._was_ready = False
-        self._leaving = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may come."""
-        is_known = self._knowledge.catalogue is not None and self._listings.is_served
+        """Whether the host has the state that it needs to serve callers."""
+        is_known = self._config_view.catalogue is not None and self._listings.is_usable
         is_informed = self._peering.is_informed(seconds_since_boot())
-        return is_known and is_informed and not self._leaving.is_set()
+        return is_known and is_informed and not self._stop_requested.is_set()
 
     async def run(self) -> None:
-        """Serve until the platform asks to stop."""
+        """Serve until the platform asks the host to stop."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._leaving.set)
-        loop.add_signal_handler(signal.SIGINT, self._leaving.set)
+        loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._start(self._documents.run())
-        self._start(self._listings.run())
-        self._start(self._rollout_controller.run())
-        self._start(self._peering.run(self.settings.seeds))
-        self._start(self._peering.announce())
-        self._start(self._keep_house())
+        self._start_task(self._documents.run())
+        self._start_task(self._listings.run())
+        self._start_task(self._rollout_controller.run())
+        self._start_task(self._peering.run(self.settings.seeds))
+        self._start_task(self._peering.keep_registered())
+        self._start_task(self._run_housekeeping())
         await self._callers.listen(self.settings.caller_address)
         await self._observers.listen(self.settings.readiness_address)
         await self._listen_for_metrics()
@@ -162,31 +162,31 @@
         write_event(
             events.HostStarted(settings.zone, settings.caller_address, settings.peer_address)
         )
-        await self._leaving.wait()
+        await self._stop_requested.wait()
         await self._stop()
 
     async def _listen_for_metrics(self) -> None:
         try:
             await self._observers.listen(self.settings.metrics_address)
         except OSError as error:
-            # Callers are served without metrics rather than not at all.
+            # Serving callers without metrics is better than not serving them.
             write_event(events.MetricsUnavailable(self.settings.metrics_address, str(error)))
 
     async def _stop(self) -> None:
-        """Let the balancer turn callers away, then finish what is open."""
-        begun_at = seconds_since_boot()
-        write_event(events.HostStopping(self._open))
+        """Wait until the load balancer stops sending callers, then finish open requests."""
+        stop_started_at = seconds_since_boot()
+        write_event(events.HostStopping(self._open_count))
         self._callers.is_stopping = True
-        self._start(self._peering.withdraw())
-        await asyncio.sleep(BALANCER_S)
-        self._is_closed = True
+        self._start_task(self._peering.deregister())
+        await asyncio.sleep(BALANCER_GRACE_S)
+        self._refuses_new = True
         self._callers.close_idle()
-        stop_at = begun_at + self.settings.stop_grace_s - STOP_MARGIN_S
-        while self._open and seconds_since_boot() < stop_at:
-            await asyncio.sleep(STOP_POLL_S)
+        stop_at = stop_started_at + self.settings.stop_grace_s - STOP_MARGIN_S
+        while self._open_count and seconds_since_boot() < stop_at:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
             self._callers.close_idle()
         self._callers.stop_accepting()
-        write_event(events.HostStopped(self._open))
+        write_event(events.HostStopped(self._open_count))
 
     async def _serve(self, caller: CallerConnection, head: RequestHead, body: bytes) -> None:
         """Answer one request of a caller."""
@@ -195,43 +195,43 @@
             respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.message))
             return
         now = seconds_since_boot()
-        self._note_belief(now)
+        self._update_config_state(now)
         work = self._admit(request, now)
         if isinstance(work, Refusal):
-            self._recorder.turned_away(request, work)
+            self._recorder.record_early_refusal(request, work)
             respond_refusal(caller, work)
             return
-        self._recorder.admitted(work, now)
-        self._open += 1
+        self._recorder.record_admitted(work, now)
+        self._open_count += 1
         try:
             sessions = self._peering.sessions
             await RequestForwarder(
-                self._dispatch, self._pool, caller, work, self._recorder, sessions
+                self._dispatcher, self._pool, caller, work, self._recorder, sessions
             ).run()
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
     def _admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
-        if self._open >= self._capacity.max_open_requests:
+        if self._open_count >= self._capacity.max_open_requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
-        if self._is_closed:
-            # A stream that begins now would be cut off in the middle when the host is
-            # killed; told at once, its caller still finds another host in time.
+        if self._refuses_new:
+            # A stream that begins now would be aborted when the host is killed; after a refusal
+            # its caller still finds another host in time.
             return Refusal(ErrorKind.STOPPING, "host stops")
-        return self._dispatch.admit(request, now)
+        return self._dispatcher.admit(request, now)
 
-    def _note_belief(self, now: float) -> None:
-        catalogue = self._knowledge.catalogue
+    def _update_config_state(self, now: float) -> None:
+        catalogue = self._config_view.catalogue
         self._recorder.config_version = -1 if catalogue is None else catalogue.version
-        self._recorder.config_age_s = min(1e6, self._knowledge.age_s(now))
+        self._recorder.config_age_s = min(1e6, self._config_view.age_s(now))
 
     def _record_call(self, name: str, outcome: str, seconds: float) -> None:
         self.metrics.record_latency("store", name, seconds)
         if outcome != "200":
             self.metrics.count_event(f"store_{outcome}")
 
-    async def _observe(self, caller: CallerConnection, head: RequestHead, _: bytes) -> None:
-        """Answer the balancer, or a reader of the counters."""
+    async def _serve_observer(self, caller: CallerConnection, head: RequestHead, _: bytes) -> None:
+        """Answer a readiness check, or a scrape of the metrics."""
         if head.target.startswith(b"/metrics"):
             caller.respond(200, [(b"Content-Type", b"text/plain")], self.metrics.render())
             return
@@ -239,7 +239,7 @@
         caller.respond(status, [], b"ready" if self.is_ready else b"not ready")
 
     def _apply_limits(self) -> None:
-        catalogue = self._knowledge.catalogue
+        catalogue = self._config_view.catalogue
         if catalogue is None:
             return
         bounds, limits = self._callers.bounds, catalogue.limits
@@ -248,36 +248,36 @@
         bounds.header_timeout_s = limits.header_timeout_s
         bounds.idle_timeout_s = limits.idle_timeout_s
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         changed_at = self._modified_at()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._pool.close_stale()
-            self._tell_readiness()
-            peers = self._peering.count_alive()
-            self._dispatch.set_retry_allowance(
+            self._log_readiness_change()
+            peers = self._peering.count_alive_peers()
+            self._dispatcher.set_retry_allowance(
                 host_retry_allowance(self.settings.retry_allowance, peers)
             )
-            left_out = self._handler.collect_dropped_counts()
-            if left_out:
-                write_event(events.LinesLeftOut(left_out))
+            dropped_counts = self._handler.collect_dropped_counts()
+            if dropped_counts:
+                write_event(events.LinesLeftOut(dropped_counts))
             modified_at = self._modified_at()
             if modified_at != changed_at:
                 changed_at = modified_at
                 self._reload()
 
-    def _tell_readiness(self) -> None:
+    def _log_readiness_change(self) -> None:
         if self.is_ready == self._was_ready:
             return
         self._was_ready = self.is_ready
         missing = []
-        if self._knowledge.catalogue is None:
+        if self._config_view.catalogue is None:
             missing.append("configuration")
-        if not self._listings.is_served:
+        if not self._listings.is_usable:
             missing.append("endpoints")
         if not self._peering.is_informed(seconds_since_boot()):
             missing.append("peers")
-        if self._leaving.is_set():
+        if self._stop_requested.is_set():
             missing.append("stopping")
         write_event(events.HostReady(self.is_ready, ", ".join(missing)))
 
@@ -288,15 +288,15 @@
             return 0.0
 
     def _reload(self) -> None:
-        """Read the settings again; a bad file changes nothing."""
+        """Reload the settings; an invalid file changes nothing."""
         loaded = load_node_settings(self._path)
         if isinstance(loaded, InvalidSettings):
             write_event(events.SettingsBad(list(loaded.problems)))
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.revocation_limit_s = loaded.key_revocation_s
-        self._rollouts.session_timeout_s = loaded.session_s
+        self._config_view.revocation_limit_s = loaded.revocation_limit_s
+        self._rollouts.session_timeout_s = loaded.session_timeout_s
         self._rollouts.exposure_limit = loaded.max_exposure_fraction
         self._capacity = compute_capacity(loaded.memory_mb, loaded.max_sockets)
         self._callers.max_connections = self._capacity.max_caller_connections
@@ -305,13 +305,13 @@
     def _report_crash(self, error: BaseException | None) -> None:
         write_event(events.RequestCrashed("".join(traceback.format_exception(error))))
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_done)
+        task.add_done_callback(self._handle_task_done)
 
-    def _note_done(self, task: asyncio.Task[None]) -> None:
-        """End the host when one of its tasks fails: the platform starts it anew."""
+    def _handle_task_done(self, task: asyncio.Task[None]) -> None:
+        """Exit when a task fails; the platform then restarts the host."""
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._report_crash(task.exception())
--- a/poplarrun/gateway/_peering.py
+++ b/poplarrun/gateway/_peering.py
@@ -1,4 +1,4 @@
-"""Exchanges digests with the other hosts, and brings what they know to the parts."""
+"""Exchange of digests with the other hosts, and registration of this host in the store."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 import msgspec
 
 from poplarrun.dispatch import ConfigView
-from poplarrun.gateway._activity import RolloutState, Sharing
+from poplarrun.gateway._activity import ActivityExchange, RolloutState
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._sessions import SessionLookup
 from poplarrun.links import Links
@@ -17,10 +17,10 @@
     Digest,
     DueDigest,
     EndpointChanges,
-    HeldSessions,
     ListedEndpoint,
     PeerState,
     PeerTable,
+    PinnedSessions,
     Roster,
     RosterFingerprint,
     RosterRequest,
@@ -46,48 +46,47 @@
 from poplarrun.rollouts import Rollouts
 from poplarrun.transport import seconds_since_boot
 
-# Pauses between two digests, in seconds: reports to the relays of the own zone, sums of a
-# zone to other zones, and sums of all to a host of the own zone, which has two relays.
-REPORT_PERIOD_S = 0.4
-ZONE_PERIOD_S = 1.0
-FLEET_PERIOD_S = 0.8
-# The same between zones while a roll-out is under way: a bad version must be known as bad
-# to all hosts well within the operators' bound.
-ROLLOUT_PERIOD_S = 0.4
-ROUND_S = 0.2
-# Where this host can't read the listed endpoints itself for so long, it asks a peer
-# that has read them, in seconds.
-OLD_LISTING_S = 1.8
-# A host that starts waits so long at the most for the first digest, in seconds: other hosts
-# may all be dead or cut off.
-FIRST_DIGEST_S = 1.0
-# A configuration that a peer has, and this host could not read of the store for so long,
-# is asked of the peer, in seconds.
-OLD_CONFIG_S = 0.3
-ASK_PERIOD_S = 0.5
-# Pause between two questions for the list of the same zone's hosts, in seconds.
-ROSTER_PERIOD_S = 0.3
-# Pauses between two writings of the own address until one succeeds, and between two
-# readings of all addresses, by a relay and by another host, in seconds.
-ANNOUNCE_PAUSE_S = 1.0
-READ_HOSTS_S = 20.0
-LATER_READ_HOSTS_S = 60.0
-# An address of which nothing was heard for so long since it was first read belongs to a
-# host that is gone, in seconds: longer than a zone is usually cut off.
-GONE_S = 120.0
-# The job of taking such addresses out of the store.
-SWEEP_JOB = "addresses"
+# Intervals between two digests: reports to the aggregators of the own zone, zone totals to other
+# zones, and fleet totals to a host of the own zone, which gets them from two aggregators.
+REPORT_INTERVAL_S = 0.4
+ZONE_INTERVAL_S = 1.0
+FLEET_INTERVAL_S = 0.8
+# Interval of zone totals while a roll-out is in progress: all hosts must know that a version is bad
+# well within the operators' bound.
+ROLLOUT_ZONE_INTERVAL_S = 0.4
+ROUND_INTERVAL_S = 0.2
+# If this host's list of endpoints is older than this, it requests that of a peer with a newer one.
+MAX_LISTING_AGE_S = 1.8
+# A starting host waits at most this long for the first digest, since all other hosts may be dead
+# or cut off.
+FIRST_DIGEST_TIMEOUT_S = 1.0
+# If a peer has had a newer configuration for this long, and this host could not read it from the
+# store, it requests it from the peer.
+CONFIG_READ_GRACE_S = 0.3
+STATE_REQUEST_INTERVAL_S = 0.5
+# Shortest interval between two requests for the same roster.
+ROSTER_REQUEST_INTERVAL_S = 0.3
+# Interval between attempts to register the own address until one succeeds, and between reads of
+# all addresses by an aggregator and by another host.
+REGISTRATION_RETRY_INTERVAL_S = 1.0
+AGGREGATOR_HOST_READ_INTERVAL_S = 20.0
+HOST_READ_INTERVAL_S = 60.0
+# A registered host counts as gone if nothing was heard from it for this long since its address was
+# first read; longer than a zone is usually cut off.
+GONE_TIMEOUT_S = 120.0
+# Job of the host that removes the addresses of such hosts from the store.
+ADDRESS_CLEANUP_JOB = "addresses"
 
 
 class Peering:
-    """The conversation with the other hosts; runs on the loop."""
+    """Communication with the other hosts; runs on the event loop."""
 
     def __init__(
         self,
         peer_table: PeerTable,
         links: Links,
         store: StoreClient,
-        knowledge: ConfigView,
+        config_view: ConfigView,
         documents: DocumentFollower,
         listings: ListingFollower,
         directory: EndpointDirectory,
@@ -97,37 +96,37 @@
         self.peer_table = peer_table
         self._links = links
         self._store = store
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._documents = documents
         self._listings = listings
         self._directory = directory
         self._placement = placement
         self._rollouts = rollouts
         self._rosters = Rosters(peer_table)
-        self._sharing = Sharing(peer_table.zone, placement, rollouts)
+        self._activity = ActivityExchange(peer_table.zone, placement, rollouts)
         self.sessions = SessionLookup(peer_table, links, rollouts)
         self._started_at = float("inf")
-        self._asked_at = float("-inf")
-        self._outdated: int | None = None
+        self._state_requested_at = float("-inf")
+        self._outdated_version: int | None = None
         self._outdated_since = 0.0
-        self._alive: set[str] = set()
-        self._news: list[RolloutState] = []
-        self._news_at = float("-inf")
-        self._rosters_asked_at: dict[tuple[str, str], float] = {}
+        self._alive_addresses: set[str] = set()
+        self._rollout_states: list[RolloutState] = []
+        self._rollouts_changed_at = float("-inf")
+        self._roster_requested_at: dict[tuple[str, str], float] = {}
         self._is_leaving = False
-        documents.tell_zone = self.tell_zone
-        listings.tell_zone = self.tell_zone
-        listings.tell_changes = self.tell_changes
+        documents.publish_proof = self.publish_proof
+        listings.publish_proof = self.publish_proof
+        listings.publish_changes = self.publish_changes
 
-    def tell_zone(self) -> None:
-        """Prove to the hosts of the own zone what this one has just read."""
+    def publish_proof(self) -> None:
+        """Send a digest that proves this host's latest read to the hosts of its zone."""
         now = seconds_since_boot()
-        digest = self._header(now)
+        digest = self._make_digest(now)
         for peer in self.peer_table.reporting_peers(now):
             self._send(digest, peer, now)
 
-    def tell_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
-        """Pass records of endpoints on to the hosts of the own zone."""
+    def publish_changes(self, entries: tuple[Entry, ...], is_lapse: bool) -> None:
+        """Send records of endpoints to the hosts of this zone."""
         records = [ChangedRecord(entry.key, entry.value) for entry in entries]
         start, end = entries[0].offset, entries[-1].offset + 1
         message = encode_message(
@@ -136,122 +135,132 @@
         for peer in self.peer_table.zone_peers(seconds_since_boot()):
             self._links.send(peer.address, message)
 
-    def count_alive(self) -> int:
-        """Return how many other hosts are heard of."""
+    def count_alive_peers(self) -> int:
+        """Return the number of other alive hosts."""
         return len(self.peer_table.alive_peers(seconds_since_boot()))
 
     def job_rank(self, service: str) -> int:
-        """Return how many live hosts come before this one for a service's roll-outs."""
+        """Return how many alive hosts precede this one for a service's roll-outs."""
         return self.peer_table.job_rank(service, seconds_since_boot())
 
     def is_informed(self, now: float) -> bool:
-        """Return whether a host that started knows how far roll-outs are.
+        """Return whether this host knows the progress of roll-outs after its start.
 
-        The store tells of an order, but neither how old it is nor whether sessions change
-        versions already. By that alone a host that starts anew would begin the trial again.
+        The store has the order, but neither its age nor whether the shift has begun. With the order
+        alone, a restarted host would begin the trial again.
         """
         if self.peer_table.has_heard or self.peer_table.is_alone:
             return True
-        return now - self._started_at >= FIRST_DIGEST_S
+        return now - self._started_at >= FIRST_DIGEST_TIMEOUT_S
 
     async def run(self, seeds: tuple[str, ...]) -> None:
-        """Tell and hear for ever."""
+        """Exchange digests with the other hosts forever."""
         self._started_at = seconds_since_boot()
         for seed in seeds:
             self.peer_table.add_address(seed, seconds_since_boot())
         self._links.start(self._receive)
         while True:
-            self._tell(seconds_since_boot())
-            await asyncio.sleep(ROUND_S)
+            self._run_round(seconds_since_boot())
+            await asyncio.sleep(ROUND_INTERVAL_S)
 
-    async def announce(self) -> None:
-        """Keep the own address in the store, and read the others' now and then."""
+    async def keep_registered(self) -> None:
+        """Keep this host registered in the store, and read the other addresses periodically."""
         is_listed = False
         while not self._is_leaving:
             if not is_listed:
-                is_listed = await self._write_address()
-                await asyncio.sleep(0.0 if is_listed else _spread(ANNOUNCE_PAUSE_S))
+                is_listed = await self._register()
+                await asyncio.sleep(
+                    0.0 if is_listed else _add_jitter(REGISTRATION_RETRY_INTERVAL_S)
+                )
                 continue
             newest = await self._store.read_latest(HOST_TOPIC)
             if isinstance(newest, LatestRecords):
                 is_listed = self.peer_table.address in [entry.key for entry in newest.entries]
-                await self._read_addresses(newest.entries, seconds_since_boot())
-            is_relay = self.peer_table.is_aggregator(seconds_since_boot())
-            await asyncio.sleep(_spread(READ_HOSTS_S if is_relay else LATER_READ_HOSTS_S))
+                await self._apply_addresses(newest.entries, seconds_since_boot())
+            is_aggregator = self.peer_table.is_aggregator(seconds_since_boot())
+            await asyncio.sleep(
+                _add_jitter(
+                    AGGREGATOR_HOST_READ_INTERVAL_S if is_aggregator else HOST_READ_INTERVAL_S
+                )
+            )
 
-    async def withdraw(self) -> None:
-        """Take the own address out of the store, and write it no more."""
+    async def deregister(self) -> None:
+        """Remove this host's address from the store, and stop registering it."""
         self._is_leaving = True
         await self._store.append(HOST_TOPIC, [(self.peer_table.address, None)])
 
-    async def _write_address(self) -> bool:
+    async def _register(self) -> bool:
         value = json.dumps({"zone": self.peer_table.zone}).encode()
         answer = await self._store.append(HOST_TOPIC, [(self.peer_table.address, value)])
         return isinstance(answer, Appended)
 
-    async def _read_addresses(self, entries: tuple[Entry, ...], now: float) -> None:
-        """Name the listed hosts; one host takes out those that are gone.
+    async def _apply_addresses(self, entries: tuple[Entry, ...], now: float) -> None:
+        """Apply the registered addresses; one host removes those of hosts that are gone.
 
-        Hosts that are killed leave their addresses behind. Some hundred a day would
-        make each start read, and write to, thousands that nobody answers. A host that
-        was only cut off finds its address missing and writes it again.
+        Killed hosts leave their addresses behind. With some hundred a day, each starting host
+        would read thousands of addresses and send to hosts that don't exist. A host that was only
+        cut off notices that its address is missing and registers again.
         """
         for entry in entries:
-            self.peer_table.add_address(entry.key, now, _read_zone(entry))
-        if self.peer_table.job_rank(SWEEP_JOB, now) > 0:
+            self.peer_table.add_address(entry.key, now, _decode_zone(entry))
+        if self.peer_table.job_rank(ADDRESS_CLEANUP_JOB, now) > 0:
             return
-        gone = [entry.key for entry in entries if self.peer_table.is_gone(entry.key, now, GONE_S)]
+        gone = [
+            entry.key
+            for entry in entries
+            if self.peer_table.is_gone(entry.key, now, GONE_TIMEOUT_S)
+        ]
         if gone:
             await self._store.append(HOST_TOPIC, [(address, None) for address in gone])
             write_event(events.PeersChanged(gone, []))
 
-    def _tell(self, now: float) -> None:
+    def _run_round(self, now: float) -> None:
         active = self._rollouts.active()
-        far_s = ROLLOUT_PERIOD_S if active else ZONE_PERIOD_S
-        self._note_news(now)
+        zone_interval_s = ROLLOUT_ZONE_INTERVAL_S if active else ZONE_INTERVAL_S
+        self._update_rollout_states(now)
         self._rosters.expire(now)
         due = self.peer_table.due_digests(
-            now, REPORT_PERIOD_S, far_s, FLEET_PERIOD_S, self._news_at
+            now, REPORT_INTERVAL_S, zone_interval_s, FLEET_INTERVAL_S, self._rollouts_changed_at
         )
         if due:
             self._send_digests(due, now)
-        self._sharing.apply(now)
-        self.sessions.tell()
-        self._note_alive(now)
-
-    def _note_news(self, now: float) -> bool:
-        """Return whether roll-outs have gone on since this was asked last."""
-        news = self._sharing.rollout_states()
-        if news == self._news:
+        self._activity.apply_totals(now)
+        self.sessions.publish()
+        self._update_alive(now)
+
+    def _update_rollout_states(self, now: float) -> bool:
+        """Return whether the state of a roll-out has changed since the last call."""
+        states = self._activity.rollout_states()
+        if states == self._rollout_states:
             return False
-        self._news = news
-        self._news_at = now
+        self._rollout_states = states
+        self._rollouts_changed_at = now
         return True
 
-    def _send_digests(self, tellings: list[DueDigest], now: float) -> None:
-        own = self._sharing.own()
-        header = self._header(now)
+    def _send_digests(self, due_digests: list[DueDigest], now: float) -> None:
+        own = self._activity.own_totals()
+        template = self._make_digest(now)
         digests: dict[tuple[Scope, bool], Digest] = {}
-        for telling in tellings:
-            is_far = telling.peer.zone != self.peer_table.zone
-            key = (telling.scope, is_far)
+        for due in due_digests:
+            is_other_zone = due.peer.zone != self.peer_table.zone
+            key = (due.scope, is_other_zone)
             if key not in digests:
                 totals = b""
-                if telling.scope is not Scope.NONE:
-                    totals = encode_totals(self._sharing.sum_up(telling.scope, own, now))
-                is_report = telling.scope is Scope.HOST
-                fingerprints = [] if is_report else self._rosters.fingerprints(is_far, now)
+                if due.scope is not Scope.NONE:
+                    totals = encode_totals(self._activity.totals_for_scope(due.scope, own, now))
+                is_report = due.scope is Scope.HOST
+                fingerprints = [] if is_report else self._rosters.fingerprints(is_other_zone, now)
                 digests[key] = msgspec.structs.replace(
-                    header, scope=telling.scope, totals=totals, roster_fingerprints=fingerprints
+                    template, scope=due.scope, totals=totals, roster_fingerprints=fingerprints
                 )
-            if telling.scope is Scope.HOST:
-                self._sharing.note_told(own, now)
-            self._send(digests[key], telling.peer, now)
+            if due.scope is Scope.HOST:
+                self._activity.record_sent(own, now)
+            self._send(digests[key], due.peer, now)
 
     def _send(self, digest: Digest, peer: PeerState, now: float) -> None:
-        """Send a digest with the receiver's own stamps in it."""
+        """Send a digest, completed by the stamps for its receiver."""
         included_stamp = (
-            self._sharing.stamp_of(peer.address) if digest.scope is Scope.FLEET else 0.0
+            self._activity.stamp_of(peer.address) if digest.scope is Scope.FLEET else 0.0
         )
         message = msgspec.structs.replace(
             digest,
@@ -261,18 +270,18 @@
         )
         self._links.send(peer.address, encode_message(message))
 
-    def _note_alive(self, now: float) -> None:
+    def _update_alive(self, now: float) -> None:
         self._placement.silent_zones = self.peer_table.silent_zones(now)
         alive = {peer.address for peer in self.peer_table.alive_peers(now)}
-        if alive != self._alive:
-            lost = sorted(self._alive - alive)
-            found = sorted(alive - self._alive)
+        if alive != self._alive_addresses:
+            lost = sorted(self._alive_addresses - alive)
+            found = sorted(alive - self._alive_addresses)
             write_event(events.PeersChanged(lost, found))
-            self._alive = alive
+            self._alive_addresses = alive
 
-    def _header(self, now: float) -> Digest:
-        """Return what all peers are told alike at a time."""
-        catalogue = self._knowledge.catalogue
+    def _make_digest(self, now: float) -> Digest:
+        """Return a digest with the fields that are the same for all receivers."""
+        catalogue = self._config_view.catalogue
         return Digest(
             address=self.peer_table.address,
             zone=self.peer_table.zone,
@@ -280,58 +289,60 @@
             echoed_stamp=0.0,
             echo_delay_s=0.0,
             config_version=-1 if catalogue is None else catalogue.version,
-            config_age_s=min(1e6, self._knowledge.age_s(now)),
-            listing_age_s=min(1e6, now - self._listings.current_as_of),
+            config_age_s=min(1e6, self._config_view.age_s(now)),
+            listing_age_s=min(1e6, now - self._listings.confirmed_at),
             documents_end_offset=-1 if self._documents.offset is None else self._documents.offset,
-            listing_end_offset=self._directory.next_offset if self._listings.is_known else -1,
-            store_available_s=self._listings.steady_s(now),
-            rollouts=self._sharing.rollout_news(now),
+            listing_end_offset=self._directory.next_offset if self._listings.has_read_store else -1,
+            store_available_s=self._listings.available_s(now),
+            rollouts=self._activity.rollout_progress(now),
         )
 
     def _receive(self, data: bytes) -> None:
         now = seconds_since_boot()
         match decode_message(data):
             case Digest() as digest:
-                self._take_digest(digest, now)
-            case RosterRequest() as roster_ask:
-                self._answer_roster(roster_ask, now)
+                self._handle_digest(digest, now)
+            case RosterRequest() as roster_request:
+                self._handle_roster_request(roster_request, now)
             case Roster() as roster:
-                self._take_roster(roster, now)
-            case StateRequest() as ask:
-                self._links.send(ask.address, encode_message(self._answer(ask)))
-            case StateResponse() as documents:
-                self._take_documents(documents, now)
+                self._handle_roster(roster, now)
+            case StateRequest() as request:
+                self._links.send(
+                    request.address, encode_message(self._make_state_response(request))
+                )
+            case StateResponse() as response:
+                self._handle_state_response(response, now)
             case EndpointChanges() as changes:
-                self._take_changes(changes)
-            case HeldSessions() as held:
-                self.sessions.take_held(held)
-            case SessionQuery() as session_ask:
-                self.sessions.answer(session_ask)
+                self._handle_changes(changes)
+            case PinnedSessions() as pinned:
+                self.sessions.apply_pinned(pinned)
+            case SessionQuery() as session_query:
+                self.sessions.handle_query(session_query)
             case SessionAnswer() as session_answer:
-                self.sessions.take_answer(session_answer)
+                self.sessions.handle_answer(session_answer)
             case None:
                 write_event(events.MessageUnreadable(len(data)))
 
-    def _take_digest(self, digest: Digest, now: float) -> None:
+    def _handle_digest(self, digest: Digest, now: float) -> None:
         known = self.peer_table.find(digest.address)
         is_new = known is None or not known.is_alive(now)
         if not self.peer_table.apply_digest(digest, now):
             return
         peer = self.peer_table.find(digest.address)
-        # A host that starts, or comes back, hears at once who is there. Its first words may
-        # have come while this one's were lost, so that it is known but has heard nothing.
+        # A host that starts, or comes back, gets a digest at once. Its first digest may have
+        # arrived while those sent to it were lost, so it may be known but have heard nothing.
         is_new = is_new or digest.echoed_stamp <= 0.0
-        if is_new and peer is not None and now - peer.last_sent_at >= REPORT_PERIOD_S:
+        if is_new and peer is not None and now - peer.last_sent_at >= REPORT_INTERVAL_S:
             peer.last_sent_at = now
-            is_near = digest.zone == self.peer_table.zone
-            self._send_digests([DueDigest(peer, Scope.FLEET if is_near else Scope.NONE)], now)
+            is_own_zone = digest.zone == self.peer_table.zone
+            self._send_digests([DueDigest(peer, Scope.FLEET if is_own_zone else Scope.NONE)], now)
         for fingerprint in digest.roster_fingerprints:
             self._apply_fingerprint(digest, fingerprint, now)
-        self._sharing.take(digest, now)
-        self._take(digest, now)
-        if self._note_news(now):
-            # On its way to hosts of other zones news passes three hosts: none may wait a round.
-            self._tell(now)
+        self._activity.apply_digest(digest, now)
+        self._apply_store_progress(digest, now)
+        if self._update_rollout_states(now):
+            # A change passes three hosts on its way to another zone; none may wait for a round.
+            self._run_round(now)
 
     def _apply_fingerprint(
         self, digest: Digest, fingerprint: RosterFingerprint, now: float
@@ -341,122 +352,125 @@
         if self._rosters.apply_fingerprint(digest.address, digest.zone, fingerprint, now):
             return
         key = (digest.address, fingerprint.zone)
-        if now - self._rosters_asked_at.get(key, float("-inf")) < ROSTER_PERIOD_S:
+        if now - self._roster_requested_at.get(key, float("-inf")) < ROSTER_REQUEST_INTERVAL_S:
             return
-        self._rosters_asked_at[key] = now
+        self._roster_requested_at[key] = now
         self._links.send(
             digest.address, encode_message(RosterRequest(self.peer_table.address, fingerprint.zone))
         )
 
-    def _take_roster(self, roster: Roster, now: float) -> None:
-        # Only what was asked of its sender counts.
+    def _handle_roster(self, roster: Roster, now: float) -> None:
+        # Rosters that were not requested from their sender are ignored.
         sender = self.peer_table.find(roster.address)
-        asked_at = self._rosters_asked_at.pop((roster.address, roster.zone), None)
-        if sender is not None and asked_at is not None:
+        requested_at = self._roster_requested_at.pop((roster.address, roster.zone), None)
+        if sender is not None and requested_at is not None:
             self._rosters.apply_roster(roster, sender.zone, now)
 
-    def _answer_roster(self, ask: RosterRequest, now: float) -> None:
-        hosts = self._rosters.roster(ask.zone, now)
-        age_s = self._rosters.roster_age_s(ask.zone, now)
-        roster = Roster(self.peer_table.address, ask.zone, hosts, age_s)
-        self._links.send(ask.address, encode_message(roster))
+    def _handle_roster_request(self, request: RosterRequest, now: float) -> None:
+        hosts = self._rosters.roster(request.zone, now)
+        age_s = self._rosters.roster_age_s(request.zone, now)
+        roster = Roster(self.peer_table.address, request.zone, hosts, age_s)
+        self._links.send(request.address, encode_message(roster))
 
-    def _take(self, digest: Digest, now: float) -> None:
-        catalogue = self._knowledge.catalogue
+    def _apply_store_progress(self, digest: Digest, now: float) -> None:
+        catalogue = self._config_view.catalogue
         version = -1 if catalogue is None else catalogue.version
         if digest.config_version == version and catalogue is not None:
             proven_at = self.peer_table.proven_at(digest, digest.config_age_s)
             if proven_at is not None:
-                self._documents.note_proof(proven_at)
+                self._documents.record_proof(proven_at)
         if digest.documents_end_offset > (self._documents.offset or 0):
-            self._documents.reading.hurry()
+            self._documents.reader.read_now()
         sent_at = self.peer_table.proven_at(digest, 0.0)
         if sent_at is not None:
-            self._listings.note_steady(now - digest.store_available_s, sent_at)
+            self._listings.record_available(now - digest.store_available_s, sent_at)
         listed_at = self.peer_table.proven_at(digest, digest.listing_age_s)
         if listed_at is not None:
-            self._listings.note_proof(digest.listing_end_offset, listed_at)
-        wants_config = self._is_config_late(digest.config_version, version, now)
-        is_old = now - self._listings.current_as_of > OLD_LISTING_S
-        wants_listing = is_old and digest.listing_age_s < OLD_LISTING_S
-        if (wants_config or wants_listing) and now - self._asked_at > ASK_PERIOD_S:
-            self._asked_at = now
-            ask = StateRequest(self.peer_table.address, wants_config, wants_listing)
-            self._links.send(digest.address, encode_message(ask))
-
-    def _is_config_late(self, heard: int, version: int, now: float) -> bool:
+            self._listings.record_proof(digest.listing_end_offset, listed_at)
+        wants_config = self._is_config_overdue(digest.config_version, version, now)
+        is_listing_old = now - self._listings.confirmed_at > MAX_LISTING_AGE_S
+        wants_listing = is_listing_old and digest.listing_age_s < MAX_LISTING_AGE_S
+        if (
+            wants_config or wants_listing
+        ) and now - self._state_requested_at > STATE_REQUEST_INTERVAL_S:
+            self._state_requested_at = now
+            request = StateRequest(self.peer_table.address, wants_config, wants_listing)
+            self._links.send(digest.address, encode_message(request))
+
+    def _is_config_overdue(self, peer_version: int, version: int, now: float) -> bool:
         """Return whether a peer has had a newer configuration for longer than a read takes.
 
-        The store sends a large document to many hosts sooner than one peer could.
+        Until then the store should send it: it can send a large document to many hosts sooner than
+        one peer could.
         """
-        if heard <= version:
+        if peer_version <= version:
             return False
-        if version != self._outdated:
-            self._outdated, self._outdated_since = version, now
-        return now - self._outdated_since > OLD_CONFIG_S
+        if version != self._outdated_version:
+            self._outdated_version, self._outdated_since = version, now
+        return now - self._outdated_since > CONFIG_READ_GRACE_S
 
-    def _take_changes(self, changes: EndpointChanges) -> None:
+    def _handle_changes(self, changes: EndpointChanges) -> None:
         entries = tuple(
-            Entry(record.key, record.value, changes.start_offset + place)
-            for place, record in enumerate(changes.records)
+            Entry(record.key, record.value, changes.start_offset + index)
+            for index, record in enumerate(changes.records)
         )
-        self._listings.take_changes(entries, changes.is_lapse)
+        self._listings.apply_changes(entries, changes.is_lapse)
 
-    def _answer(self, ask: StateRequest) -> StateResponse:
+    def _make_state_response(self, request: StateRequest) -> StateResponse:
         listed = []
-        if ask.wants_listing:
+        if request.wants_listing:
             listed = [
                 ListedEndpoint(
-                    listing.instance_id,
-                    listing.service,
-                    listing.address,
-                    listing.zone,
-                    listing.version,
-                    listing.slots,
-                    listing.is_leaving,
-                    listing.started_ms,
-                    listing.sequence,
+                    record.instance_id,
+                    record.service,
+                    record.address,
+                    record.zone,
+                    record.version,
+                    record.slots,
+                    record.is_leaving,
+                    record.started_ms,
+                    record.sequence,
                 )
-                for listing in self._directory.records()
+                for record in self._directory.records()
             ]
-        config = self._documents.raw_config if ask.wants_config else b""
+        config = self._documents.raw_config if request.wants_config else b""
         return StateResponse(self.peer_table.address, config, listed, self._directory.removed_ids())
 
-    def _take_documents(self, documents: StateResponse, now: float) -> None:
-        if documents.config:
+    def _handle_state_response(self, response: StateResponse, now: float) -> None:
+        if response.config:
             try:
-                self._documents.take_config(documents.config, documents.address)
+                self._documents.apply_config(response.config, response.address)
             except MalformedDocument as error:
                 write_event(events.DocumentIgnored("config of a peer", str(error)))
-        if not documents.endpoints and not documents.removed:
+        if not response.endpoints and not response.removed:
             return
-        for listed in documents.endpoints:
-            listing = EndpointRecord(
-                listed.lifetime,
+        for listed in response.endpoints:
+            record = EndpointRecord(
+                listed.instance_id,
                 listed.service,
                 listed.address,
                 listed.zone,
                 listed.version,
-                listed.places,
+                listed.slots,
                 listed.is_leaving,
                 0.0,
                 listed.started_ms,
                 listed.sequence,
             )
-            self._directory.apply(listing, now)
-        for lifetime in documents.removed:
-            self._directory.remove(lifetime, now)
-        self._listings.take_from_peer()
+            self._directory.apply(record, now)
+        for instance_id in response.removed:
+            self._directory.remove(instance_id, now)
+        self._listings.apply_peer_listing()
 
 
-def _read_zone(entry: Entry) -> str:
-    """Return the zone that a host wrote beside its address; empty where it can't be read."""
+def _decode_zone(entry: Entry) -> str:
+    """Return the zone in the record of a host's address; empty if it can't be decoded."""
     try:
         return str(json.loads(entry.value or b"")["zone"])
     except (ValueError, KeyError, TypeError):
         return ""
 
 
-def _spread(seconds: float) -> float:
-    """Return about so many seconds, so that hosts that start together don't call together."""
+def _add_jitter(seconds: float) -> float:
+    """Return a time with jitter, so that hosts that start together don't call together."""
     return seconds * random.uniform(0.7, 1.3)
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -1,4 +1,4 @@
-"""When a host reads a topic of the store itself, and when it waits for its zone's reader."""
+"""Schedules a host's reads of a topic of the store, which the hosts of a zone share."""
 
 import asyncio
 import contextlib
@@ -9,60 +9,61 @@
 
 
 class SharedReader:
-    """The turn of one host in the reading of one topic.
+    """Decides when this host reads one topic, and how long the store may hold a read open.
 
     Parameters
     ----------
     topic : str
-        Names the line; another topic usually has another first host.
-    times : ReadTimes
-        How long reads are held back, and the zone's reader is waited for.
+        Determines the ranks of hosts; another topic usually has another reader.
+    timeouts : ReadTimeouts
+        Timeouts of reads and of waiting for the zone's reader.
 
     Attributes
     ----------
     has_failed : bool
-        Whether the last read did.
+        Whether the last read failed.
     """
 
     def __init__(
-        self, topic: str, peer_table: PeerTable, times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
+        self, topic: str, peer_table: PeerTable, timeouts: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     ) -> None:
         self.has_failed = False
-        self.times = times
+        self.timeouts = timeouts
         self._topic = topic
         self._peer_table = peer_table
-        self._duty = ReadSchedule(times)
-        self._wake = asyncio.Event()
+        self._schedule = ReadSchedule(timeouts)
+        self._wake_event = asyncio.Event()
 
     @property
-    def held_s(self) -> float:
-        """How long the store may hold the next read back, in seconds.
+    def long_poll_s(self) -> float:
+        """How long the store may hold the next read open.
 
-        A read that is held back proves nothing before its end. After a failure the next
-        one is answered at once: callers with keys are served again sooner, and a store
-        that still says nothing is asked again sooner.
+        A long poll proves nothing before its end. After a failure, the next read is no long poll,
+        so that callers with API keys are served again sooner, and a store that still does not
+        answer is tried again sooner.
         """
-        return self.times.long_poll_s if self._place() == 0 and not self.has_failed else 0.0
+        return self.timeouts.long_poll_s if self._rank() == 0 and not self.has_failed else 0.0
 
-    def hurry(self) -> None:
-        """Read at once: a peer has more than this host."""
-        self._duty.is_behind = True
-        self._wake.set()
+    def read_now(self) -> None:
+        """Read at once, because a peer has newer state than this host."""
+        self._schedule.is_behind = True
+        self._wake_event.set()
 
-    async def wait(self, true_at: Callable[[], float]) -> None:
-        """Return when this host is to read.
+    async def wait_until_due(self, confirmed_at: Callable[[], float]) -> None:
+        """Wait until this host has to read.
 
         Parameters
         ----------
-        true_at : callable
-            When what it knows was the newest for sure; peers prove that anew meanwhile.
+        confirmed_at : callable
+            Returns the latest time at which this host's state was surely current, which advances
+            with the proofs of peers.
         """
-        while wait_s := self._duty.wait_s(self._place(), true_at(), seconds_since_boot()):
-            self._wake.clear()
+        while wait_s := self._schedule.wait_s(self._rank(), confirmed_at(), seconds_since_boot()):
+            self._wake_event.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
-                    await self._wake.wait()
-        self._duty.is_behind = False
+                    await self._wake_event.wait()
+        self._schedule.is_behind = False
 
-    def _place(self) -> int:
+    def _rank(self) -> int:
         return self._peer_table.reader_rank(self._topic, seconds_since_boot())
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -1,4 +1,4 @@
-"""What the gateway writes of one request, and counts of it."""
+"""Log events and metrics about requests."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
 
 
 class RequestRecorder:
-    """Writes and counts the decisions about requests.
+    """Logs and counts the decisions about requests.
 
     Attributes
     ----------
     config_version : int
-        Version of the configuration by which decisions are made now; -1 for none.
+        Version of the configuration in force; -1 for none.
     config_age_s : float
-        How long ago that was the newest for sure, in seconds.
+        How long ago the configuration was surely current.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -26,8 +26,8 @@
         self.config_version = -1
         self.config_age_s = 0.0
 
-    def admitted(self, work: InFlightRequest, now: float) -> None:
-        """Note that a request may run."""
+    def record_admitted(self, work: InFlightRequest, now: float) -> None:
+        """Record that a request was admitted."""
         self._metrics.count_request(work.route.name)
         account = "" if work.account is None else work.account.name
         write_event(
@@ -42,26 +42,28 @@
             )
         )
 
-    def chosen(self, work: InFlightRequest, seconds: float) -> None:
-        """Note how long the choice of an endpoint took."""
+    def record_choice(self, work: InFlightRequest, seconds: float) -> None:
+        """Record how long the choice of an endpoint took."""
         self._metrics.record_latency("choice", work.service, seconds)
 
-    def sent(self, work: InFlightRequest, send: SendDecision, now: float, is_resumed: bool) -> None:
-        """Note a send."""
+    def record_send(
+        self, work: InFlightRequest, send: SendDecision, now: float, is_resumed: bool
+    ) -> None:
+        """Record a send to an endpoint."""
         if work.sends > 1:
             self._metrics.count_event("resumed" if is_resumed else "sent_again")
-        member = send.estimate.endpoint
+        endpoint = send.estimate.endpoint
         write_event(
             events.RequestSent(
                 work.request.id,
                 work.sends,
-                member.record.instance_id,
-                member.record.zone,
-                member.record.version,
+                endpoint.record.instance_id,
+                endpoint.record.zone,
+                endpoint.record.version,
                 send.size or "",
                 send.estimate.first_event_s,
-                member.load,
-                member.queue_s,
+                endpoint.load,
+                endpoint.queue_s,
                 work.remaining_s(now),
                 is_resumed,
                 send.reason.value,
@@ -69,14 +71,14 @@
             )
         )
 
-    def unanswered(self) -> None:
-        """Note that no host said in time whether a session stays on its version."""
+    def record_session_unanswered(self) -> None:
+        """Record that no host answered in time whether a session stays on its version."""
         self._metrics.count_event("session_unanswered")
 
-    def failed(
+    def record_failure(
         self, work: InFlightRequest, send: SendDecision, failure: Failure, is_last: bool
     ) -> None:
-        """Note a failed send; it counts as a retry unless the request ends with it."""
+        """Record a failed send, which counts as a retry unless the request ends with it."""
         reason = failure_label(failure)
         self._metrics.count_event(f"send_failed_{reason}")
         if not is_last:
@@ -91,24 +93,26 @@
             )
         )
 
-    def dropped(self, work: InFlightRequest, confidence: float) -> None:
-        """Note that a larger model is asked in place of an answer."""
+    def record_escalation(self, work: InFlightRequest, confidence: float) -> None:
+        """Record that an answer is discarded and a larger model asked."""
         self._metrics.count_retry("larger_model")
         write_event(events.LargerModelAsked(work.request.id, confidence, work.model_size or ""))
 
-    def first(self, work: InFlightRequest, attempt: Attempt) -> None:
-        """Note the first event, or the answer of a plain service."""
+    def record_first_event(self, work: InFlightRequest, attempt: Attempt) -> None:
+        """Record the time to the first event, or to the answer of a plain service."""
         if attempt.first_event_at is not None:
             taken_s = attempt.first_event_at - work.arrived_at
             self._metrics.record_latency("first", work.route.name, taken_s)
 
-    def answered(self, work: InFlightRequest, status: int, attempt: Attempt | None = None) -> None:
-        """Note an answer that went to the caller.
+    def record_answer(
+        self, work: InFlightRequest, status: int, attempt: Attempt | None = None
+    ) -> None:
+        """Record an answer to the caller.
 
         Parameters
         ----------
         attempt : Attempt, optional
-            The one whose answer was whole; None for an endpoint's own failure.
+            The attempt that was answered completely; None for an error answer of an endpoint.
         """
         took_s = seconds_since_boot() - work.arrived_at
         self._metrics.record_latency("whole", work.route.name, took_s)
@@ -125,15 +129,15 @@
             )
         write_event(event)
 
-    def turned_away(self, request: Request, refusal: Refusal) -> None:
-        """Note a refusal before admission."""
-        self._refuse(request.id, "", refusal, 0, 0.0)
+    def record_early_refusal(self, request: Request, refusal: Refusal) -> None:
+        """Record a refusal before admission."""
+        self._write_refusal(request.id, "", refusal, 0, 0.0)
 
-    def refused(self, work: InFlightRequest, refusal: Refusal, is_started: bool) -> None:
-        """Note a refusal, or an answer that was broken off."""
+    def record_refusal(self, work: InFlightRequest, refusal: Refusal, is_started: bool) -> None:
+        """Record a refusal after admission, or an aborted answer."""
         took_s = seconds_since_boot() - work.arrived_at
         if not is_started:
-            self._refuse(work.request.id, work.route.name, refusal, work.sends, took_s)
+            self._write_refusal(work.request.id, work.route.name, refusal, work.sends, took_s)
             return
         self._metrics.count_event("broken_off")
         write_event(
@@ -148,13 +152,13 @@
             )
         )
 
-    def left(self, work: InFlightRequest) -> None:
-        """Note that the caller closed its connection."""
+    def record_disconnect(self, work: InFlightRequest) -> None:
+        """Record that the caller closed its connection."""
         self._metrics.count_event("caller_left")
         took_s = seconds_since_boot() - work.arrived_at
         write_event(events.CallerLeft(work.request.id, work.route.name, work.sends, took_s))
 
-    def _refuse(
+    def _write_refusal(
         self, request_id: str, route: str, refusal: Refusal, sends: int, took_s: float
     ) -> None:
         self._metrics.count_refusal(refusal.kind)
--- a/poplarrun/gateway/_rollout_controller.py
+++ b/poplarrun/gateway/_rollout_controller.py
@@ -1,4 +1,4 @@
-"""Carries roll-outs out: judges them, and records each phase once, under a condition."""
+"""Judges roll-outs and records their phases in the store by conditional appends."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,20 +17,20 @@
 from poplarrun.routing import RolloutPhase, RolloutStatus
 from poplarrun.transport import seconds_since_boot
 
-# Pause between two looks at the roll-outs that are under way, in seconds.
-PERIOD_S = 0.25
-# What the hosts recorded is read again after so long while a roll-out is under way,
-# in seconds: another host may have recorded its end. The first in line tells the others
-# in its digests, so that these read only now and then.
-READ_PERIOD_S = 1.5
-LATER_READ_PERIOD_S = 6.0
-# Hosts that are further behind in line don't read: the ones before tell them.
-MOST_READERS = 3
-# A host that isn't first in line writes only after so long for each before it, in
-# seconds: the first may be cut off or dead.
-TURN_S = 1.2
+# Interval between two evaluations of the roll-outs in progress.
+EVALUATION_INTERVAL_S = 0.25
+# Intervals between two reads of the recorded phases while a roll-out is in progress, since another
+# host may have recorded its end: for the host of rank 0, and for the next ones, which also learn
+# the phases from its digests.
+READ_INTERVAL_S = 1.5
+LATER_READ_INTERVAL_S = 6.0
+# Hosts of a higher rank don't read; they learn the phases from digests.
+MAX_READERS = 3
+# A host records a phase itself after this time for each host that precedes it, which may be dead
+# or cut off.
+TAKEOVER_DELAY_S = 1.2
 
-PHASES = {
+PHASE_BY_VERDICT = {
     RolloutVerdict.ACTIVE: RolloutPhase.ACTIVE,
     RolloutVerdict.COMPLETED: RolloutPhase.COMPLETED,
     RolloutVerdict.ROLLED_BACK: RolloutPhase.ROLLED_BACK,
@@ -38,49 +38,49 @@
 
 
 class RolloutController:
-    """Judges and records the roll-outs; one on every host.
+    """Judges and records the roll-outs; there is one on every host.
 
-    Who writes is a matter of turns and may be two hosts at once. Each append names
-    the end of the records that its writer has read, so the later of two writers is
-    turned away, reads the other's word, and never records over a final phase.
+    The host of rank 0 records, but two hosts may do so at once. Each append is conditional on the
+    end offset that its writer has read. The later of two writers is therefore rejected, reads
+    the other's record, and never overwrites a final phase.
 
     Parameters
     ----------
-    turn : callable
-        How many hosts are before this one in line.
-    judge_open : callable
-        Counts answers under way that take much too long already.
+    job_rank : callable
+        Returns how many hosts precede this one for a service.
+    record_open_evidence : callable
+        Counts open answers that already take much too long as evidence.
     """
 
     def __init__(
         self,
         store: StoreClient,
         rollouts: Rollouts,
-        turn: Callable[[str], int],
-        judge_open: Callable[[float], None],
+        job_rank: Callable[[str], int],
+        record_open_evidence: Callable[[float], None],
     ) -> None:
         self._store = store
         self._rollouts = rollouts
-        self._turn = turn
-        self._judge_open = judge_open
+        self._job_rank = job_rank
+        self._record_open_evidence = record_open_evidence
         self._follower = StatusFollower(store, rollouts)
-        self._wanted: dict[tuple[str, RolloutVerdict], float] = {}
+        self._wanted_since: dict[tuple[str, RolloutVerdict], float] = {}
         self._read_at = float("-inf")
 
     async def run(self) -> None:
-        """Look after the roll-outs for ever."""
+        """Judge and record the roll-outs forever."""
         while True:
             if self._rollouts.active():
-                self._judge_open(seconds_since_boot())
+                self._record_open_evidence(seconds_since_boot())
             for rollout in self._rollouts.active():
-                await self._look_after(rollout)
-            await asyncio.sleep(PERIOD_S)
+                await self._evaluate(rollout)
+            await asyncio.sleep(EVALUATION_INTERVAL_S)
 
-    async def _look_after(self, rollout: Rollout) -> None:
+    async def _evaluate(self, rollout: Rollout) -> None:
         now = seconds_since_boot()
-        turn = self._turn(rollout.order.service)
-        period_s = READ_PERIOD_S if turn == 0 else LATER_READ_PERIOD_S
-        if turn < MOST_READERS and now - self._read_at > period_s:
+        job_rank = self._job_rank(rollout.order.service)
+        interval_s = READ_INTERVAL_S if job_rank == 0 else LATER_READ_INTERVAL_S
+        if job_rank < MAX_READERS and now - self._read_at > interval_s:
             self._read_at = now
             if not await self._follower.read():
                 return
@@ -94,8 +94,8 @@
             write_event(events.RolloutShifted(order.service, order.target, "own", age_s))
         if verdict is RolloutVerdict.NOTHING:
             return
-        wanted_since = self._wanted.setdefault((rollout.order.target, verdict), now)
-        if now - wanted_since < TURN_S * turn:
+        wanted_since = self._wanted_since.setdefault((rollout.order.target, verdict), now)
+        if now - wanted_since < TAKEOVER_DELAY_S * job_rank:
             return
         await self._record(rollout, verdict)
 
@@ -103,7 +103,7 @@
         if not await self._follower.read() or rollout not in self._rollouts.active():
             return
         order = rollout.order
-        status = RolloutStatus(order.service, order.target, PHASES[verdict])
+        status = RolloutStatus(order.service, order.target, PHASE_BY_VERDICT[verdict])
         key = ROLLOUT_PREFIX + order.service
         value = encode_status(status)
         answer = await self._store.append(STATUS_TOPIC, [(key, value)], self._follower.offset)
--- a/poplarrun/gateway/_sessions.py
+++ b/poplarrun/gateway/_sessions.py
@@ -1,4 +1,4 @@
-"""Asks and tells other hosts which sessions stay on their version in a roll-out."""
+"""Exchange between hosts of which sessions stay on their version in a roll-out."""
 
 import asyncio
 import contextlib
@@ -7,100 +7,104 @@
 from dataclasses import dataclass
 
 from poplarrun.links import Links
-from poplarrun.peers import HeldSessions, PeerTable, SessionAnswer, SessionQuery, encode_message
+from poplarrun.peers import PeerTable, PinnedSessions, SessionAnswer, SessionQuery, encode_message
 from poplarrun.rollouts import PinnedSession, Rollouts, SessionKey
 from poplarrun.routing import InFlightRequest
 from poplarrun.transport import seconds_since_boot
 
-# Answers of keepers that are waited for, and for how long in seconds: one keeper may be
-# dead, or newer than the session.
-ANSWERS_NEEDED = 2
-ANSWER_PATIENCE_S = 0.1
+# Number of owners whose answers are awaited, and for how long: one owner may be dead, or may have
+# started after the session.
+MIN_ANSWERS = 2
+ANSWER_TIMEOUT_S = 0.1
 
 
 @dataclass(slots=True)
-class _Question:
-    held: PinnedSession
-    missing: int
+class _PendingQuery:
+    pin: PinnedSession
+    awaited_answers: int
     answer: asyncio.Future[bool]
 
 
 class SessionLookup:
-    """What a host tells, asks and answers of sessions.
+    """Stores and looks up pinned sessions at the hosts that own them.
 
-    A few hosts keep each session, found by its hash, so that the messages for a request do
-    not grow with the number of hosts.
+    Each session has a few owners, chosen by its hash, so that the messages for a request don't
+    grow with the number of hosts.
     """
 
     def __init__(self, peer_table: PeerTable, links: Links, rollouts: Rollouts) -> None:
         self._peer_table = peer_table
         self._links = links
         self._rollouts = rollouts
-        self._numbers = itertools.count(1)
-        self._questions: dict[int, _Question] = {}
-
-    def tell(self) -> None:
-        """Tell the keepers of the sessions that this host found to be held."""
-        told: dict[tuple[str, str, int], list[int]] = defaultdict(list)
-        for held in self._rollouts.sessions.drain_unpublished():
-            for keeper in self._keepers(held.key):
-                told[keeper, held.key.service, held.order_offset].append(held.key.session_hash)
-        for (keeper, service, offset), numbers in told.items():
-            self._links.send(keeper, encode_message(HeldSessions(service, offset, numbers)))
-
-    def take_held(self, message: HeldSessions) -> None:
-        """Take in sessions that another host told of."""
-        for number in message.session_hashes:
-            key = SessionKey(message.service, number)
+        self._query_ids = itertools.count(1)
+        self._pending_queries: dict[int, _PendingQuery] = {}
+
+    def publish(self) -> None:
+        """Send newly pinned sessions to their owners."""
+        hashes_by_receiver: dict[tuple[str, str, int], list[int]] = defaultdict(list)
+        for pin in self._rollouts.sessions.drain_unpublished():
+            for owner in self._owners(pin.key):
+                hashes_by_receiver[owner, pin.key.service, pin.order_offset].append(
+                    pin.key.session_hash
+                )
+        for (owner, service, offset), session_hashes in hashes_by_receiver.items():
+            self._links.send(owner, encode_message(PinnedSessions(service, offset, session_hashes)))
+
+    def apply_pinned(self, message: PinnedSessions) -> None:
+        """Store pinned sessions that another host sent."""
+        for session_hash in message.session_hashes:
+            key = SessionKey(message.service, session_hash)
             self._rollouts.sessions.apply_pin(PinnedSession(key, message.offset))
 
-    def answer(self, ask: SessionQuery) -> None:
-        """Answer a host that asks."""
-        held = PinnedSession(SessionKey(ask.service, ask.session_hash), ask.offset)
-        is_held = self._rollouts.sessions.is_pinned(held)
-        self._links.send(ask.address, encode_message(SessionAnswer(ask.query_id, is_held)))
+    def handle_query(self, query: SessionQuery) -> None:
+        """Answer another host's query."""
+        pin = PinnedSession(SessionKey(query.service, query.session_hash), query.offset)
+        is_pinned = self._rollouts.sessions.is_pinned(pin)
+        self._links.send(query.address, encode_message(SessionAnswer(query.query_id, is_pinned)))
 
-    def take_answer(self, answer: SessionAnswer) -> None:
-        """Take in an answer; a session that one keeper knows is held."""
-        question = self._questions.get(answer.query_id)
-        if question is None or question.answer.done():
+    def handle_answer(self, answer: SessionAnswer) -> None:
+        """Apply an answer; one owner that knows the session as pinned suffices."""
+        pending = self._pending_queries.get(answer.query_id)
+        if pending is None or pending.answer.done():
             return
-        question.missing -= 1
-        if answer.is_held:
-            self._rollouts.sessions.apply_pin(question.held)
-        if answer.is_held or question.missing <= 0:
-            question.answer.set_result(answer.is_held)
+        pending.awaited_answers -= 1
+        if answer.is_pinned:
+            self._rollouts.sessions.apply_pin(pending.pin)
+        if answer.is_pinned or pending.awaited_answers <= 0:
+            pending.answer.set_result(answer.is_pinned)
 
     async def resolve(self, work: InFlightRequest) -> bool:
-        """Find out whether a request's session is held; False when nobody said so in time.
+        """Query whether a request's session is pinned; return False without an answer in time.
 
-        Only sessions that the trial would take are asked for.
+        Only sessions that would take part in the trial are queried.
         """
-        held = self._rollouts.find_session_to_query(work, seconds_since_boot())
-        if held is None:
+        pin = self._rollouts.find_session_to_query(work, seconds_since_boot())
+        if pin is None:
             return True
-        keepers = self._keepers(held.key)
-        if not keepers:
+        owners = self._owners(pin.key)
+        if not owners:
             return True
-        needed = min(ANSWERS_NEEDED, len(keepers))
-        number = next(self._numbers)
-        question = _Question(held, needed, asyncio.get_running_loop().create_future())
-        self._questions[number] = question
-        service, session = held.key.service, held.key.session_hash
-        ask = encode_message(
-            SessionQuery(self._peer_table.address, number, service, held.order_offset, session)
+        awaited_answers = min(MIN_ANSWERS, len(owners))
+        query_id = next(self._query_ids)
+        pending = _PendingQuery(pin, awaited_answers, asyncio.get_running_loop().create_future())
+        self._pending_queries[query_id] = pending
+        service, session_hash = pin.key.service, pin.key.session_hash
+        message = encode_message(
+            SessionQuery(
+                self._peer_table.address, query_id, service, pin.order_offset, session_hash
+            )
         )
         try:
-            for keeper in keepers:
-                self._links.send(keeper, ask)
+            for owner in owners:
+                self._links.send(owner, message)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(ANSWER_PATIENCE_S):
-                    await question.answer
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                    await pending.answer
         finally:
-            del self._questions[number]
-        return question.answer.done() and not question.answer.cancelled()
+            del self._pending_queries[query_id]
+        return pending.answer.done() and not pending.answer.cancelled()
 
-    def _keepers(self, key: SessionKey) -> list[str]:
-        """Return the other hosts that keep a session."""
-        keepers = self._peer_table.session_owners(f"{key.service}/{key.session_hash}")
-        return [keeper for keeper in keepers if keeper != self._peer_table.address]
+    def _owners(self, key: SessionKey) -> list[str]:
+        """Return the addresses of a session's owners other than this host."""
+        owners = self._peer_table.session_owners(f"{key.service}/{key.session_hash}")
+        return [owner for owner in owners if owner != self._peer_table.address]
--- a/poplarrun/peers/_messages.py
+++ b/poplarrun/peers/_messages.py
@@ -12,13 +12,13 @@
 
     Attributes
     ----------
-    lifetime : str
+    instance_id : str
         Id of the endpoint, new with each of its starts.
     pending_ms : int
         Estimated time until the endpoint has read the prompts of these requests.
     """
 
-    lifetime: str
+    instance_id: str
     in_flight: int
     pending_ms: int
 
@@ -34,7 +34,7 @@
         How long ago the order was first seen by any host that the sender heard from.
     phase : RolloutPhase, optional
         The recorded phase.
-    shifted_age_s : float, optional
+    shift_decided_age_s : float, optional
         How long ago any host decided that the shift begins, in which sessions may change
         versions.
     """
@@ -45,7 +45,7 @@
     offset: int
     age_s: float
     phase: RolloutPhase | None
-    shifted_age_s: float | None
+    shift_decided_age_s: float | None
 
 
 class VersionTally(msgspec.Struct, frozen=True, array_like=True):
@@ -53,25 +53,25 @@
 
     Attributes
     ----------
-    ended, failures, slow : int
+    answers, failures, slow : int
         Answers that ended, that failed, and that came much too late.
-    paced : int
+    paced_answers : int
         Answers whose pace was compared with the usual pace.
-    log_pace : float
+    log_pace_sum : float
         Sum of the logarithms of the ratios of these paces.
-    broken : list of str
+    interrupting_endpoints : list of str
         Endpoints that broke off answers.
     """
 
     service: str
     version: str
     kind: str
-    ended: int
+    answers: int
     failures: int
     slow: int
-    paced: int
-    log_pace: float
-    broken: list[str] = []
+    paced_answers: int
+    log_pace_sum: float
+    interrupting_endpoints: list[str] = []
 
 
 class Scope(enum.IntEnum):
@@ -200,12 +200,12 @@
 class ListedEndpoint(msgspec.Struct, frozen=True, array_like=True):
     """An endpoint as the sender's list has it."""
 
-    lifetime: str
+    instance_id: str
     service: str
     address: str
     zone: str
     version: str
-    places: int
+    slots: int
     is_leaving: bool
     started_ms: int
     sequence: int
@@ -254,7 +254,7 @@
     records: list[ChangedRecord]
 
 
-class HeldSessions(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class PinnedSessions(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Sessions that stay on the old version in the roll-out of an order.
 
     Attributes
@@ -292,7 +292,7 @@
     """Answers a ``SessionQuery``."""
 
     query_id: int
-    is_held: bool
+    is_pinned: bool
 
 
 Message = (
@@ -300,7 +300,7 @@
     | StateRequest
     | StateResponse
     | EndpointChanges
-    | HeldSessions
+    | PinnedSessions
     | SessionQuery
     | SessionAnswer
     | RosterRequest
--- a/poplarrun/peers/_read_schedule.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -75,17 +75,17 @@
     times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     is_behind: bool = False
 
-    def wait_s(self, rank: int, current_as_of: float, now: float) -> float:
+    def wait_s(self, rank: int, confirmed_at: float, now: float) -> float:
         """Return the seconds until this host reads for itself, 0 for now.
 
         Parameters
         ----------
         rank : int
             Number of alive hosts of the zone that precede this one.
-        current_as_of : float
+        confirmed_at : float
             Latest time at which its state was surely current.
         """
         if rank == 0 or self.is_behind:
             return 0.0
         proof_timeout_s = self.times.proof_timeout_s + RANK_DELAY_S * min(rank - 1, MAX_RANK_STEPS)
-        return max(0.0, current_as_of + proof_timeout_s - now)
+        return max(0.0, confirmed_at + proof_timeout_s - now)
--- a/poplarrun/peers/_rosters.py
+++ b/poplarrun/peers/_rosters.py
@@ -22,13 +22,13 @@
 
     Attributes
     ----------
-    confirmed_at : float
+    renewed_at : float
         When that host last sent its fingerprint.
     """
 
     fingerprint: int
     hosts: frozenset[str]
-    confirmed_at: float
+    renewed_at: float
 
 
 @dataclass
@@ -42,16 +42,16 @@
     _peer_table: PeerTable
     _known: dict[tuple[str, str], _KnownRoster] = field(default_factory=dict)
 
-    def fingerprints(self, is_far: bool, now: float) -> list[RosterFingerprint]:
+    def fingerprints(self, is_other_zone: bool, now: float) -> list[RosterFingerprint]:
         """Return the fingerprints of the rosters to send.
 
         Parameters
         ----------
-        is_far : bool
+        is_other_zone : bool
             Whether the receiver is in another zone. It gets the fingerprint of this host's zone
             only, since zones don't attest the hosts of third zones.
         """
-        zones = {self._peer_table.zone} if is_far else self._peer_table.heard_zones(now)
+        zones = {self._peer_table.zone} if is_other_zone else self._peer_table.heard_zones(now)
         return [
             RosterFingerprint(
                 zone, fingerprint_of(self.roster(zone, now)), self.roster_age_s(zone, now)
@@ -89,7 +89,7 @@
                 return False
             known = _KnownRoster(known.fingerprint, known.hosts, now)
             self._replace_roster(source, fingerprint.zone, known)
-        known.confirmed_at = now
+        known.renewed_at = now
         is_first_hand = source_zone == fingerprint.zone
         self._peer_table.record_attestation(
             fingerprint.zone, known.hosts, now - max(0.0, fingerprint.age_s), is_first_hand
@@ -108,7 +108,7 @@
     def expire(self, now: float) -> None:
         """Remove the rosters whose senders don't confirm them any more."""
         for (source, zone), known in list(self._known.items()):
-            if now - known.confirmed_at > ROSTER_TTL_S:
+            if now - known.renewed_at > ROSTER_TTL_S:
                 del self._known[source, zone]
                 self._withdraw_attestations(zone, known.hosts)
 
--- a/poplarrun/peers/_totals.py
+++ b/poplarrun/peers/_totals.py
@@ -48,8 +48,8 @@
         """
         self.hosts += sign * totals.hosts
         for load in totals.loads:
-            in_flight, pending_ms = self._loads.get(load.lifetime, (0, 0))
-            self._loads[load.lifetime] = (
+            in_flight, pending_ms = self._loads.get(load.instance_id, (0, 0))
+            self._loads[load.instance_id] = (
                 max(0, in_flight + sign * load.in_flight),
                 max(0, pending_ms + sign * load.pending_ms),
             )
@@ -62,8 +62,8 @@
     def totals(self) -> ActivityTotals:
         """The current sum."""
         loads = [
-            EndpointLoad(lifetime, in_flight, pending_ms)
-            for lifetime, (in_flight, pending_ms) in self._loads.items()
+            EndpointLoad(instance_id, in_flight, pending_ms)
+            for instance_id, (in_flight, pending_ms) in self._loads.items()
             if in_flight or pending_ms
         ]
         return ActivityTotals(self.hosts, loads, list(self._tallies.values()))
@@ -71,17 +71,17 @@
 
 def _add_tallies(one: VersionTally, other: VersionTally, sign: int) -> VersionTally:
     # Endpoints that broke off are a set: subtracting them would lose those that others saw too.
-    broken = sorted({*one.broken, *other.broken})
+    interrupting_endpoints = sorted({*one.interrupting_endpoints, *other.interrupting_endpoints})
     return VersionTally(
         one.service,
         one.version,
         one.kind,
-        max(0, one.ended + sign * other.ended),
+        max(0, one.answers + sign * other.answers),
         max(0, one.failures + sign * other.failures),
         max(0, one.slow + sign * other.slow),
-        max(0, one.paced + sign * other.paced),
-        round(one.log_pace + sign * other.log_pace, 2),
-        broken,
+        max(0, one.paced_answers + sign * other.paced_answers),
+        round(one.log_pace_sum + sign * other.log_pace_sum, 2),
+        interrupting_endpoints,
     )
 
 
--- a/poplarrun/platform/__init__.py
+++ b/poplarrun/platform/__init__.py
@@ -15,7 +15,7 @@
     ROLLOUT_PREFIX,
     STATUS_TOPIC,
 )
-from poplarrun.platform._records import decode_listing
+from poplarrun.platform._records import decode_endpoint_record
 from poplarrun.platform._requests import (
     BadRequest,
     EndpointAnswer,
@@ -65,7 +65,7 @@
     "StoreClient",
     "decode_answer",
     "decode_catalogue",
-    "decode_listing",
+    "decode_endpoint_record",
     "decode_order",
     "decode_request",
     "decode_status",
--- a/poplarrun/platform/_names.py
+++ b/poplarrun/platform/_names.py
@@ -11,7 +11,7 @@
 SESSION = "Session"
 AUTHORIZATION = "Authorization"
 # Headers that the system adds for an endpoint.
-EXPECTED_LIFETIME = "X-Expect-Instance"
+EXPECTED_INSTANCE = "X-Expect-Instance"
 ACCOUNT = "X-Tenant"
 PRIORITY = "X-Request-Priority"
 # Headers of answers.
@@ -24,7 +24,7 @@
     name.lower().encode()
     for name in (
         ACCOUNT,
-        EXPECTED_LIFETIME,
+        EXPECTED_INSTANCE,
         PRIORITY,
         AUTHORIZATION,
         "X-Expect-Version",
--- a/poplarrun/platform/_records.py
+++ b/poplarrun/platform/_records.py
@@ -30,7 +30,7 @@
 _DECODER = Decoder(_Record)
 
 
-def decode_listing(lifetime: str, value: bytes) -> EndpointRecord | None:
+def decode_endpoint_record(instance_id: str, value: bytes) -> EndpointRecord | None:
     """Decode an endpoint's record; None if it is no valid record of an endpoint."""
     try:
         record = _DECODER.decode(value)
@@ -39,7 +39,7 @@
     if record.phase not in (READY, DRAINING):
         return None
     return EndpointRecord(
-        instance_id=lifetime,
+        instance_id=instance_id,
         service=record.service,
         address=record.address,
         zone=record.zone,
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -109,13 +109,13 @@
 
 
 def encode_request_headers(
-    work: InFlightRequest, lifetime: str, time_left_s: float, priority: int
+    work: InFlightRequest, instance_id: str, time_left_s: float, priority: int
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of one send to an endpoint.
 
     Parameters
     ----------
-    lifetime : str
+    instance_id : str
         Id of the endpoint; another endpoint at the address answers 421 and runs nothing.
     priority : int
         0 to 9; 0 is the highest.
@@ -125,7 +125,7 @@
     if work.model_size is not None:
         replaced.add(names.MODEL.lower().encode())
     headers = [item for item in request.headers if item[0].lower() not in replaced]
-    _append_header(headers, names.EXPECTED_LIFETIME, lifetime)
+    _append_header(headers, names.EXPECTED_INSTANCE, instance_id)
     _append_header(headers, names.TIME_LEFT_MS, str(max(1, int(time_left_s * MILLISECONDS_PER_S))))
     if work.account is not None:
         _append_header(headers, names.ACCOUNT, work.account.name)
--- a/poplarrun/platform/_settings.py
+++ b/poplarrun/platform/_settings.py
@@ -77,17 +77,17 @@
         ``ip:port`` for metrics.
     seeds : tuple of str
         Addresses of some other hosts.
-    key_revocation_s : float, optional
+    revocation_limit_s : float, optional
         Time within which a revoked API key must be refused; None for no such bound.
     change_propagation_s : float
         Time within which a leaving endpoint and a new configuration must be known.
     stop_grace_s : float
         Time from the request to stop until the host is killed.
-    retries_per_request, retry_allowance : float
+    retry_ratio, retry_allowance : float
         Retries that all hosts together may make for each request, and in addition to that.
     retry_window_s : float
         Time over which retries are counted.
-    session_s : float
+    session_timeout_s : float
         Longest pause between two requests of a session.
     max_exposure_fraction : float
         Largest fraction of a service's requests that a bad version may get.
@@ -103,13 +103,13 @@
     metrics_address: str
     seeds: tuple[str, ...]
     store_address: str
-    key_revocation_s: float | None
+    revocation_limit_s: float | None
     change_propagation_s: float
     stop_grace_s: float
-    retries_per_request: float
+    retry_ratio: float
     retry_allowance: float
     retry_window_s: float
-    session_s: float
+    session_timeout_s: float
     max_exposure_fraction: float
     memory_mb: int
     max_sockets: int
@@ -139,13 +139,13 @@
         metrics_address=f"{node.ip}:{os.environ.get(METRICS_PORT_VARIABLE) or last_port}",
         seeds=node.seeds,
         store_address=node.platform.address,
-        key_revocation_s=bounds.revoke_ms / MILLISECONDS_PER_S if bounds.revoke_strict else None,
+        revocation_limit_s=bounds.revoke_ms / MILLISECONDS_PER_S if bounds.revoke_strict else None,
         change_propagation_s=min(bounds.drain_ms, bounds.config_apply_ms) / MILLISECONDS_PER_S,
         stop_grace_s=bounds.grace_s,
-        retries_per_request=bounds.retry_ratio,
+        retry_ratio=bounds.retry_ratio,
         retry_allowance=bounds.retry_allowance,
         retry_window_s=bounds.retry_window_s,
-        session_s=bounds.session_s,
+        session_timeout_s=bounds.session_s,
         max_exposure_fraction=bounds.exposure_share,
         memory_mb=node.limits.memory_mb,
         max_sockets=node.limits.max_fds - RESERVED_DESCRIPTORS,
--- a/poplarrun/platform/_store.py
+++ b/poplarrun/platform/_store.py
@@ -55,14 +55,14 @@
     ----------
     end_offset, first_offset : int
         Offset of the next record to be appended, and of the oldest retained one.
-    current_as_of : float
+    confirmed_at : float
         Latest time of ``seconds_since_boot`` at which there were surely no further records.
     """
 
     entries: tuple[Entry, ...]
     end_offset: int
     first_offset: int
-    current_as_of: float
+    confirmed_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
     entries: tuple[Entry, ...]
     end_offset: int
-    current_as_of: float
+    confirmed_at: float
 
 
 @dataclass(frozen=True, slots=True)
