--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -208,44 +208,44 @@
     wait_for_status(context, path, 200)
 
 
-@given('a second endpoint "{lifetime}" of "{service}"')
-def step_second(context, lifetime, service):
+@given('a second endpoint "{instance_id}" of "{service}"')
+def step_second(context, instance_id, service):
     installation = context.installation
-    runner = installation.add_runner(lifetime, service)
-    text = f'"endpoint": "{lifetime}"'
-    installation.wait_for(lambda: text in installation.log_of(), f"{lifetime} is known")
-    assert runner.lifetime == lifetime
+    runner = installation.add_runner(instance_id, service)
+    text = f'"endpoint": "{instance_id}"'
+    installation.wait_for(lambda: text in installation.log_of(), f"{instance_id} is known")
+    assert runner.lifetime == instance_id
 
 
-@when('the endpoint "{lifetime}" announces that it is leaving')
-def step_leaves(context, lifetime):
+@when('the endpoint "{instance_id}" announces that it is leaving')
+def step_leaves(context, instance_id):
     installation = context.installation
-    runner = installation.runners[lifetime]
+    runner = installation.runners[instance_id]
     runner.is_leaving = True
     installation.list_runner(runner)
     text = '"change": "leaving"'
-    installation.wait_for(lambda: text in installation.log_of(), f"{lifetime} leaves")
+    installation.wait_for(lambda: text in installation.log_of(), f"{instance_id} leaves")
     context.before = len(runner.seen)
     context.leaving = runner
 
 
-@then('{count:d} more lookups all reach "{lifetime}"')
-def step_all_reach(context, count, lifetime):
-    step_answered_by(context, count, lifetime)
+@then('{count:d} more lookups all reach "{instance_id}"')
+def step_all_reach(context, count, instance_id):
+    step_answered_by(context, count, instance_id)
     assert len(context.leaving.seen) == context.before
 
 
-@when('an unlisted endpoint takes over the address of "{lifetime}"')
-def step_taken_over(context, lifetime):
-    context.installation.runners[lifetime].lifetime = "somebody-else"
+@when('an unlisted endpoint takes over the address of "{instance_id}"')
+def step_taken_over(context, instance_id):
+    context.installation.runners[instance_id].lifetime = "somebody-else"
 
 
-@then('{count:d} lookups are answered by "{lifetime}"')
-def step_answered_by(context, count, lifetime):
+@then('{count:d} lookups are answered by "{instance_id}"')
+def step_answered_by(context, count, instance_id):
     for _ in range(count):
         answer = context.installation.call("/lookup/ring", method="GET")
         assert answer.status == 200, answer
-        assert answer.body == f"answer of {lifetime}".encode(), answer
+        assert answer.body == f"answer of {instance_id}".encode(), answer
 
 
 @given("the endpoints stream slowly")
@@ -308,17 +308,17 @@
     context.installation.wait_for(lambda: text in context.installation.log_of(), text)
 
 
-@given('an endpoint "{lifetime}" of the version "{version}"')
-def step_version(context, lifetime, version):
-    context.installation.add_runner(lifetime, "engines", version=version)
-    text = f'"endpoint": "{lifetime}"'
+@given('an endpoint "{instance_id}" of the version "{version}"')
+def step_version(context, instance_id, version):
+    context.installation.add_runner(instance_id, "engines", version=version)
+    text = f'"endpoint": "{instance_id}"'
     context.installation.wait_for(lambda: text in context.installation.log_of(), text)
 
 
-@given('an endpoint "{lifetime}" of the version "{version}" that fails each request')
-def step_bad_version(context, lifetime, version):
-    step_version(context, lifetime, version)
-    context.installation.runners[lifetime].faults.extend([Fault.ERROR] * 1000)
+@given('an endpoint "{instance_id}" of the version "{version}" that fails each request')
+def step_bad_version(context, instance_id, version):
+    step_version(context, instance_id, version)
+    context.installation.runners[instance_id].faults.extend([Fault.ERROR] * 1000)
 
 
 @when(
@@ -344,10 +344,10 @@
     context.installation.wait_for(lambda: _phase(context) == phase, f"{service} is {phase}")
 
 
-@then('a draft is answered by "{lifetime}"')
-def step_draft_by(context, lifetime):
+@then('a draft is answered by "{instance_id}"')
+def step_draft_by(context, instance_id):
     draft(context)
-    assert context.answer.headers["x-instance-signature"] == f"signed-{lifetime}", context.answer
+    assert context.answer.headers["x-instance-signature"] == f"signed-{instance_id}", context.answer
 
 
 def memory_mb(context):
--- a/features/steps/gateway_faults.py
+++ b/features/steps/gateway_faults.py
@@ -63,9 +63,9 @@
     assert not executions_of(context, "stock")
 
 
-@then('the answer is signed by "{lifetime}"')
-def step_signed(context, lifetime):
-    assert context.answer.headers["x-instance-signature"] == f"signed-{lifetime}", context.answer
+@then('the answer is signed by "{instance_id}"')
+def step_signed(context, instance_id):
+    assert context.answer.headers["x-instance-signature"] == f"signed-{instance_id}", context.answer
 
 
 @then("the second endpoint was asked to resume after event {number:d}")
@@ -111,8 +111,8 @@
 @when('all endpoints of "{service}" are removed')
 def step_all_removed(context, service):
     installation = context.installation
-    for lifetime in [r.lifetime for r in installation.runners.values() if r.service == service]:
-        installation.remove_runner(lifetime)
+    for instance_id in [r.lifetime for r in installation.runners.values() if r.service == service]:
+        installation.remove_runner(instance_id)
     text = "An endpoint is gone."
     installation.wait_for(lambda: text in installation.log_of(), text)
 
--- a/features/steps/gateway_peers.py
+++ b/features/steps/gateway_peers.py
@@ -45,10 +45,10 @@
     assert installation.call("/lookup/ring", number).status == 200
 
 
-@then('soon all calls of "{path}" at host {number:d} reach "{lifetime}"')
-def step_reach(context, path, number, lifetime):
+@then('soon all calls of "{path}" at host {number:d} reach "{instance_id}"')
+def step_reach(context, path, number, instance_id):
     installation = context.installation
-    runner = installation.runners[lifetime]
+    runner = installation.runners[instance_id]
 
     def reach():
         before = len(runner.seen)
@@ -56,7 +56,7 @@
             installation.call(path, number)
         return len(runner.seen) == before + 5
 
-    installation.wait_for(reach, f"all calls reach {lifetime}")
+    installation.wait_for(reach, f"all calls reach {instance_id}")
 
 
 @then('a call of "{path}" at host {number:d} is answered with {status:d} and a Retry-After header')
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -213,11 +213,11 @@
     installation.remove_runner(old)
 
 
-@then('soon all calls of "{path}" at hosts "{numbers}" reach "{lifetime}"')
-def step_hosts_reach(context, path, numbers, lifetime):
+@then('soon all calls of "{path}" at hosts "{numbers}" reach "{instance_id}"')
+def step_hosts_reach(context, path, numbers, instance_id):
     for number in numbers.split(", "):
         context.execute_steps(
-            f'Then soon all calls of "{path}" at host {number} reach "{lifetime}"'
+            f'Then soon all calls of "{path}" at host {number} reach "{instance_id}"'
         )
 
 
--- a/poplarrun/peers/_rosters.py
+++ b/poplarrun/peers/_rosters.py
@@ -13,7 +13,7 @@
 # dead, or is no aggregator any more and nobody reports to it.
 ROSTER_TTL_S = 3.6
 # Addresses whose hashes are cached.
-SALT_CACHE_SIZE = 4096
+HASH_CACHE_SIZE = 4096
 
 
 @dataclass(slots=True)
@@ -130,10 +130,10 @@
     """Return a number that identifies a set of hosts, independent of their order."""
     fingerprint = 0
     for host in set(hosts):
-        fingerprint ^= _salt_of(host)
+        fingerprint ^= _cached_hash(host)
     return fingerprint
 
 
-@functools.lru_cache(maxsize=SALT_CACHE_SIZE)
-def _salt_of(host: str) -> int:
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
+def _cached_hash(host: str) -> int:
     return hash_name(host)
