--- a/poplarrun/gateway/_activity.py
+++ b/poplarrun/gateway/_activity.py
@@ -111,7 +111,7 @@
         self._last_sum_at = now
         others = self._totals_table.estimate_others(now)
         loads = {
-            load.instance_id: (load.in_flight, load.pending_ms / MILLISECONDS_PER_S)
+            load.instance_id: (load.in_flight, load.pending_prefill_ms / MILLISECONDS_PER_S)
             for load in others.loads
         }
         self._placement.apply_peer_load(OTHERS, loads)
--- a/poplarrun/peers/__init__.py
+++ b/poplarrun/peers/__init__.py
@@ -1,4 +1,4 @@
-"""State that hosts exchange: liveness, load totals, roll-out progress and who reads the store."""
+"""State that gateway hosts exchange: liveness, totals, roll-outs, and who reads the store."""
 
 from poplarrun.peers._messages import (
     ActivityTotals,
--- a/poplarrun/peers/_messages.py
+++ b/poplarrun/peers/_messages.py
@@ -14,13 +14,13 @@
     ----------
     instance_id : str
         Id of the endpoint, new with each of its starts.
-    pending_ms : int
-        Estimated time until the endpoint has read the prompts of these requests.
+    pending_prefill_ms : int
+        Total prefill time of their prompts that the endpoint has not read completely yet.
     """
 
     instance_id: str
     in_flight: int
-    pending_ms: int
+    pending_prefill_ms: int
 
 
 class RolloutProgress(msgspec.Struct, frozen=True, array_like=True):
@@ -53,6 +53,8 @@
 
     Attributes
     ----------
+    kind : str
+        Identifies a route and a model size, the answers of which are comparable.
     answers, failures, slow : int
         Answers that ended, that failed, and that came much too late.
     paced_answers : int
--- a/poplarrun/peers/_read_schedule.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -14,7 +14,7 @@
 # have expired.
 OUTAGE_MARGIN_S = 0.6
 # The operators' bound if they set none.
-DEFAULT_BOUND_S = 2.0
+DEFAULT_PROPAGATION_BOUND_S = 2.0
 # Additional wait for each further rank of a host, and the number of ranks that add to it.
 RANK_DELAY_S = 0.1
 MAX_RANK_STEPS = 3
@@ -54,7 +54,7 @@
         return cls(long_poll_s, proof_timeout_s, proof_timeout_s + OUTAGE_MARGIN_S)
 
 
-DEFAULT_READ_TIMEOUTS = ReadTimeouts.for_bound(DEFAULT_BOUND_S)
+DEFAULT_READ_TIMEOUTS = ReadTimeouts.for_bound(DEFAULT_PROPAGATION_BOUND_S)
 
 
 @dataclass
--- a/poplarrun/peers/_totals.py
+++ b/poplarrun/peers/_totals.py
@@ -48,10 +48,10 @@
         """
         self.hosts += sign * totals.hosts
         for load in totals.loads:
-            in_flight, pending_ms = self._loads.get(load.instance_id, (0, 0))
+            in_flight, pending_prefill_ms = self._loads.get(load.instance_id, (0, 0))
             self._loads[load.instance_id] = (
                 max(0, in_flight + sign * load.in_flight),
-                max(0, pending_ms + sign * load.pending_ms),
+                max(0, pending_prefill_ms + sign * load.pending_prefill_ms),
             )
         for tally in totals.tallies:
             key = (tally.service, tally.version, tally.kind)
@@ -62,9 +62,9 @@
     def totals(self) -> ActivityTotals:
         """The current sum."""
         loads = [
-            EndpointLoad(instance_id, in_flight, pending_ms)
-            for instance_id, (in_flight, pending_ms) in self._loads.items()
-            if in_flight or pending_ms
+            EndpointLoad(instance_id, in_flight, pending_prefill_ms)
+            for instance_id, (in_flight, pending_prefill_ms) in self._loads.items()
+            if in_flight or pending_prefill_ms
         ]
         return ActivityTotals(self.hosts, loads, list(self._tallies.values()))
 
