--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -55,9 +55,11 @@
     return placement
 
 
-def make_dispatch(knowledge, engines=2, earned=0.8, allowance=10.0, window_s=10.0):
+def make_dispatch(config_view, engines=2, retry_ratio=0.8, allowance=10.0, window_s=10.0):
     placement = make_placement(engines)
-    return Dispatcher(knowledge, placement, Rollouts(), SizePolicy(), earned, allowance, window_s)
+    return Dispatcher(
+        config_view, placement, Rollouts(), SizePolicy(), retry_ratio, allowance, window_s
+    )
 
 
 def make_work(parts=(), number=0, session=None):
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -97,9 +97,9 @@
 @when('the aggregators of zone "{zone}" are killed')
 def step_kill_aggregators(context, zone):
     async def kill():
-        relays = context.fleet.relays(zone)
-        assert len(relays) == 2
-        context.fleet.kill(relays)
+        aggregators = context.fleet.relays(zone)
+        assert len(aggregators) == 2
+        context.fleet.kill(aggregators)
 
     run(context, kill())
 
