--- a/poplarrun/peers/_read_schedule.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -14,7 +14,7 @@
 # have expired.
 OUTAGE_MARGIN_S = 0.6
 # The operators' bound if they set none.
-DEFAULT_BOUND_S = 2.0
+DEFAULT_PROPAGATION_BOUND_S = 2.0
 # Additional wait for each further rank of a host, and the number of ranks that add to it.
 RANK_DELAY_S = 0.1
 MAX_RANK_STEPS = 3
@@ -54,7 +54,7 @@
         return cls(long_poll_s, proof_timeout_s, proof_timeout_s + OUTAGE_MARGIN_S)
 
 
-DEFAULT_READ_TIMEOUTS = ReadTimeouts.for_bound(DEFAULT_BOUND_S)
+DEFAULT_READ_TIMEOUTS = ReadTimeouts.for_bound(DEFAULT_PROPAGATION_BOUND_S)
 
 
 @dataclass
@@ -75,17 +75,17 @@
     times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     is_behind: bool = False
 
-    def wait_s(self, rank: int, current_as_of: float, now: float) -> float:
+    def wait_s(self, rank: int, confirmed_at: float, now: float) -> float:
         """Return the seconds until this host reads for itself, 0 for now.
 
         Parameters
         ----------
         rank : int
             Number of alive hosts of the zone that precede this one.
-        current_as_of : float
+        confirmed_at : float
             Latest time at which its state was surely current.
         """
         if rank == 0 or self.is_behind:
             return 0.0
         proof_timeout_s = self.times.proof_timeout_s + RANK_DELAY_S * min(rank - 1, MAX_RANK_STEPS)
-        return max(0.0, current_as_of + proof_timeout_s - now)
+        return max(0.0, confirmed_at + proof_timeout_s - now)
