--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -37,14 +37,14 @@
         report(context.endpoint_table, name, 0, now - 0.001, capacity)
 
 
-@given('an endpoint table with engines "{names}" of {capacity:d} places in zone "{zone}"')
+@given('an endpoint table with engines "{names}" of {capacity:d} slots in zone "{zone}"')
 def step_table(context, names, capacity, zone):
     context.endpoint_table = EndpointTable("a", random.Random(1))
     context.listed = []
     add_engines(context, names_of(names), capacity, zone, -1.0)
 
 
-@given('further engines "{names}" of {capacity:d} places in zone "{zone}"')
+@given('additional engines "{names}" of {capacity:d} slots in zone "{zone}"')
 def step_further(context, names, capacity, zone):
     context.listed += [engine(name, zone) for name in names_of(names)]
     context.endpoint_table = EndpointTable("a", random.Random(1))
@@ -53,13 +53,13 @@
         report(context.endpoint_table, listed.name, 0, -1.0, capacity)
 
 
-@given('a report of "{name}" with {requests:d} requests, true at {at:f}')
-@when('a report of "{name}" with {requests:d} requests, true at {at:f}')
+@given('a report of "{name}" with {requests:d} requests, measured at {at:f}')
+@when('a report of "{name}" with {requests:d} requests, measured at {at:f}')
 def step_report(context, name, requests, at):
     report(context.endpoint_table, name, requests, at, context.capacity)
 
 
-@given("prefills take {seconds:f} s a token")
+@given("prefills take {seconds:f} s per token")
 def step_prefills(context, seconds):
     context.endpoint_table.pool(VERSION).speed.prefill_s_per_token = seconds
 
@@ -102,7 +102,7 @@
     )
 
 
-@when('engine "{name}" of {capacity:d} places appears at {at:f}')
+@when('engine "{name}" of {capacity:d} slots appears at {at:f}')
 def step_appears(context, name, capacity, at):
     add_engines(context, [name], capacity, "a", at)
 
@@ -114,7 +114,7 @@
     context.endpoint_table.record_finished(name, at)
 
 
-@when('the cache events of "{name}" reach number {number:d} at {at:f}')
+@when('the cache events of "{name}" reach sequence number {number:d} at {at:f}')
 def step_events(context, name, number, at):
     events = [CacheEvent(number, "stored", str(VERSION), 7)]
     context.endpoint_table.apply_cache_events(name, events, at)
@@ -132,10 +132,10 @@
     assert set(choices(context, 20, at)) == {name}
 
 
-@then('"{name}" is expected to have {requests:d} requests at {at:f}')
+@then('"{name}" is estimated to have {requests:d} requests at {at:f}')
 def step_expected(context, name, requests, at):
-    others = context.endpoint_table.pool(VERSION).background_load
-    found = context.endpoint_table.find(name).estimate_requests(at, others)
+    background_load = context.endpoint_table.pool(VERSION).background_load
+    found = context.endpoint_table.find(name).estimate_requests(at, background_load)
     assert abs(found - requests) < 0.01, found
 
 
@@ -154,19 +154,19 @@
     assert name in choices(context, count, at)
 
 
-@then("nothing is chosen at {at:f}")
+@then("no engine is chosen at {at:f}")
 def step_nothing(context, at):
     assert context.endpoint_table.choose_engine(VERSION, at) is None
 
 
-@then("the choices of {count:d} at {at:f} are of {engines:d} engines")
+@then("the choices of {count:d} at {at:f} include {engines:d} engines")
 def step_choices_of(context, count, at, engines):
     assert len(choices(context, count, at)) == engines
 
 
 def choose_for_prompt(context, at):
-    demand = PromptProfile(len(context.blocks) * BLOCK_WORDS, context.blocks)
-    return context.endpoint_table.choose_engine(VERSION, at, (), demand).endpoint.name
+    prompt = PromptProfile(len(context.blocks) * BLOCK_WORDS, context.blocks)
+    return context.endpoint_table.choose_engine(VERSION, at, (), prompt).endpoint.name
 
 
 @then('the prompt goes to "{name}" at {at:f}')
@@ -179,13 +179,13 @@
     assert choose_for_prompt(context, at) != name
 
 
-@then('"{name}" is expected to hold at least {blocks:d} blocks of the prompt at {at:f}')
+@then('"{name}" is expected to have cached at least {blocks:d} blocks of the prompt at {at:f}')
 def step_holds_more(context, name, blocks, at):
     found = context.endpoint_table.prefixes.match(VERSION, context.blocks, at).cached_blocks[name]
     assert found >= blocks, found
 
 
-@then('"{name}" is expected to hold at most {blocks:d} blocks of the prompt at {at:f}')
+@then('"{name}" is expected to have cached at most {blocks:d} blocks of the prompt at {at:f}')
 def step_holds_less(context, name, blocks, at):
     found = context.endpoint_table.prefixes.match(VERSION, context.blocks, at).cached_blocks[name]
     assert found <= blocks, found
@@ -209,7 +209,7 @@
         context.sharing[host] = LoadSharing(peers, table)
 
 
-@then('each engine is owned by one host of zone "{zone}"')
+@then('each engine is assigned to one host of zone "{zone}"')
 def step_owned(context, zone):
     context.owners = {
         name: [
@@ -221,7 +221,7 @@
     assert all(len(hosts) == 1 and hosts[0][0] == zone for hosts in context.owners.values())
 
 
-@when("the owners poll their engines and publish")
+@when("the assigned hosts poll their engines and publish the loads")
 def step_owners_publish(context):
     for name, hosts in context.owners.items():
         report(context.tables[hosts[0]], name, 5, 1.0, 8)
@@ -238,7 +238,7 @@
             assert context.tables[host].find(name).reported_requests == 5
 
 
-@then('host "{host}" knows the sum of zone "{zone}"')
+@then('host "{host}" knows the total load of zone "{zone}"')
 def step_knows_sum(context, host, zone):
     load = context.sharing[host].zone_loads[zone][str(VERSION)]
     assert (load.requests, load.capacity) == (15, 24)
@@ -258,7 +258,7 @@
     assert set(counts) == set(context.zone_hosts)
 
 
-@then("without one host at most {count:d} of the other hosts' engines change hands")
+@then("without one host at most {count:d} of the other hosts' engines are reassigned")
 def step_stable(context, count):
     gone = context.zone_hosts[0]
     after = assign_endpoints(context.engines, context.zone_hosts[1:])
--- a/poplarrun/endpoints/__init__.py
+++ b/poplarrun/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints: which are known, how loaded they are, which one gets the next call."""
+"""Back-end endpoints: their state, load estimates and load balancing."""
 
 from poplarrun.endpoints._choice import EMPTY_PROMPT, Choice, EndpointSelector, PromptProfile
 from poplarrun.endpoints._endpoint import BackgroundLoadModel, Endpoint
--- a/poplarrun/endpoints/_endpoint.py
+++ b/poplarrun/endpoints/_endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as this host sees it, and the estimate of its load now."""
+"""State of one endpoint and the estimate of its current load."""
 
 import math
 from collections import deque
@@ -8,26 +8,25 @@
 from poplarrun.clients import HostKind
 from poplarrun.contracts import VersionId
 
-# Sends and ends that are remembered between two reports; more are forgotten,
-# oldest first, so that an engine without reports can't grow this host's memory.
+# Send and finish times that are kept between two load reports. The oldest are dropped, so that an
+# engine that never reports can't grow this host's memory without bound.
 MAX_RECORDED_TIMES = 512
-# A report older than this says nothing about the load now.
+# An older report is not used to estimate the current load.
 REPORT_TTL_S = 30.0
 
 
 @dataclass
 class BackgroundLoadModel:
-    """How the load that other hosts give an endpoint drifts while a report ages.
+    """Models how the load from other hosts drifts while a load report ages.
 
-    Other hosts read the same late reports and fill the endpoints that look
-    empty, so a deviation from the pool's mean fades. How fast is measured: each
-    new report is compared with the one before it.
+    Other hosts read the same delayed reports and fill the endpoints that look empty, so a deviation
+    from the pool's mean decays. The rate of decay is estimated from successive reports.
 
     Attributes
     ----------
     mean : float
-        Mean load by other hosts, in requests for each place of the batch.
-    fade_s : float
+        Mean load from other hosts, in requests for each slot of the batch.
+    decay_time_s : float
         Time in which a deviation falls to 1/e, in seconds.
     """
 
@@ -40,56 +39,58 @@
     _interval_s: float = 0.0
 
     def update(self, before: float, after: float, interval_s: float) -> None:
-        """Take in two successive loads of one endpoint by other hosts."""
-        keep = self._decay
-        self.mean += (1.0 - keep) * (after - self.mean)
-        self._weight = keep * self._weight + 1.0
-        self._products = keep * self._products + (before - self.mean) * (after - self.mean)
-        self._squares = keep * self._squares + (before - self.mean) ** 2
-        self._interval_s = keep * self._interval_s + interval_s
+        """Update the model with two successive loads of one endpoint from other hosts."""
+        decay = self._decay
+        self.mean += (1.0 - decay) * (after - self.mean)
+        self._weight = decay * self._weight + 1.0
+        self._products = decay * self._products + (before - self.mean) * (after - self.mean)
+        self._squares = decay * self._squares + (before - self.mean) ** 2
+        self._interval_s = decay * self._interval_s + interval_s
         if self._squares > 0.0:
-            kept_share = min(0.99, max(0.05, self._products / self._squares))
-            self.decay_time_s = -(self._interval_s / self._weight) / math.log(kept_share)
+            retained_fraction = min(0.99, max(0.05, self._products / self._squares))
+            self.decay_time_s = -(self._interval_s / self._weight) / math.log(retained_fraction)
 
-    def estimate_at_age(self, others: float, age_s: float) -> float:
-        """Return the expected load by other hosts when a report has this age."""
-        return self.mean + (others - self.mean) * math.exp(-age_s / max(self.decay_time_s, 1e-3))
+    def estimate_at_age(self, background_load: float, age_s: float) -> float:
+        """Return the expected load from other hosts when a report has this age."""
+        return self.mean + (background_load - self.mean) * math.exp(
+            -age_s / max(self.decay_time_s, 1e-3)
+        )
 
 
 @dataclass(eq=False)
 class Endpoint:
-    """A model engine or a plain service, as this host sees it.
+    """A model engine or a plain service, as seen by this host.
 
     Attributes
     ----------
     name, kind, zone, address, service
-        As listed.
-    leaving : bool
-        It gets no new work.
+        As in the host list.
+    is_leaving : bool
+        Whether it is being removed and gets no new requests.
     versions : frozenset of VersionId
         Versions that it reports as loaded.
-    reported : float
-        Requests in and before its batch, by its last report.
-    true_at : float
-        When that report was true; -inf before the first one.
+    reported_requests : float
+        Running and waiting requests by its last report.
+    measured_at : float
+        When the values of that report were measured; -inf before the first one.
     capacity : int
-        Requests in its batch.
+        Slots in its batch.
     in_flight : int
-        Requests of this host that run there now.
-    known_since : float
-        When it was first listed, or came back.
+        Requests of this host that it is processing.
+    listed_since : float
+        When it was first listed, or listed again.
     paused_until : float
-        Time before which it is passed over, after a failure.
-    failures : int
+        Time before which it is not selected, after a failure.
+    consecutive_failures : int
         Failures since its last success; those during one pause count once.
-    unreachable : bool
-        Whether its last failure showed that nothing listens there.
-    failed_at : float
+    is_unreachable : bool
+        Whether its last failure was a failed connection attempt.
+    last_failed_at : float
         When it last failed.
-    refusals : int
-        Times in a row that it said that it is full.
-    doubted_until : float
-        Time before which it is only asked where the others are full.
+    consecutive_refusals : int
+        Refusals in a row because it was full; those during one pause count once.
+    deprioritized_until : float
+        Time before which it is selected only if the others are full.
     """
 
     name: str
@@ -120,7 +121,7 @@
         true_at: float,
         models: Sequence[BackgroundLoadModel] = (),
     ) -> None:
-        """Take in a report that was true at a time; an older one than the last is dropped."""
+        """Apply a load report; one that is not newer than the last is ignored."""
         if true_at <= self.measured_at:
             return
         before, interval_s = self._estimate_background_requests(), true_at - self.measured_at
@@ -136,34 +137,37 @@
                 model.update(before / self.capacity, after, interval_s)
 
     def record_sent(self, now: float) -> None:
-        """Count a request that goes out."""
+        """Record a request that was sent."""
         self.in_flight += 1
         self.sent_at.append(now)
 
     def record_finished(self, now: float) -> None:
-        """Count a request that came back."""
+        """Record the end of a request."""
         self.in_flight = max(0, self.in_flight - 1)
         self.finished_at.append(now)
 
-    def estimate_requests(self, now: float, others: BackgroundLoadModel) -> float:
-        """Return the requests expected in and before the batch now.
+    def estimate_requests(self, now: float, background_load: BackgroundLoadModel) -> float:
+        """Return the estimated number of requests that run or wait at the endpoint now.
 
-        This host's own requests are known exactly. The report gives those of
-        the other hosts at the time when it was true, as the rest.
+        This host's own requests are known exactly. The rest of the last report is the load from
+        other hosts at the time of the report.
         """
         age_s = now - self.measured_at
         if age_s > REPORT_TTL_S:
-            return self.in_flight + others.mean * self.capacity
-        then = self._estimate_background_requests() / self.capacity
-        return self.in_flight + max(0.0, others.estimate_at_age(then, age_s)) * self.capacity
+            return self.in_flight + background_load.mean * self.capacity
+        load_at_report = self._estimate_background_requests() / self.capacity
+        return (
+            self.in_flight
+            + max(0.0, background_load.estimate_at_age(load_at_report, age_s)) * self.capacity
+        )
 
     def compute_load(self) -> float:
-        """Return the load by the last report and own requests, for each place of the batch."""
+        """Return the load by the last report and own requests, for each slot of the batch."""
         return (self.in_flight + self._estimate_background_requests()) / self.capacity
 
     def _estimate_background_requests(self) -> float:
-        own_then = self.in_flight - len(self.sent_at) + len(self.finished_at)
-        return max(0.0, self.reported_requests - max(0, own_then))
+        own_at_report = self.in_flight - len(self.sent_at) + len(self.finished_at)
+        return max(0.0, self.reported_requests - max(0, own_at_report))
 
 
 def _discard_until(times: deque[float], until: float) -> None:
--- a/poplarrun/endpoints/_ownership.py
+++ b/poplarrun/endpoints/_ownership.py
@@ -1,4 +1,4 @@
-"""Which host of a zone usually sends to, and polls, which endpoint."""
+"""Assignment of endpoints to the hosts of a zone."""
 
 import math
 from collections import Counter
@@ -8,10 +8,10 @@
 
 
 def assign_endpoints(names: Collection[str], hosts: Collection[str]) -> dict[str, str]:
-    """Assign endpoints to hosts, evenly, by rendezvous hashing with a bound.
+    """Assign endpoints evenly to hosts, by rendezvous hashing with bounded loads.
 
-    All hosts with the same view of who is live come to the same assignment; a
-    different view costs a poll too many and a choice with less knowledge.
+    All hosts that agree on which hosts are live compute the same assignment. While they disagree,
+    an endpoint may be polled twice, or chosen with less knowledge of its load.
     """
     if not hosts:
         return {}
--- a/poplarrun/endpoints/_pool.py
+++ b/poplarrun/endpoints/_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that can do one kind of work, indexed for fast choice."""
+"""The endpoints that serve one version or plain service, indexed for fast selection."""
 
 import random
 from collections.abc import Container
@@ -8,11 +8,11 @@
 from poplarrun.rendezvous import home_of, salt_of
 from poplarrun.speeds import PoolSpeed
 
-# Of a pool's endpoints at most this share is passed over for broken answers.
-# A fault of the requests themselves would otherwise take out every endpoint.
+# At most this fraction of a pool is ejected for broken answers. If the requests themselves cause
+# the failures, every endpoint would be ejected otherwise.
 MAX_EJECTED_FRACTION = 0.5
-# With fewer free places for each endpoint a pool counts as full; so long the sum
-# over it holds.
+# A pool with fewer free slots for each endpoint counts as full. The sum over the pool is cached for
+# the time below.
 MIN_FREE_SLOTS_PER_ENDPOINT = 1.2
 SATURATION_CACHE_TTL_S = 0.25
 MEAN_DECAY_FACTOR = 0.95
@@ -21,26 +21,26 @@
 
 @dataclass
 class Pool:
-    """Endpoints of one version, or of one plain service.
+    """Endpoints that serve one version, or one plain service.
 
     Attributes
     ----------
     members : list of Endpoint
-        All that are listed and not leaving.
-    near, far : list of Endpoint
-        Those that may be drawn now, in the own zone and in the others.
-    salts : list of (str, int)
-        Names from which a prefix's home is taken, with their salts.
-    refresh_at : float
-        When the members have to be sorted anew.
-    own : list of Endpoint
-        Those of the near ones that are assigned to this host.
-    own_names : frozenset of str
+        All endpoints that are listed and not leaving.
+    same_zone, other_zones : list of Endpoint
+        Endpoints that may be selected now, in the host's own zone and elsewhere.
+    owned : list of Endpoint
+        Endpoints of ``same_zone`` that are assigned to this host.
+    owned_names : frozenset of str
         All endpoints that are assigned to this host.
-    others : OthersModel
-        Load by other hosts.
+    background_load : BackgroundLoadModel
+        Load from other hosts.
     speed : PoolSpeed
-        How long work takes here.
+        Measured request and prefill times.
+    hash_salts : list of (str, int)
+        Names and hash salts from which a prefix's preferred endpoint is chosen.
+    refresh_at : float
+        When the members must be sorted again.
     """
 
     zone: str
@@ -60,51 +60,51 @@
     _eligible: set[str] = field(default_factory=set)
 
     def is_eligible(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint may get new work now."""
+        """Tell whether an endpoint may get new requests now."""
         return endpoint.name in self._eligible
 
     def invalidate(self) -> None:
-        """Have the members sorted anew before the next choice."""
+        """Sort the members again before the next selection."""
         self.refresh_at = float("-inf")
 
     def refresh(self, now: float) -> None:
-        """Sort the members into those that may be drawn; runs on changes only."""
+        """Sort the members into those that may be selected; runs on changes only."""
         paused = [e for e in self.members if e.paused_until > now]
-        # A refusal is the endpoint's own word and no fault of the request, so all that
-        # refuse may be out, as long as another one is in.
+        # A refusal is reported by the endpoint itself and is not caused by the request, so any
+        # number of refusing endpoints may be ejected as long as one other endpoint remains.
         is_any_left = len(paused) < len(self.members)
-        bounded = [
+        ejectable = [
             e
             for e in paused
             if not e.is_unreachable and not (e.consecutive_refusals and is_any_left)
         ]
-        bounded.sort(key=lambda e: e.paused_until)
-        bound = int(len(self.members) * MAX_EJECTED_FRACTION)
-        spared = {e.name for e in bounded[: max(0, len(bounded) - bound)]}
-        out = {e.name for e in paused} - spared
-        # None may be left: then nobody can be reached, and every call would be
-        # one more failure. Callers hear so at once, until a pause ends or a
-        # load report shows that an endpoint is back.
-        usable = [e for e in self.members if e.name not in out]
-        self.same_zone = [e for e in usable if e.zone == self.zone]
-        self.other_zones = [e for e in usable if e.zone != self.zone]
+        ejectable.sort(key=lambda e: e.paused_until)
+        max_ejected = int(len(self.members) * MAX_EJECTED_FRACTION)
+        kept_in = {e.name for e in ejectable[: max(0, len(ejectable) - max_ejected)]}
+        ejected = {e.name for e in paused} - kept_in
+        # The result may be empty. Then no endpoint can be reached and every call would fail, so
+        # callers get an error at once, until a pause ends or a load report shows that an endpoint
+        # is back.
+        eligible = [e for e in self.members if e.name not in ejected]
+        self.same_zone = [e for e in eligible if e.zone == self.zone]
+        self.other_zones = [e for e in eligible if e.zone != self.zone]
         self.owned = [e for e in self.same_zone if e.name in self.owned_names]
         self._preferred.clear()
-        self._eligible = {e.name for e in usable}
+        self._eligible = {e.name for e in eligible}
         self.hash_salts = [(e.name, salt_of(e.name)) for e in self.same_zone or self.other_zones]
         self.refresh_at = min((e.paused_until for e in paused), default=float("inf"))
 
-    def add_refusing(self, tried: Container[str]) -> Container[str]:
-        """Return what a retry avoids: what it tried, and what refused others last.
+    def add_refusing(self, attempted: Container[str]) -> Container[str]:
+        """Return the endpoints that a retry avoids: attempted ones and those that are refusing.
 
-        Pauses end together, and a retry that met one after the other of them would
-        be refused in the end, although the endpoints that never refused have room.
+        Pauses end together. A retry that was sent to several refusing endpoints in turn would fail
+        in the end, although endpoints that never refused have free slots.
         """
-        avoided = {e.name for e in self.members if e.consecutive_refusals or e.name in tried}
-        return avoided if len(avoided) < len(self.members) else tried
+        excluded = {e.name for e in self.members if e.consecutive_refusals or e.name in attempted}
+        return excluded if len(excluded) < len(self.members) else attempted
 
     def preferred_endpoint(self, key: int) -> str | None:
-        """Return the endpoint that a prefix usually goes to."""
+        """Return the endpoint that rendezvous hashing assigns to a prompt prefix."""
         if key not in self._preferred:
             if len(self._preferred) >= MAX_PREFERRED_CACHED:
                 self._preferred.clear()
@@ -112,23 +112,23 @@
         return self._preferred[key]
 
     def sample_owned(self, rng: random.Random, count: int, avoid: Container[str]) -> list[Endpoint]:
-        """Draw some of the endpoints that are assigned to this host."""
+        """Return a random sample of the endpoints assigned to this host."""
         return _sample(self.owned, count, rng, avoid)
 
     def sample_same_zone(
         self, rng: random.Random, count: int, avoid: Container[str]
     ) -> list[Endpoint]:
-        """Draw some endpoints of the own zone at random, without those to avoid."""
+        """Return a random sample of the own zone's endpoints, without those to avoid."""
         return _sample(self.same_zone, count, rng, avoid)
 
     def sample_other_zones(
         self, rng: random.Random, count: int, avoid: Container[str]
     ) -> list[Endpoint]:
-        """Draw some endpoints of the other zones at random, without those to avoid."""
+        """Return a random sample of the other zones' endpoints, without those to avoid."""
         return _sample(self.other_zones, count, rng, avoid)
 
     def observe_own_load(self, load: float) -> None:
-        """Take in the requests of this host at one endpoint, for each place of its batch."""
+        """Update the mean of this host's requests for each slot of an endpoint's batch."""
         self._own_load += (1.0 - MEAN_DECAY_FACTOR) * (load - self._own_load)
 
     def mean_load(self) -> float:
@@ -136,23 +136,24 @@
         return self._own_load + self.background_load.mean
 
     def is_saturated_by_others(self, now: float) -> bool:
-        """Tell whether nearly no place is free by the reports, and other hosts fill most."""
+        """Tell whether hardly any slot is free and most of the load comes from other hosts."""
         if now >= self._saturation_valid_until:
-            drawn = self.same_zone + self.other_zones
-            places = sum(endpoint.capacity for endpoint in drawn)
-            requests = sum(endpoint.compute_load() * endpoint.capacity for endpoint in drawn)
-            own = sum(endpoint.in_flight for endpoint in drawn)
-            # By a share of the places a large pool would count as full with hundreds
-            # of them free, and hosts would wait for their own ones beside these.
-            has_few = places - requests < len(drawn) * MIN_FREE_SLOTS_PER_ENDPOINT
-            self._is_saturated = has_few and 2 * own < requests
+            candidates = self.same_zone + self.other_zones
+            slots = sum(endpoint.capacity for endpoint in candidates)
+            requests = sum(endpoint.compute_load() * endpoint.capacity for endpoint in candidates)
+            own = sum(endpoint.in_flight for endpoint in candidates)
+            # The bound is per endpoint, not a fraction of all slots: with a fraction, a large pool
+            # would count as full with hundreds of free slots, and hosts would wait for their own
+            # endpoints instead of using these.
+            has_few_free = slots - requests < len(candidates) * MIN_FREE_SLOTS_PER_ENDPOINT
+            self._is_saturated = has_few_free and 2 * own < requests
             self._saturation_valid_until = now + SATURATION_CACHE_TTL_S
         return self._is_saturated
 
     def own_load_fraction(self) -> float:
-        """Return which share of the pool's load this host gives."""
-        whole = self._own_load + self.background_load.mean
-        return self._own_load / whole if whole > 0.0 else 1.0
+        """Return the fraction of the pool's load that comes from this host."""
+        total = self._own_load + self.background_load.mean
+        return self._own_load / total if total > 0.0 else 1.0
 
 
 def _sample(
@@ -162,13 +163,13 @@
         endpoints = [e for e in endpoints if e.name not in avoid]
     size = len(endpoints)
     if size <= count:
-        # From a random one on: the first of equals is chosen, and hosts that
-        # all began at the same one would fill it alone.
+        # Start at a random position. The first of several equal candidates is chosen, so hosts that
+        # started at the same one would all fill it.
         start = int(rng.random() * size)
         return endpoints[start:] + endpoints[:start]
-    drawn: list[Endpoint] = []
-    while len(drawn) < count:
+    candidates: list[Endpoint] = []
+    while len(candidates) < count:
         endpoint = endpoints[int(rng.random() * size)]
-        if endpoint not in drawn:
-            drawn.append(endpoint)
-    return drawn
+        if endpoint not in candidates:
+            candidates.append(endpoint)
+    return candidates
--- a/poplarrun/endpoints/_sharing.py
+++ b/poplarrun/endpoints/_sharing.py
@@ -1,4 +1,4 @@
-"""Who polls which endpoint, and how the reports spread between hosts."""
+"""Distribution of endpoint polling among hosts and sharing of the load reports."""
 
 import math
 from collections.abc import Sequence
@@ -12,15 +12,15 @@
 from poplarrun.endpoints._table import EndpointTable
 from poplarrun.hosts import Peers, SummaryTopic
 
-# Polls of endpoints that another host usually polls: those heard of least
-# recently, so that no endpoint stays unknown when its usual host is silent.
+# Endpoints of other owners that are polled in each round: those polled or heard of least recently,
+# so that an endpoint's load stays known when its owner is silent.
 MAX_UNOWNED_POLLS = 1
-# Engines of the own zone whose cache events this host follows.
+# Engines of the own zone whose cache events this host receives.
 MAX_EVENT_SOURCES = 8
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
-    """One endpoint's load, as the host that polls it passes it on."""
+    """Load of one endpoint, as published by the host that polls it."""
 
     name: str
     versions: list[str]
@@ -30,23 +30,23 @@
 
 
 class VersionLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests and places of all endpoints of a version that were summed up."""
+    """Total requests and batch slots of the endpoints that serve a version."""
 
     requests: int
     capacity: int
 
 
 class LoadSummary(msgspec.Struct, array_like=True):
-    """What one host says of the endpoints that it polls, or the sum over a zone.
+    """The loads published by one host, or their sum over a zone.
 
     Attributes
     ----------
     number : int
-        Counts the host's summaries.
+        Sequence number of the host's summary.
     endpoints : list of EndpointLoad
-        Left out of the sum over a zone, so that it stays small.
+        Empty in the sum over a zone, to keep it small.
     versions : dict of str to VersionLoad
-        Sums by version.
+        Totals by version.
     """
 
     number: int
@@ -54,12 +54,12 @@
     versions: dict[str, VersionLoad] = {}
 
 
-_Fleet = tuple[tuple[str, ...], tuple[str, ...]]
+_AssignmentInput = tuple[tuple[str, ...], tuple[str, ...]]
 _decoder = msgspec.msgpack.Decoder(LoadSummary)
 
 
 def _decode(payload: bytes) -> LoadSummary:
-    """Read a summary; bytes that are none are an empty one."""
+    """Decode a summary; invalid bytes give an empty one."""
     try:
         return _decoder.decode(payload)
     except msgspec.DecodeError:
@@ -67,16 +67,16 @@
 
 
 def merge_summaries(payloads: Sequence[bytes]) -> bytes:
-    """Sum up summaries by version."""
+    """Add up summaries by version."""
     versions: dict[str, VersionLoad] = {}
     number = 0
     for payload in payloads:
         summary = _decode(payload)
         number = max(number, summary.number)
         for version, load in summary.versions.items():
-            sum_so_far = versions.get(version, VersionLoad(0, 0))
+            total = versions.get(version, VersionLoad(0, 0))
             versions[version] = VersionLoad(
-                sum_so_far.requests + load.requests, sum_so_far.capacity + load.capacity
+                total.requests + load.requests, total.capacity + load.capacity
             )
     return msgspec.msgpack.encode(LoadSummary(number, [], versions))
 
@@ -85,11 +85,11 @@
 
 
 class LoadSharing:
-    """The part of one host in the polling of endpoints.
+    """Decides which endpoints this host polls, and shares their loads with other hosts.
 
-    Each endpoint is assigned to a host of its own zone, which polls it; the
-    others hear of it in that host's summary. A fleet of hosts that each
-    polled every endpoint would spend its control bytes on polls alone.
+    Each endpoint is assigned to a host of its own zone, which polls it and publishes its load in a
+    summary. If each host polled every endpoint, a large fleet would spend its whole control traffic
+    on polls.
     """
 
     def __init__(self, peers: Peers, table: EndpointTable) -> None:
@@ -97,18 +97,18 @@
         self._table = table
         self._number = 0
         self._applied_numbers: dict[str, int] = {}
-        self._assignments: dict[str, tuple[_Fleet, dict[str, str]]] = {}
+        self._assignments: dict[str, tuple[_AssignmentInput, dict[str, str]]] = {}
         self._last_polled_at: dict[str, float] = {}
         self.zone_loads: dict[str, dict[str, VersionLoad]] = {}
 
     def list_engines_to_poll(self, now: float) -> list[Endpoint]:
-        """Return the engines to poll now."""
+        """Return the engines to poll in this round."""
         engines = [e for e in self._table.list_endpoints() if _is_engine(e)]
         owned = self.list_owned_engines()
         names = {engine.name for engine in owned}
         others = [engine for engine in engines if engine.name not in names]
-        # By the last try too: dead ones, which never answer, would otherwise
-        # always be the oldest and keep the rest from being polled.
+        # The last poll counts too: an endpoint that is down never reports, would always be the
+        # oldest and keep the others from being polled.
         others.sort(key=lambda e: max(e.measured_at, self._get_last_poll(e)))
         polled = others[:MAX_UNOWNED_POLLS]
         self._last_polled_at = {e.name: self._get_last_poll(e) for e in others}
@@ -119,7 +119,7 @@
         return self._last_polled_at.get(engine.name, -math.inf)
 
     def list_owned_engines(self) -> list[Endpoint]:
-        """Return the engines that this host usually polls."""
+        """Return the engines that are assigned to this host."""
         engines = [e for e in self._table.list_endpoints() if _is_engine(e)]
         owners: dict[str, str] = {}
         for zone in {engine.zone for engine in engines}:
@@ -127,14 +127,14 @@
         return [engine for engine in engines if owners[engine.name] == self._peers.me.name]
 
     def list_event_sources(self) -> list[Endpoint]:
-        """Return the engines whose cache events this host follows, the assigned ones first."""
+        """Return the engines whose cache events this host receives, assigned ones first."""
         owners = self._get_owners(self._peers.me.zone)
-        near = [e for e in self._table.list_endpoints() if e.name in owners]
-        near.sort(key=lambda engine: owners[engine.name] != self._peers.me.name)
-        return near[:MAX_EVENT_SOURCES]
+        engines = [e for e in self._table.list_endpoints() if e.name in owners]
+        engines.sort(key=lambda engine: owners[engine.name] != self._peers.me.name)
+        return engines[:MAX_EVENT_SOURCES]
 
     def publish(self, now: float) -> None:
-        """Pass on the loads of the endpoints that this host polls."""
+        """Publish the loads of the engines that are assigned to this host."""
         self._number += 1
         summary = LoadSummary(self._number)
         for endpoint in self.list_owned_engines():
@@ -143,18 +143,18 @@
         self._peers.publish(LOAD_TOPIC, msgspec.msgpack.encode(summary))
 
     def apply_published(self, now: float) -> None:
-        """Apply what the other hosts passed on since the last time."""
-        gathered = self._peers.gathered(LOAD_TOPIC)
-        for host, payload in gathered.own_zone.items():
+        """Apply the summaries that other hosts published since the last call."""
+        summaries = self._peers.gathered(LOAD_TOPIC)
+        for host, payload in summaries.own_zone.items():
             if host != self._peers.me.name:
                 self._apply(host, _decode(payload), now)
         self.zone_loads = {
-            zone: _decode(payload).versions for zone, payload in gathered.other_zones.items()
+            zone: _decode(payload).versions for zone, payload in summaries.other_zones.items()
         }
 
     def _apply(self, host: str, summary: LoadSummary, now: float) -> None:
-        # The summary carries ages, not times: clocks of hosts differ. Its age
-        # counts from when it was first seen here.
+        # A summary carries ages instead of times, because the clocks of hosts differ. An age counts
+        # from when the summary was first read here.
         if self._applied_numbers.get(host) == summary.number:
             return
         self._applied_numbers[host] = summary.number
@@ -165,27 +165,27 @@
             )
 
     def is_owner(self, endpoint: Endpoint) -> bool:
-        """Tell whether this host usually polls an endpoint."""
+        """Tell whether an endpoint is assigned to this host."""
         owners = self._get_owners(endpoint.zone)
         return owners.get(endpoint.name) == self._peers.me.name
 
     def update_assignment(self) -> None:
-        """Tell the table which endpoints are assigned to this host."""
+        """Update the endpoint table with the endpoints that are assigned to this host."""
         zone = self._peers.me.zone
         me = self._peers.me.name
-        mine = [name for name, owner in self._get_owners(zone).items() if owner == me]
-        self._table.set_owned_endpoints(frozenset(mine))
+        owned = [name for name, owner in self._get_owners(zone).items() if owner == me]
+        self._table.set_owned_endpoints(frozenset(owned))
 
     def _get_owners(self, zone: str) -> dict[str, str]:
-        """Return the owner of each engine of a zone; worked out anew on changes only."""
+        """Return the owner of each engine of a zone; recomputed only on changes."""
         engines = tuple(
             e.name for e in self._table.list_endpoints() if _is_engine(e) and e.zone == zone
         )
         hosts = tuple(self._zone_hosts(zone) or [peer.name for peer in self._peers.live()])
-        kept = self._assignments.get(zone)
-        if kept is None or kept[0] != (engines, hosts):
-            kept = self._assignments[zone] = ((engines, hosts), assign_endpoints(engines, hosts))
-        return kept[1]
+        cached = self._assignments.get(zone)
+        if cached is None or cached[0] != (engines, hosts):
+            cached = self._assignments[zone] = ((engines, hosts), assign_endpoints(engines, hosts))
+        return cached[1]
 
     def _zone_hosts(self, zone: str) -> list[str]:
         return [peer.name for peer in self._peers.live() if peer.zone == zone]
--- a/poplarrun/endpoints/_table.py
+++ b/poplarrun/endpoints/_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that a host knows, and what happens to them."""
+"""Table of all known endpoints, with their failures, loads and pools."""
 
 import random
 from collections.abc import Container, Mapping, Sequence
@@ -10,14 +10,14 @@
 from poplarrun.endpoints._pool import Pool
 from poplarrun.endpoints._prefix import NO_MATCH, PrefixIndex
 
-# A failed endpoint gets nothing for this time, doubled with each further failure.
+# Pause of a failed endpoint, doubled with each further failure.
 INITIAL_FAILURE_PAUSE_S = 1.0
 MAX_FAILURE_PAUSE_S = 30.0
-# An endpoint that says it is full is passed over for a moment, doubled while it goes on
-# saying so, and then doubted for longer: it is asked where the others have no room.
-# Asked without need, a few that refuse for long would use up the attempts and retry
-# budgets of work that the others could do. The pause itself is short, so that a pool
-# that has room again isn't left idle.
+# An endpoint that refuses because it is full is paused for a moment, doubled with each further
+# refusal. After the pause it is deprioritized for longer and selected only if the others are full:
+# a few endpoints that refuse for long would otherwise use up the attempts and retry budgets of
+# requests that the others could serve. The pause itself is short, so that a pool that has room
+# again isn't left idle.
 INITIAL_BUSY_PAUSE_S = 0.25
 MAX_BUSY_PAUSE_S = 2.0
 DEPRIORITIZED_FACTOR = 10.0
@@ -29,14 +29,14 @@
 
 
 class EndpointTable:
-    """All endpoints that a host knows.
+    """All endpoints known to a host.
 
     Parameters
     ----------
     zone : str
-        The host's own availability zone, whose endpoints are nearer.
-    source : random.Random
-        Random source of the choice.
+        The host's own availability zone, whose endpoints are preferred.
+    rng : random.Random
+        Random source for sampling and jitter.
     """
 
     def __init__(self, zone: str, rng: random.Random) -> None:
@@ -52,31 +52,31 @@
         self.selector = EndpointSelector(rng, self.prefixes, zone)
 
     def list_endpoints(self) -> list[Endpoint]:
-        """Return every endpoint."""
+        """Return all endpoints."""
         return list(self._endpoints.values())
 
     def find(self, name: str) -> Endpoint | None:
-        """Return an endpoint by name."""
+        """Return an endpoint by name, or None."""
         return self._endpoints.get(name)
 
     def pool(self, work: VersionId | str) -> Pool:
-        """Return the endpoints of a version, or of a plain service by its name."""
+        """Return the pool of a version, or of a plain service by its name."""
         pool = self._pools.get(work)
         if pool is None:
             pool = self._pools[work] = Pool(self._zone)
         return pool
 
-    def apply_host_list(self, listed: tuple[ListedHost, ...], now: float = 0.0) -> None:
-        """Take over a host list: new ones come, gone ones go, states change."""
+    def apply_host_list(self, hosts: tuple[ListedHost, ...], now: float = 0.0) -> None:
+        """Replace the known endpoints by those of a host list; unchanged ones keep their state."""
         before = self._endpoints
         self._endpoints = {}
-        for host in listed:
+        for host in hosts:
             if host.kind is HostKind.ENTRY:
                 continue
             endpoint = before.get(host.name)
             if endpoint is None or endpoint.address != host.address:
                 endpoint = Endpoint(host.name, host.kind, host.zone, host.address, host.service)
-                # The endpoints of the first list ran before this host did.
+                # The endpoints of the first host list were running before this host started.
                 if self._has_host_list:
                     endpoint.listed_since = now
             endpoint.is_leaving = host.state is HostState.LEAVING
@@ -87,7 +87,7 @@
         self._pools_stale = True
 
     def apply_report(self, name: str, report: LoadReport, now: float) -> None:
-        """Take over an engine's load report."""
+        """Apply an engine's load report."""
         versions = frozenset(VersionId.parse(version) for version in report.versions)
         self.apply_load(
             name, versions, report.running + report.waiting, report.capacity, now - report.age_s
@@ -101,7 +101,7 @@
         capacity: int,
         true_at: float,
     ) -> None:
-        """Take over an endpoint's load that was true at a time."""
+        """Apply an endpoint's load that was measured at a time."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
@@ -114,54 +114,54 @@
         endpoint.apply_report(requests, capacity, true_at, models)
 
     def set_owned_endpoints(self, names: frozenset[str]) -> None:
-        """Take over which endpoints are assigned to this host."""
+        """Set which endpoints are assigned to this host."""
         if names != self._owned_names:
             self._owned_names = names
             self._pools_stale = True
 
     def set_retired_versions(self, versions: Mapping[str, frozenset[VersionId]]) -> None:
-        """Give versions no new work at some engines, by name, from the next choice on."""
+        """Set the versions that get no new requests at some engines, by engine name."""
         if versions != self._retired:
             self._retired = versions
             self._pools_stale = True
 
     def observe_link_latency(self, zone: str, seconds: float) -> None:
-        """Take in how long a short call to an endpoint of a zone took."""
+        """Record the latency of a short call to an endpoint of a zone."""
         before = self.selector.link_latency_s.get(zone, seconds)
         self.selector.link_latency_s[zone] = before + LINK_SMOOTHING_FACTOR * (seconds - before)
 
     def apply_cache_events(self, name: str, events: Sequence[CacheEvent], now: float) -> None:
-        """Take over an engine's cache events."""
+        """Apply an engine's prefix cache events."""
         if name in self._endpoints:
             self.prefixes.apply_events(name, events, now)
 
     def record_failure(self, name: str, now: float, reason: str = "") -> None:
-        """Pass an endpoint over for a while after a failed call."""
+        """Pause an endpoint after a failed call."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
-        in_pause = now < endpoint.paused_until
+        is_paused = now < endpoint.paused_until
         if reason in BUSY_REASONS:
-            endpoint.consecutive_refusals += not in_pause
+            endpoint.consecutive_refusals += not is_paused
             pause_s = _compute_backoff(
                 INITIAL_BUSY_PAUSE_S, endpoint.consecutive_refusals, MAX_BUSY_PAUSE_S
             )
             endpoint.deprioritized_until = now + pause_s * DEPRIORITIZED_FACTOR
         else:
             endpoint.consecutive_refusals = 0
-            endpoint.consecutive_failures += not in_pause
+            endpoint.consecutive_failures += not is_paused
             pause_s = _compute_backoff(
                 INITIAL_FAILURE_PAUSE_S, endpoint.consecutive_failures, MAX_FAILURE_PAUSE_S
             )
         endpoint.is_unreachable = reason in UNREACHABLE_REASONS
         endpoint.last_failed_at = now
-        # Jitter: hosts that saw the same failure must not try again as one.
+        # Jitter keeps hosts that saw the same failure from retrying at the same time.
         jitter = 1.0 + JITTER_FRACTION * self._rng.random()
         endpoint.paused_until = max(endpoint.paused_until, now + pause_s * jitter)
         self._invalidate_pools(endpoint)
 
     def record_success(self, name: str) -> None:
-        """Take an endpoint back at once when it answered a call."""
+        """End an endpoint's pause after a successful call."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None and (
             endpoint.consecutive_failures or endpoint.consecutive_refusals
@@ -179,7 +179,7 @@
         version: VersionId | None = None,
         blocks: Sequence[int] = (),
     ) -> None:
-        """Count a call that goes out."""
+        """Record a call that was sent."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
@@ -188,7 +188,7 @@
             self.prefixes.record_sent(name, version, blocks, now)
 
     def record_finished(self, name: str, now: float) -> None:
-        """Count a call that came back."""
+        """Record the end of a call."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             endpoint.record_finished(now)
@@ -201,7 +201,7 @@
         prompt: PromptProfile = EMPTY_PROMPT,
         may_wait: bool = False,
     ) -> Choice | None:
-        """Choose a model engine that holds a version."""
+        """Choose a model engine that has a version loaded."""
         pool = self._current_pool(version)
         if pool is None:
             return None
@@ -218,7 +218,7 @@
         now: float,
         prompt: PromptProfile = EMPTY_PROMPT,
     ) -> Choice | None:
-        """Return what is expected of one endpoint, if it may get new work."""
+        """Return the estimates for one endpoint, or None if it may not get new requests."""
         pool = self._current_pool(version)
         if pool is None or not pool.is_eligible(endpoint):
             return None
@@ -255,9 +255,9 @@
             self.pool(work).invalidate()
 
 
-def _compute_backoff(first_s: float, times: int, longest_s: float) -> float:
-    """Return a pause that doubles with each time but the first, up to the longest."""
-    return min(longest_s, first_s * 2.0 ** min(max(0, times - 1), MAX_DOUBLINGS))
+def _compute_backoff(initial_s: float, count: int, max_s: float) -> float:
+    """Return a pause that doubles with each repetition, up to a maximum."""
+    return min(max_s, initial_s * 2.0 ** min(max(0, count - 1), MAX_DOUBLINGS))
 
 
 def _list_work(endpoint: Endpoint) -> list[VersionId | str]:
