--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -28,14 +28,17 @@
     context.run.run(rounds)
 
 
-@when("host {one:d} demands it all for {first:d} rounds, then host {other:d} for {then:d} rounds")
+@when(
+    "host {one:d} demands the whole limit for {first:d} rounds, "
+    "then host {other:d} for {then:d} rounds"
+)
 def step_moves(context, one, first, other, then):
     context.run.demand = lambda now, host: float(host == (one if now < first else other))
     context.run.run(first + then)
 
 
 @when(
-    "host {one:d} demands it all for {first:d} rounds and dies, "
+    "host {one:d} demands the whole limit for {first:d} rounds and dies, "
     "then host {other:d} for {then:d} rounds"
 )
 def step_dies(context, one, first, other, then):
@@ -52,7 +55,7 @@
     run.run(180)
 
 
-@when("all of them are restarted one after the other under load")
+@when("all of them are restarted one by one under load")
 def step_restarted(context):
     hosts = context.run.hosts
     context.run.demand = lambda now, host: 1.0 / 6.0 if host == 1 else 1.0 / (3.0 * hosts)
@@ -61,7 +64,7 @@
     context.run.run(150)
 
 
-@then("the parts in use never exceed {bound:f}")
+@then("the shares in use never exceed {bound:f}")
 def step_never(context, bound):
     assert max(context.run.totals) <= bound + 1e-6, max(context.run.totals)
 
@@ -71,8 +74,8 @@
     assert context.run.used[-1] >= share, context.run.used[-1]
 
 
-class Clock:
-    """Rounds of all hosts, in the order of time."""
+class LimitClock:
+    """Simulated time that runs the rounds of all hosts."""
 
     def __init__(self, limits, zones="aa"):
         self.zones = zones
@@ -81,7 +84,7 @@
         self.hosts = {}
         for number in (1, 2):
             self.start(number)
-        self.unheard = set()
+        self.without_account = set()
         self.now = 0.0
 
     def start(self, number):
@@ -92,10 +95,10 @@
         self.now += ROUND_INTERVAL_S
         for number, limits in self.hosts.items():
             if f"a{number}" not in self.network.down:
-                accounts = [] if number in self.unheard else [self.account]
+                accounts = [] if number in self.without_account else [self.account]
                 limits.close_round(accounts, self.now, self.now)
 
-    def begin(self, rounds):
+    def run_startup(self, rounds):
         """Run rounds as a host does that isn't ready yet."""
         for _ in range(rounds):
             for number, limits in self.hosts.items():
@@ -103,7 +106,7 @@
                     asyncio.run(limits.request_initial_shares([self.account]))
             self.close_round()
 
-    def parts(self):
+    def list_fractions(self):
         return [h.usable_fraction("acme", LimitKind.REQUESTS) for h in self.hosts.values()]
 
     def admit(self, number, tokens=1):
@@ -112,26 +115,26 @@
 
 @given("account limits of 2 hosts for {rate:d} requests a second")
 def step_rate(context, rate):
-    context.clock = Clock(Limits(requests_per_second=float(rate)))
+    context.clock = LimitClock(Limits(requests_per_second=float(rate)))
 
 
 @given("account limits of 2 hosts for {streams:d} concurrent streams")
 def step_streams(context, streams):
-    context.clock = Clock(Limits(concurrent_streams=streams))
+    context.clock = LimitClock(Limits(concurrent_streams=streams))
 
 
 @given("account limits of 2 hosts for {amount:f} spent a day")
 def step_spend(context, amount):
-    context.clock = Clock(Limits(spend_per_day=amount))
+    context.clock = LimitClock(Limits(spend_per_day=amount))
 
 
-@then("the first request at each host passes")
+@then("the first request at each host is admitted")
 def step_first_passes(context):
     assert context.clock.admit(1) is None
     assert context.clock.admit(2) is None
 
 
-@when("{count:d} requests come to host {host:d} within 1 s")
+@when("{count:d} requests arrive at host {host:d} within 1 s")
 def step_burst(context, count, host):
     outcomes = []
     for _ in range(count):
@@ -141,18 +144,18 @@
     context.limited = next(outcome for outcome in outcomes if outcome is not None)
 
 
-@then("at most {count:d} of them pass")
+@then("at most {count:d} of them are admitted")
 def step_at_most(context, count):
     assert 0 < context.passed <= count, context.passed
 
 
-@then('the refusal is "{kind}" with a time to come back')
+@then('the refusal is "{kind}" with a retry delay')
 def step_refusal(context, kind):
     assert context.limited.kind is ErrorKind(kind)
     assert context.limited.retry_after_s > 0.0
 
 
-@when("{rate:d} requests a second come to each host for {seconds:d} s")
+@when("{rate:d} requests a second arrive at each host for {seconds:d} s")
 def step_flood(context, rate, seconds):
     context.passed_by_second = []
     for _ in range(seconds):
@@ -166,7 +169,7 @@
 
 
 @then(
-    "between {low:f} and {high:f} times {rate:d} requests a second passed "
+    "between {low:f} and {high:f} times {rate:d} requests a second were admitted "
     "in the last {seconds:d} s"
 )
 def step_passed(context, low, high, rate, seconds):
@@ -191,7 +194,7 @@
     assert 0 < context.most_open <= count, context.most_open
 
 
-@when("all streams of host {host:d} end")
+@when("all streams of host {host:d} finish")
 def step_streams_end(context, host):
     for _ in range(context.open[host]):
         context.clock.hosts[host].finish(context.clock.account, 1, 1, 0.0)
@@ -203,7 +206,7 @@
 
 
 def spend(context, host, amount):
-    """Spend in requests of 1.0, one a tenth of a round, until refused or done."""
+    """Spend in requests of 1.0, with a round after every tenth, until refused or done."""
     spent = 0.0
     for number in range(2000):
         if spent >= amount:
@@ -224,7 +227,7 @@
     context.clock.network.down.add(f"a{host}")
 
 
-@then("host {host:d} spends at most {amount:f} before it is refused")
+@then("host {host:d} spends at most {amount:f} before requests are refused")
 def step_rest(context, host, amount):
     spent = spend(context, host, 200.0)
     assert 40.0 <= spent <= amount, spent
@@ -236,7 +239,7 @@
         asyncio.run(clock.hosts[number].borrow(wanted))
 
 
-@when("{count:d} streams begin at host {number:d} at once, borrowing as the host does")
+@when("{count:d} streams begin at host {number:d} at once, borrowing like a running host")
 def step_borrowed_streams(context, count, number):
     for _ in range(20):
         context.clock.close_round()
@@ -254,12 +257,17 @@
 @then("both hosts together allow at most {count:d} streams")
 def step_allowed_streams(context, count):
     for _ in range(20):
-        parts = [h.usable_fraction("acme", LimitKind.STREAMS) for h in context.clock.hosts.values()]
-        assert sum(parts) * count <= count + 1e-6, parts
+        fractions = [
+            h.usable_fraction("acme", LimitKind.STREAMS) for h in context.clock.hosts.values()
+        ]
+        assert sum(fractions) * count <= count + 1e-6, fractions
         context.clock.close_round()
 
 
-@when("{rate:d} requests a second come to each host for {seconds:d} s, borrowing as the host does")
+@when(
+    "{rate:d} requests a second arrive at each host for {seconds:d} s, "
+    "borrowing like a running host"
+)
 def step_borrowed_requests(context, rate, seconds):
     context.passed = 0
     context.seconds = seconds
@@ -274,12 +282,15 @@
         context.clock.close_round()
 
 
-@then("at most {times:f} times {rate:d} requests a second passed in all, and a burst of {burst:d}")
+@then(
+    "at most {times:f} times {rate:d} requests a second were admitted in all, "
+    "and a burst of {burst:d}"
+)
 def step_passed_in_all(context, times, rate, burst):
     assert context.passed <= times * rate * context.seconds + burst, context.passed
 
 
-@when("the answer to a loan of host {number:d} gets lost")
+@when("the answer to a loan request of host {number:d} is lost")
 def step_lost_loan(context, number):
     for _ in range(20):
         context.clock.close_round()
@@ -293,12 +304,12 @@
     assert lender.usable_fraction("acme", LimitKind.STREAMS) < before
 
 
-@then("at least {times:f} times {rate:d} requests a second passed in all")
+@then("at least {times:f} times {rate:d} requests a second were admitted in all")
 def step_passed_at_least(context, times, rate):
     assert context.passed >= times * rate * context.seconds, context.passed
 
 
-@when("host {number:d} hands its parts over after {rounds:d} rounds")
+@when("host {number:d} transfers its shares after {rounds:d} rounds")
 def step_hand_over(context, number, rounds):
     for _ in range(rounds):
         context.clock.close_round()
@@ -307,16 +318,16 @@
 
 @then("host {number:d} allows at least {share:f} of the {count:d} streams")
 def step_allows_at_least(context, number, share, count):
-    part = context.clock.hosts[number].usable_fraction("acme", LimitKind.STREAMS)
-    assert part >= share, part * count
+    fraction = context.clock.hosts[number].usable_fraction("acme", LimitKind.STREAMS)
+    assert fraction >= share, fraction * count
 
 
-@when("a peer asks host 2 for a part of {part:f} of the streams")
-def step_negative_loan(context, part):
+@when("a peer requests from host 2 a fraction of {fraction:f} of the streams")
+def step_negative_loan(context, fraction):
     for _ in range(20):
         context.clock.close_round()
     before = context.clock.hosts[2].usable_fraction("acme", LimitKind.STREAMS)
-    payload = encode_loan(Loan("acme", 0.0, 0.0, {LimitKind.STREAMS: part}))
+    payload = encode_loan(Loan("acme", 0.0, 0.0, {LimitKind.STREAMS: fraction}))
     asking = context.clock.network.members["a1"]
     asyncio.run(asking.ask("a2", LOAN_MESSAGE, payload, 1.0))
     assert context.clock.hosts[2].usable_fraction("acme", LimitKind.STREAMS) == before
--- a/features/steps/service_limits.py
+++ b/features/steps/service_limits.py
@@ -31,7 +31,7 @@
     raise AssertionError("none was refused")
 
 
-@then('the refused one is "{code}" with not_run "{not_run}" and a time to come back')
+@then('the refused one is "{code}" with not_run "{not_run}" and a retry delay')
 def step_refused(context, code, not_run):
     error = error_of(context.refused)
     assert (context.refused.status, error["code"], error["not_run"]) == (429, code, not_run), error
@@ -45,7 +45,7 @@
     assert refusals["rate_limited"] == 1, refusals
 
 
-@then("the refused key runs once it is sent again after the time to come back")
+@then("the refused key runs once it is sent again after the retry delay")
 def step_runs_later(context):
     for _ in range(10):
         time.sleep(int(context.refused.headers["Retry-After"]))
--- a/poplarrun/limits/__init__.py
+++ b/poplarrun/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts over all hosts together."""
+"""Rate, stream and spend limits of client accounts, enforced over all hosts together."""
 
 from poplarrun.limits._accounts import AccountLimits, LimitExceeded
 from poplarrun.limits._loans import LOAN_MESSAGE, Loan, encode_loan
--- a/poplarrun/limits/_account.py
+++ b/poplarrun/limits/_account.py
@@ -10,16 +10,16 @@
 
 SECONDS_PER_MINUTE = 60.0
 TOKENS_BURST_WINDOW_S = 10.0
-# With a smaller part of the streams left a host borrows: callers that come
-# together must find room before the loan arrives.
+# A host with a smaller fraction of the streams left borrows more: requests that arrive together
+# need free streams before the loan arrives.
 MIN_SPARE_STREAMS_FRACTION = 0.04
-# Part of a limit that a host asks another one of its zone for at a time.
+# Fraction of a limit that a host requests from another host of its zone at a time.
 BORROWED_FRACTION = 0.05
 
 
 @dataclass
 class AccountState:
-    """One account's limits at this host."""
+    """State of one account's limits at this host."""
 
     limits: Limits
     shares: dict[LimitKind, Share] = field(default_factory=dict)
@@ -29,20 +29,20 @@
     spend: Spend = field(default_factory=Spend)
     spent_by_host: dict[str, float] = field(default_factory=dict)
 
-    def add_initial_shares(self, parts: dict[LimitKind, float]) -> None:
-        """Begin with parts, and with as many tokens as these may keep."""
-        for kind, part in parts.items():
-            self.shares.setdefault(kind, Share()).raise_to(part)
+    def add_initial_shares(self, fractions: dict[LimitKind, float]) -> None:
+        """Add the initial shares, and fill the buckets up to the capacity that they allow."""
+        for kind, fraction in fractions.items():
+            self.shares.setdefault(kind, Share()).raise_to(fraction)
         self.update_rates()
-        if LimitKind.REQUESTS in parts:
+        if LimitKind.REQUESTS in fractions:
             self.requests.fill_to_capacity()
-        if LimitKind.TOKENS in parts:
+        if LimitKind.TOKENS in fractions:
             self.tokens.fill_to_capacity()
-        if LimitKind.SPEND in parts:
+        if LimitKind.SPEND in fractions:
             self.spend.remaining_total = self.limits.spend_per_day or 0.0
 
     def compute_demand(self, kind: LimitKind, round_s: float) -> float:
-        """Return what callers asked for since the last round, as a part of the limit."""
+        """Return the demand since the last round, as a fraction of the limit."""
         limits = self.limits
         match kind:
             case LimitKind.REQUESTS:
@@ -57,13 +57,13 @@
                 return self.spend.close_round() / max(1e-9, self.spend.remaining_total)
 
     def start_round(self) -> None:
-        """Take over the parts that this host holds since the last round."""
+        """Start a round: apply the current shares and reset the demand counters."""
         self.update_rates()
         self.requests.requested = self.tokens.requested = 0.0
         self.streams.refused = 0
 
     def update_rates(self) -> None:
-        """Let pass what the parts allow now."""
+        """Set the rates and bounds that the current shares allow."""
         limits = self.limits
         self.requests.rate_per_s = self._usable_fraction(LimitKind.REQUESTS) * (
             limits.requests_per_second or 0.0
@@ -79,62 +79,64 @@
         self.spend.usable = self._usable_fraction(LimitKind.SPEND)
 
     def compute_shortfall(self, account: str) -> Loan | None:
-        """Return what this host would borrow now; None while it has enough."""
+        """Return the loan that this host needs now; None while it has enough."""
         requests = self._compute_missing(LimitKind.REQUESTS, self.requests)
         tokens = self._compute_missing(LimitKind.TOKENS, self.tokens)
-        parts = self._compute_missing_shares(requests > 0.0, tokens > 0.0)
-        return Loan(account, requests, tokens, parts) if requests or tokens or parts else None
+        fractions = self._compute_missing_shares(requests > 0.0, tokens > 0.0)
+        return (
+            Loan(account, requests, tokens, fractions) if requests or tokens or fractions else None
+        )
 
     def _compute_missing_shares(
         self, lacks_requests: bool, lacks_tokens: bool
     ) -> dict[LimitKind, float]:
-        parts: dict[LimitKind, float] = {}
+        fractions: dict[LimitKind, float] = {}
         if lacks_requests:
-            parts[LimitKind.REQUESTS] = BORROWED_FRACTION
+            fractions[LimitKind.REQUESTS] = BORROWED_FRACTION
         if lacks_tokens:
-            parts[LimitKind.TOKENS] = BORROWED_FRACTION
+            fractions[LimitKind.TOKENS] = BORROWED_FRACTION
         limit = self.limits.concurrent_streams
-        spare = self.streams.allowed - self.streams.open
-        if limit is not None and spare < max(1.0, limit * MIN_SPARE_STREAMS_FRACTION):
-            parts[LimitKind.STREAMS] = max(BORROWED_FRACTION, 2.0 / limit)
-        return parts
-
-    def transfer(self, parts: dict[LimitKind, float]) -> None:
-        """Take parts over from a host of the own zone, at once."""
-        for kind, part in parts.items():
+        spare_streams = self.streams.allowed - self.streams.open
+        if limit is not None and spare_streams < max(1.0, limit * MIN_SPARE_STREAMS_FRACTION):
+            fractions[LimitKind.STREAMS] = max(BORROWED_FRACTION, 2.0 / limit)
+        return fractions
+
+    def transfer(self, fractions: dict[LimitKind, float]) -> None:
+        """Add fractions taken over from a host of the own zone; negative ones are removed."""
+        for kind, fraction in fractions.items():
             if kind in self.shares:
-                self.shares[kind].transfer(part)
+                self.shares[kind].transfer(fraction)
         self.update_rates()
 
     def lend_shares(self, asked: dict[LimitKind, float]) -> dict[LimitKind, float]:
-        """Give up some of the parts that this host doesn't need itself."""
+        """Give up a fraction of the shares that this host doesn't need itself."""
         given = {}
-        for kind, part in asked.items():
+        for kind, fraction in asked.items():
             share = self.shares.get(kind, Share())
             needed = share.wanted
             if kind is LimitKind.STREAMS:
                 streams = self.limits.concurrent_streams or 1
                 needed = self.streams.open / streams + MIN_SPARE_STREAMS_FRACTION
-            given[kind] = min(part, max(0.0, share.usable - needed) * MAX_LENT_FRACTION)
-        self.transfer({kind: -part for kind, part in given.items()})
+            given[kind] = min(fraction, max(0.0, share.usable - needed) * MAX_LENT_FRACTION)
+        self.transfer({kind: -fraction for kind, fraction in given.items()})
         return given
 
     def release_shares(self) -> dict[LimitKind, float]:
-        """Give up every part, for a host that takes them over."""
-        parts = {kind: share.usable for kind, share in self.shares.items()}
+        """Give up all shares, for a host that takes them over."""
+        fractions = {kind: share.usable for kind, share in self.shares.items()}
         for share in self.shares.values():
             share.release_all()
         self.update_rates()
-        return parts
+        return fractions
 
-    def give_fraction(self, account: str, portion: float) -> Loan:
-        """Give up a portion of every part, for a host that starts."""
-        parts = {kind: share.usable * portion for kind, share in self.shares.items()}
-        self.transfer({kind: -part for kind, part in parts.items()})
-        return Loan(account, 0.0, 0.0, parts)
+    def give_fraction(self, account: str, fraction: float) -> Loan:
+        """Give up a fraction of every share, for a host that starts."""
+        given = {kind: share.usable * fraction for kind, share in self.shares.items()}
+        self.transfer({kind: -amount for kind, amount in given.items()})
+        return Loan(account, 0.0, 0.0, given)
 
     def _compute_missing(self, kind: LimitKind, bucket: TokenBucket) -> float:
-        """Return what was asked for in this round beyond what is left, when that is little."""
+        """Return this round's demand beyond the bucket's level; 0 while the level isn't low."""
         if kind not in self.shares or bucket.level >= bucket.capacity * LOW_LEVEL_FRACTION:
             return 0.0
         return max(bucket.capacity, bucket.requested) - bucket.level
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -1,4 +1,4 @@
-"""The limits of all client accounts at one host."""
+"""Enforcement of the limits of all client accounts at one host."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -38,18 +38,18 @@
     list_zone_peers,
 )
 
-# What a host may spend on hearing the shares of its zone's hosts.
+# Bound on the traffic that a host receives as share summaries of its zone's hosts.
 MAX_SUMMARY_BYTES_PER_S = 1000.0
 MAX_RETRY_DELAY_S = 60.0
 SECONDS_PER_DAY = 86_400.0
-# A zone that was not heard for this long is late: nothing is taken until it
-# is heard again, or known to be silent.
+# A zone that sent nothing for this long counts as late: no share grows until the zone is heard
+# again, or known to be silent.
 ZONE_LATE_TIMEOUT_S = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class LimitExceeded:
-    """A request that its account's limits don't let through now."""
+    """A request exceeds a limit of its account."""
 
     kind: ErrorKind
     reason: str
@@ -57,7 +57,7 @@
 
 
 class AccountLimits:
-    """Lets requests through, and moves shares of the limits between the hosts.
+    """Admits requests within their account's limits, and moves shares between the hosts.
 
     Parameters
     ----------
@@ -79,43 +79,43 @@
 
     @property
     def has_initial_shares(self) -> bool:
-        """Whether this host has its first parts, or has given up waiting for them."""
+        """Whether this host has its initial shares, or has given up waiting for them."""
         return self._startup.has_shares
 
     async def request_initial_shares(self, accounts: Iterable[ClientAccount]) -> None:
-        """Ask the zone for the first parts; called every round, and does nothing once begun.
+        """Request the initial shares from the zone; called every round until they are there.
 
-        A host that served before it had them would refuse its callers while
-        their accounts are far below their limits.
+        A host that served requests before that would refuse them while their accounts are far below
+        their limits.
         """
         if self.has_initial_shares:
             return
         given: dict[str, dict[LimitKind, float]] = {}
         for loan in await self._startup.request_shares():
-            parts = given.setdefault(loan.account, {})
-            for kind, part in loan.shares.items():
-                parts[kind] = parts.get(kind, 0.0) + part
+            fractions = given.setdefault(loan.account, {})
+            for kind, fraction in loan.shares.items():
+                fractions[kind] = fractions.get(kind, 0.0) + fraction
         for account in accounts:
             if account.name in given:
                 state = self._accounts.setdefault(account.name, AccountState(account.limits))
                 state.add_initial_shares(given[account.name])
 
-    async def _serve_start(self, starter: str, payload: bytes) -> bytes:
+    async def _serve_start(self, requester: str, payload: bytes) -> bytes:
         request = decode_request(payload)
         if (
             request is None
             or not self.has_initial_shares
-            or starter not in list_zone_peers(self._peers)
+            or requester not in list_zone_peers(self._peers)
         ):
             return encode_start(StartAnswer(False))
-        portion = 1.0 / request.portions
-        given = [state.give_fraction(name, portion) for name, state in self._accounts.items()]
+        fraction = 1.0 / request.portions
+        given = [state.give_fraction(name, fraction) for name, state in self._accounts.items()]
         return encode_start(StartAnswer(True, given))
 
     def admit(
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
     ) -> LimitExceeded | None:
-        """Let a request through, and count it, or say when to come back."""
+        """Admit and count a request, or return the exceeded limit and a delay to retry after."""
         if account.limits == Limits():
             return None
         state = self._get_state(account)
@@ -132,7 +132,7 @@
     def finish(
         self, account: ClientAccount, expected_tokens: int, used_tokens: int, amount: float
     ) -> None:
-        """Close a request that was let through, with what it really took."""
+        """Record the end of an admitted request, with its actual token usage and cost."""
         state = self._accounts.get(account.name)
         if state is not None:
             state.tokens.consume(used_tokens - expected_tokens)
@@ -140,13 +140,13 @@
             state.spend.record(amount)
 
     def record_spend(self, account: ClientAccount, amount: float) -> None:
-        """Count what a call cost that holds no stream."""
+        """Record the cost of a call that holds no stream."""
         state = self._accounts.get(account.name)
         if state is not None:
             state.spend.record(amount)
 
     def compute_shortfall(self, account: str) -> Loan | None:
-        """Return what ``borrow`` should ask for now; None while the account has enough."""
+        """Return the loan to request by ``borrow``; None while the account has enough."""
         state = self._accounts.get(account)
         if state is None or not self._loans.can_borrow(account):
             return None
@@ -155,8 +155,8 @@
     async def borrow(self, wanted: Loan) -> None:
         """Borrow from another host what this one runs short of.
 
-        Shares follow demand over some rounds; a host that has just started, or
-        that gets a burst, would refuse until then what its account may have.
+        Shares follow demand over several rounds. Until then, a host that has just started or gets a
+        burst would refuse requests that are within the account's limits.
         """
         lent = await self._loans.borrow(wanted)
         state = self._accounts.get(wanted.account)
@@ -172,28 +172,32 @@
         state = self._accounts[wanted.account]
         requests = state.requests.lend(wanted.requests, MAX_LENT_FRACTION)
         tokens = state.tokens.lend(wanted.tokens, MAX_LENT_FRACTION)
-        parts = state.lend_shares(wanted.shares) if borrower in list_zone_peers(self._peers) else {}
-        return encode_loan(Loan(wanted.account, requests, tokens, parts))
+        fractions = (
+            state.lend_shares(wanted.shares) if borrower in list_zone_peers(self._peers) else {}
+        )
+        return encode_loan(Loan(wanted.account, requests, tokens, fractions))
 
     async def hand_over(self) -> None:
-        """Give every part to a host of the own zone, before a planned stop.
+        """Transfer all shares to hosts of the own zone, before a planned stop.
 
-        Else the others would take it over only some rounds later, and hosts that
-        are restarted one after the other would leave less and less to use.
+        Otherwise the others would take them over only several rounds later, and a rolling restart
+        would leave less and less of the limits in use.
         """
-        near = list_zone_peers(self._peers)
+        zone_peers = list_zone_peers(self._peers)
         for number, (account, state) in enumerate(self._accounts.items()):
-            if near:
+            if zone_peers:
                 given = Loan(account, 0.0, 0.0, state.release_shares())
-                heir = near[number % len(near)]
-                await self._peers.ask(heir, HAND_OVER_MESSAGE, encode_loan(given), ASK_TIMEOUT_S)
+                successor = zone_peers[number % len(zone_peers)]
+                await self._peers.ask(
+                    successor, HAND_OVER_MESSAGE, encode_loan(given), ASK_TIMEOUT_S
+                )
 
-    async def _serve_hand_over(self, giver: str, payload: bytes) -> bytes:
+    async def _serve_hand_over(self, sender: str, payload: bytes) -> bytes:
         given = decode_loan(payload)
         if (
             given is not None
             and given.account in self._accounts
-            and giver in list_zone_peers(self._peers)
+            and sender in list_zone_peers(self._peers)
         ):
             self._accounts[given.account].transfer(given.shares)
         return b""
@@ -205,11 +209,10 @@
         return max(0.0, self._get_state(account).spend.compute_remaining())
 
     def close_round(self, accounts: Iterable[ClientAccount], now: float, wall_s: float) -> None:
-        """Move shares when a round is over, and tell the others.
+        """Adjust the shares at the end of a round, and publish them.
 
-        Called every ``ROUND_S``. Rounds get longer when the zone's summaries
-        need longer to reach all hosts: what is safe to take rests on their being
-        heard within a few rounds.
+        Called every ``ROUND_INTERVAL_S``. Rounds get longer when the zone's summaries need longer
+        to reach all hosts: taking free shares is safe only if they arrive within a few rounds.
         """
         if now < self._round_ends_at:
             return
@@ -243,19 +246,19 @@
             state.start_round()
             state.requests.refill(now)
             state.tokens.refill(now)
-            summary[name] = self._summarise(state)
+            summary[name] = self._summarize(state)
         payload = encode(summary)
         self._summary_bytes = len(payload)
         self._peers.publish(LIMITS_TOPIC, payload)
 
     def usable_fraction(self, account: str, kind: LimitKind) -> float:
-        """Return this host's part of a limit."""
+        """Return the fraction of a limit that this host may use."""
         state = self._accounts.get(account)
         share = state.shares.get(kind) if state else None
         return share.usable if share else 0.0
 
     def _update_startup(self, other_zones: Iterable[str]) -> bool:
-        """Tell whether this host has begun; until then it tells that it holds nothing."""
+        """Tell whether this host had its initial shares; until then publish that it holds none."""
         had_begun = self.has_initial_shares
         self._startup.record_round(other_zones)
         if had_begun:
@@ -284,9 +287,10 @@
         self, name: str, kinds: Iterable[LimitKind]
     ) -> dict[LimitKind, float]:
         gathered = self._peers.gathered(LIMITS_TOPIC)
-        own, far = self._decode_others(gathered)
+        own, other_zones = self._decode_others(gathered)
         return {
-            kind: self._startup.compute_initial_fraction(name, kind, own, far) for kind in kinds
+            kind: self._startup.compute_initial_fraction(name, kind, own, other_zones)
+            for kind in kinds
         }
 
     def _decode_others(self, gathered: Gathered) -> tuple[dict[str, Summary], dict[str, Summary]]:
@@ -343,7 +347,7 @@
     ) -> None:
         if state.limits.spend_per_day is None:
             return
-        # Kept also for hosts that died: what they let through was spent.
+        # Entries of dead hosts are kept: what they admitted was spent.
         for host, summary in own.items():
             if name in summary and summary[name].day == self._day:
                 state.spent_by_host[host] = summary[name].host_spent
@@ -354,17 +358,17 @@
                 spent += summary[name].zone_spent
         state.spend.remaining_total = max(0.0, state.limits.spend_per_day - spent)
 
-    def _summarise(self, state: AccountState) -> AccountSummary:
-        claims = {int(kind): encode_report(s.report()) for kind, s in state.shares.items()}
+    def _summarize(self, state: AccountState) -> AccountSummary:
+        reports = {int(kind): encode_report(s.report()) for kind, s in state.shares.items()}
         zone_spent = round(sum(state.spent_by_host.values()), 6)
-        return AccountSummary(claims, self._day, zone_spent, round(state.spend.spent_locally, 6))
+        return AccountSummary(reports, self._day, zone_spent, round(state.spend.spent_locally, 6))
 
 
 def _list_reports(
     summaries: dict[str, Summary], account: str, kind: LimitKind
 ) -> list[ShareReport]:
-    claims = []
+    reports = []
     for summary in summaries.values():
         found = summary[account].reports.get(int(kind)) if account in summary else None
-        claims.append(decode_report(found) if found else ShareReport(0.0, 0.0, 0.0))
-    return claims
+        reports.append(decode_report(found) if found else ShareReport(0.0, 0.0, 0.0))
+    return reports
--- a/poplarrun/limits/_buckets.py
+++ b/poplarrun/limits/_buckets.py
@@ -1,4 +1,4 @@
-"""What one host lets pass of its share of a limit."""
+"""Token bucket, stream and spend counters that enforce one host's share of a limit."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -10,20 +10,22 @@
 
 @dataclass
 class TokenBucket:
-    """Tokens that come at a rate; one request may take more than there are.
+    """Token bucket whose level may become negative.
 
-    A request is let through while any token is left, and what it took too much
-    is paid back before the next: large requests pass a small share, and the
-    overshoot is at most one request of each host.
+    A request is admitted while any token is left, and its overdraft is refilled before the next
+    one. Large requests therefore pass even with a small share, and the overshoot is at most one
+    request for each host.
 
     Attributes
     ----------
     rate_per_s : float
-        Tokens a second.
+        Tokens added each second.
     burst_s : float
-        Seconds for which unused tokens are kept.
+        Seconds for which unused tokens accumulate.
     level, borrowed : float
-        Tokens that are left, and how many of them other hosts gave.
+        Tokens that are left, and how many of them were borrowed from other hosts.
+    requested : float
+        Tokens asked for in this round, admitted or not.
     """
 
     rate_per_s: float = 0.0
@@ -35,41 +37,41 @@
 
     @property
     def capacity(self) -> float:
-        """Tokens that are kept at most."""
+        """Upper bound on the tokens that accumulate."""
         return max(1.0, self.rate_per_s * self.burst_s) + self.borrowed
 
     def refill(self, now: float) -> None:
-        """Add what has come since the last time."""
-        since_s = 0.0 if self._refilled_at is None else now - self._refilled_at
+        """Add the tokens since the last refill."""
+        elapsed_s = 0.0 if self._refilled_at is None else now - self._refilled_at
         self._refilled_at = now
-        self.level = min(self.capacity, self.level + since_s * self.rate_per_s)
+        self.level = min(self.capacity, self.level + elapsed_s * self.rate_per_s)
 
     def fill_to_capacity(self) -> None:
-        """Add as much as is kept at most."""
+        """Fill the bucket up to its capacity."""
         self.level = self.capacity
 
-    def compute_wait_s(self, now: float, least: float) -> float:
-        """Return the seconds until a request may pass; 0 when it may now."""
+    def compute_wait_s(self, now: float, min_level: float) -> float:
+        """Return the seconds until a request can be admitted; 0 if it can be now."""
         self.refill(now)
-        if self.level >= least:
+        if self.level >= min_level:
             return 0.0
-        return (least - self.level) / self.rate_per_s if self.rate_per_s > 0.0 else float("inf")
+        return (min_level - self.level) / self.rate_per_s if self.rate_per_s > 0.0 else float("inf")
 
     def consume(self, amount: float) -> None:
-        """Take tokens, also more than there are."""
+        """Consume tokens; the level may become negative."""
         self.level -= amount
         self.borrowed = max(0.0, self.borrowed - amount)
 
     def borrow(self, amount: float) -> None:
-        """Add tokens that another host gave; they are kept until they are used."""
+        """Add tokens borrowed from another host; they stay until they are used."""
         self.level += amount
         self.borrowed += amount
 
-    def lend(self, asked: float, part: float) -> float:
-        """Take off what another host borrows, at most a part of what there is."""
-        given = max(0.0, min(asked, self.level * part))
-        self.level -= given
-        return given
+    def lend(self, requested_amount: float, fraction: float) -> float:
+        """Remove tokens that another host borrows, at most a fraction of the level."""
+        lent = max(0.0, min(requested_amount, self.level * fraction))
+        self.level -= lent
+        return lent
 
 
 @dataclass
@@ -87,16 +89,18 @@
 
 @dataclass
 class Spend:
-    """Spending of a day.
+    """Spending of one day.
 
     Attributes
     ----------
-    used_here : float
+    spent_locally : float
         This host's spending today.
-    left : float
-        What all hosts together may still spend, as last heard.
-    part : float
-        This host's part of that.
+    remaining_total : float
+        What all hosts together may still spend, by the last summaries.
+    usable : float
+        This host's fraction of that.
+    spent_in_round : float
+        This host's spending in the current round.
     """
 
     spent_locally: float = 0.0
@@ -106,19 +110,23 @@
     _unpropagated: deque[float] = field(default_factory=lambda: deque(maxlen=PROPAGATION_ROUNDS))
 
     def record(self, amount: float) -> None:
-        """Count what a request cost."""
+        """Record the cost of a request."""
         self.spent_locally += amount
         self.spent_in_round += amount
 
     def close_round(self) -> float:
-        """Begin the next round; return what was spent in the last."""
+        """Start the next round; return what was spent in the last."""
         spent = self.spent_in_round
         self._unpropagated.append(spent)
         self.spent_in_round = 0.0
         return spent
 
     def compute_remaining(self) -> float:
-        """Return what this host may still spend; what others can't know of counts twice."""
+        """Return what this host may still spend.
+
+        Recent spending, which the other hosts' totals may not include yet, counts twice: in
+        the total and against this host's fraction.
+        """
         return self.usable * self.remaining_total - self.spent_in_round - sum(self._unpropagated)
 
     def has_room(self) -> bool:
--- a/poplarrun/limits/_reports.py
+++ b/poplarrun/limits/_reports.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of their shares of the client accounts' limits."""
+"""Messages with which hosts report their shares of the client accounts' limits."""
 
 import enum
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 from poplarrun.hosts import SummaryTopic
 from poplarrun.limits._shares import ShareReport
 
-# Parts travel as whole numbers of this, to save bytes.
+# Fractions are encoded as integers in units of 1/65,535, to save bytes.
 FRACTION_UNITS = 65_535
 MAX_WANTED = 16.0
 
@@ -23,7 +23,7 @@
 
 
 class EncodedReport(msgspec.Struct, frozen=True, array_like=True):
-    """A ``Claimant`` in whole units."""
+    """A ``ShareReport`` in integer units."""
 
     held: int
     wanted: int
@@ -32,14 +32,16 @@
 
 
 class AccountSummary(msgspec.Struct, frozen=True, array_like=True):
-    """One account's claims, and what its zone knows of the day's spending.
+    """One account's share reports and its spending of the day in the zone.
 
     Attributes
     ----------
     day : int
         Day since the epoch.
     zone_spent : float
-        Spending in the zone that day, of dead hosts too.
+        Spending in the zone that day, including hosts that died since.
+    host_spent : float
+        Spending at the reporting host that day.
     """
 
     reports: dict[int, EncodedReport]
@@ -53,12 +55,12 @@
 
 
 def encode(summary: Summary) -> bytes:
-    """Return the summary's bytes."""
+    """Encode a summary."""
     return msgspec.msgpack.encode(summary)
 
 
 def decode(payload: bytes) -> Summary:
-    """Read a summary; bytes that are none are an empty one."""
+    """Decode a summary; invalid bytes give an empty one."""
     try:
         return _decoder.decode(payload) if payload else {}
     except msgspec.DecodeError:
@@ -66,7 +68,7 @@
 
 
 def merge(payloads: Sequence[bytes]) -> bytes:
-    """Sum up the hosts of a zone."""
+    """Add up the summaries of a zone's hosts."""
     merged: Summary = {}
     for payload in payloads:
         for account, summary in decode(payload).items():
@@ -75,39 +77,39 @@
     return encode(merged)
 
 
-def encode_report(claimant: ShareReport) -> EncodedReport:
-    """Return a claimant in whole units; what is held is rounded up."""
+def encode_report(report: ShareReport) -> EncodedReport:
+    """Return a report in integer units; the held fraction is rounded up."""
     return EncodedReport(
-        -int(-claimant.held * FRACTION_UNITS // 1),
-        int(min(MAX_WANTED, claimant.wanted) * FRACTION_UNITS),
-        int(claimant.deficit * FRACTION_UNITS),
-        claimant.host_count,
+        -int(-report.held * FRACTION_UNITS // 1),
+        int(min(MAX_WANTED, report.wanted) * FRACTION_UNITS),
+        int(report.deficit * FRACTION_UNITS),
+        report.host_count,
     )
 
 
-def decode_report(claim: EncodedReport) -> ShareReport:
-    """Return a claim as parts of the limit."""
+def decode_report(report: EncodedReport) -> ShareReport:
+    """Return a report as fractions of the limit."""
     return ShareReport(
-        claim.held / FRACTION_UNITS,
-        claim.wanted / FRACTION_UNITS,
-        claim.deficit / FRACTION_UNITS,
-        claim.host_count,
+        report.held / FRACTION_UNITS,
+        report.wanted / FRACTION_UNITS,
+        report.deficit / FRACTION_UNITS,
+        report.host_count,
     )
 
 
 def _add(one: AccountSummary, other: AccountSummary) -> AccountSummary:
-    claims = dict(one.reports)
-    for kind, claim in other.reports.items():
-        before = claims.get(kind, EncodedReport(0, 0, 0, 0))
-        claims[kind] = EncodedReport(
-            before.held + claim.held,
-            before.wanted + claim.wanted,
-            before.deficit + claim.deficit,
-            before.host_count + claim.host_count,
+    reports = dict(one.reports)
+    for kind, report in other.reports.items():
+        before = reports.get(kind, EncodedReport(0, 0, 0, 0))
+        reports[kind] = EncodedReport(
+            before.held + report.held,
+            before.wanted + report.wanted,
+            before.deficit + report.deficit,
+            before.host_count + report.host_count,
         )
     day = max(one.day, other.day)
     spent = [s.zone_spent for s in (one, other) if s.day == day]
-    return AccountSummary(claims, day, max(spent))
+    return AccountSummary(reports, day, max(spent))
 
 
 LIMITS_TOPIC = SummaryTopic("account-limits", merge)
--- a/poplarrun/limits/_shares.py
+++ b/poplarrun/limits/_shares.py
@@ -1,23 +1,23 @@
-"""One host's share of a limit that all hosts keep together."""
+"""One host's share of a limit that is enforced over all hosts."""
 
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-# Length of a round: shares move once a round.
+# Interval of the rounds in which shares change.
 ROUND_INTERVAL_S = 1.0
-# Rounds after which every host that can be heard has heard of a change.
+# Rounds after which a change is known to every host that can be reached.
 PROPAGATION_ROUNDS = 4
-# Rounds for which a taken part is told to the others before it is used: longer
-# than it takes to notice that a zone is late.
+# Rounds for which an acquired fraction is announced before it is used: longer than it takes to
+# notice that a zone is late.
 ACTIVATION_ROUNDS = 6
-# What nobody wants lies ready in equal shares, so that a host with new demand
-# starts at once; the rest stays free for whoever needs it first.
+# This fraction of the unwanted limit is held in equal shares, so that a host with new demand can
+# use it at once; the rest stays free for the host that needs it first.
 IDLE_RESERVE_FRACTION = 0.9
-# When all is wanted, hosts without demand keep no more than this together.
+# If demand takes up the whole limit, this fraction of it stays reserved for hosts without demand.
 MIN_IDLE_RESERVE_FRACTION = 0.04
 RAMP_UP_ROUNDS = PROPAGATION_ROUNDS + ACTIVATION_ROUNDS
-# Demand swings around its mean; a share of exactly the mean would refuse some.
+# Demand fluctuates: a share equal to the mean demand would refuse some requests.
 HEADROOM_FACTOR = 1.2
 RELEASED_FRACTION_PER_ROUND = 0.5
 DEMAND_DECAY_FACTOR = 0.7
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareReport:
-    """What one host, or a zone in sum, says of its share of a limit.
+    """State of a share, as reported by one host or summed over a zone.
 
     Attributes
     ----------
-    part : float
-        Part of the limit that it holds, 0 to 1.
-    want : float
-        Part of the limit that its demand needs, with headroom; may exceed 1.
+    held : float
+        Held fraction of the limit, 0 to 1.
+    wanted : float
+        Fraction of the limit that the demand needs, with headroom; may exceed 1.
     deficit : float
-        Part that it lacks and means to take.
-    hosts : int
-        Hosts that this sums up.
+        Fraction that is missing and will be acquired.
+    host_count : int
+        Hosts included in this report.
     """
 
     held: float
@@ -47,20 +47,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareView:
-    """What a host has heard of the others.
+    """What a host knows of the other hosts' shares.
 
     Attributes
     ----------
-    own_zone : sequence of Claimant
+    own_zone : sequence of ShareReport
         The other live hosts of the own zone.
-    other_zones : dict of str to Claimant
-        Each other zone's sum, as last heard.
-    silent : frozenset of str
-        Zones that can't be heard now.
+    other_zones : dict of str to ShareReport
+        Last known sum of each other zone.
+    silent_zones : frozenset of str
+        Zones that can't be reached now.
     is_current : bool
-        False while a zone is late, and not yet known to be silent.
-    live : int
-        Hosts that are taken to be live, this one included.
+        False while a zone is late and not yet known to be silent.
+    live_hosts : int
+        Hosts that are considered live, this one included.
     """
 
     own_zone: Sequence[ShareReport] = ()
@@ -75,27 +75,26 @@
 
 @dataclass
 class Share:
-    """The part of one limit of one client account that a host may use.
+    """The fraction of one limit of one client account that a host may use.
 
-    A host gives back at once, and takes only from what nobody holds. It takes
-    no sooner than ``VIEW_ROUNDS`` after it told of its need, and in each round
-    only its portion of a ``VIEW_ROUNDS``-th of what is free: whatever all hosts
-    take in the time in which they don't hear of each other is then no more than
-    what was free. What it took it uses ``MATURE_ROUNDS`` later, and gives back
-    when a zone is late: a cut then leaves no host using a part of which the
-    other side never heard. The part of a zone that fell silent stays its own,
-    with its portion of what was free, because it may be serving out of it.
+    A host releases at once and acquires only what no host holds. It acquires not before
+    ``PROPAGATION_ROUNDS`` after it reported its deficit, and in each round at most its portion of
+    the free fraction divided by ``PROPAGATION_ROUNDS``: what all hosts acquire before they hear of
+    each other is then at most what was free. What it acquired it uses ``ACTIVATION_ROUNDS`` later,
+    and releases if a zone becomes late: when the network splits, no host then uses a fraction of
+    which the other side never heard. The share of a silent zone stays reserved, with its portion of
+    what was free, because that zone may still be using it.
 
     Attributes
     ----------
-    part : float
-        Part of the limit that this host may use.
+    usable : float
+        Fraction of the limit that this host may use.
     held : float
-        Part that it tells the others it holds; at least ``part``.
-    want : float
-        Part that its demand needs.
+        Fraction that it reports as held; at least ``usable``.
+    wanted : float
+        Fraction that its demand needs.
     deficit : float
-        Part that it lacks.
+        Fraction that it is missing.
     """
 
     usable: float = 0.0
@@ -108,58 +107,60 @@
     _reserved: dict[str, float] = field(default_factory=dict)
 
     def report(self) -> ShareReport:
-        """Return what this host tells the others."""
+        """Return the report of this share for the other hosts."""
         return ShareReport(self.held, self.wanted, self.deficit)
 
     def update(self, demand: float, view: ShareView) -> None:
-        """Close a round.
+        """Update the share at the end of a round.
 
         Parameters
         ----------
         demand : float
-            What this host's callers asked for in the round, refused or not, as
-            a part of what the limit allows in a round.
+            Demand at this host in the round, admitted or not, as a fraction of what the limit
+            allows in a round.
         view : ShareView
-            What was heard.
+            The other hosts' shares.
         """
-        keep = DEMAND_DECAY_FACTOR if demand < self._demand else 0.0
-        self._demand = keep * self._demand + (1.0 - keep) * demand
-        heard = [c for zone, c in view.other_zones.items() if zone not in view.silent_zones]
-        others = [*view.own_zone, *heard]
-        free = self._deduct_reserved(view, 1.0 - self.held - sum(c.held for c in others))
+        decay = DEMAND_DECAY_FACTOR if demand < self._demand else 0.0
+        self._demand = decay * self._demand + (1.0 - decay) * demand
+        reachable = [
+            other for zone, other in view.other_zones.items() if zone not in view.silent_zones
+        ]
+        others = [*view.own_zone, *reachable]
+        free = self._deduct_reserved(view, 1.0 - self.held - sum(other.held for other in others))
         self.wanted = self._demand * HEADROOM_FACTOR
-        hosts = 1 + sum(c.host_count for c in others)
+        hosts = 1 + sum(other.host_count for other in others)
         target = self._compute_target(others, hosts)
         if self.held > target:
             self.held -= RELEASED_FRACTION_PER_ROUND * (self.held - target)
         self.deficit = max(0.0, target - self.held)
         if view.is_current and free >= 0.0:
-            self._acquire(free, sum(c.deficit for c in others))
+            self._acquire(free, sum(other.deficit for other in others))
         elif not view.is_current:
             self._cancel_pending()
         else:
-            # Only what was taken goes back here. With a sum a hair above 1 (as heard,
-            # parts are rounded up) no host may be kept from giving up more than this:
-            # all would hold what nobody wants, for ever.
+            # Only acquired fractions that are not in use yet are released here. Reported fractions
+            # are rounded up, so their sum may be slightly above 1. That must not stop hosts from
+            # releasing more than this: they would hold unwanted fractions for ever.
             self.held = max(min(self.held, self.usable), self.held + free)
         self._recent_held.append(self.held)
         self.usable = min(self._recent_held)
 
-    def raise_to(self, part: float) -> None:
-        """Hold at least this part from now on, of which the others haven't heard yet."""
-        self.transfer(max(0.0, part - self.usable))
+    def raise_to(self, fraction: float) -> None:
+        """Raise the share to at least this fraction, which the others don't know of yet."""
+        self.transfer(max(0.0, fraction - self.usable))
 
     def transfer(self, amount: float) -> None:
-        """Take over a part that a host of the own zone gave up, or give one up (negative)."""
+        """Add a fraction transferred from a host of the own zone; a negative one is removed."""
         self.usable = max(0.0, self.usable + amount)
         self.held = max(0.0, self.held + amount)
-        moved = (max(0.0, recent + amount) for recent in self._recent_held)
-        self._recent_held = deque(moved, ACTIVATION_ROUNDS)
+        transferred = (max(0.0, recent + amount) for recent in self._recent_held)
+        self._recent_held = deque(transferred, ACTIVATION_ROUNDS)
 
     def release_all(self) -> None:
-        """Give everything back, after this host was paused or cut off alone.
+        """Release the whole share, after this host was paused or isolated.
 
-        The others may have given its part away meanwhile.
+        The others may have acquired its fraction meanwhile.
         """
         self.held = 0.0
         self._cancel_pending()
@@ -184,10 +185,10 @@
         return free - sum(self._reserved.values())
 
     def _compute_target(self, others: Sequence[ShareReport], hosts: int) -> float:
-        wanted = self.wanted + sum(c.wanted for c in others)
-        met = min(1.0, (1.0 - MIN_IDLE_RESERVE_FRACTION) / wanted) if wanted > 0.0 else 1.0
+        wanted = self.wanted + sum(other.wanted for other in others)
+        met_fraction = min(1.0, (1.0 - MIN_IDLE_RESERVE_FRACTION) / wanted) if wanted > 0.0 else 1.0
         idle = max(MIN_IDLE_RESERVE_FRACTION, IDLE_RESERVE_FRACTION * (1.0 - wanted))
-        return self.wanted * met + idle / hosts
+        return self.wanted * met_fraction + idle / hosts
 
     def _acquire(self, free: float, others_deficit: float) -> None:
         if self.deficit <= 0.0:
--- a/poplarrun/limits/_startup.py
+++ b/poplarrun/limits/_startup.py
@@ -1,4 +1,4 @@
-"""How a host that starts gets its first parts of the limits."""
+"""How a starting host gets its initial shares of the limits."""
 
 import asyncio
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,26 +13,26 @@
 START_MESSAGE = "limits.start"
 # Hosts of the own zone that a starting host asks; each gives an equal portion.
 MAX_STARTUP_LENDERS = 8
-# With nobody to ask, rounds for which the hosts and zones heard of must stay
-# the same. Hosts that start together know only some of each other at first, and
-# would share the limit out among too few.
+# Rounds for which the known hosts and zones must stay the same before a host starts without
+# portions from others. Hosts that start together know only some of each other at first, and would
+# divide the limit by too few.
 STABLE_ROUNDS = 3
-# A host that is alone, or cut off, begins after so many rounds all the same.
+# A host that is alone or isolated starts after this many rounds anyway.
 MAX_STARTUP_ROUNDS = 8
-# It begins with this part, divided by the hosts that it knows: it can't know
-# what others hold, and so much may be used too much for a few rounds.
+# It starts with this fraction divided by the hosts that it knows. It can't know what others hold,
+# so the limit may be exceeded by this much for a few rounds.
 FALLBACK_FRACTION = 0.25
 GONE_STATES = frozenset({"dead", "left"})
 
 
 class StartRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A host that starts asks for its portion, one of so many."""
+    """Request of a starting host for one of several equal portions of each share."""
 
     portions: int
 
 
 class StartAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """What a host gives one that starts; nothing while it starts itself."""
+    """Portions given to a starting host; empty while the asked host is starting itself."""
 
     has_shares: bool
     granted: list[Loan] = []
@@ -44,7 +44,7 @@
 
 
 def decode_request(payload: bytes) -> StartRequest | None:
-    """Read a request; None when the bytes are none."""
+    """Decode a request; None if the bytes are invalid."""
     try:
         request = _request_decoder.decode(payload)
     except msgspec.DecodeError:
@@ -54,12 +54,12 @@
 
 @dataclass
 class StartupSequence:
-    """Tells when a host may begin, and with what.
+    """Decides when a starting host may serve requests, and with which shares.
 
     Attributes
     ----------
-    has_begun : bool
-        Whether this host has its first parts.
+    has_shares : bool
+        Whether this host has its initial shares.
     """
 
     peers: Peers
@@ -71,16 +71,18 @@
     _live_before: frozenset[str] = field(default_factory=frozenset)
 
     async def request_shares(self) -> list[Loan]:
-        """Ask hosts of the own zone for a portion of their parts.
+        """Request a portion of the shares of hosts of the own zone.
 
-        Parts stay inside the zone, so the sums that other zones know stay true.
+        Shares stay within the zone, so the sums known to other zones stay correct.
         """
-        near = list_zone_peers(self.peers)[:MAX_STARTUP_LENDERS]
-        if not near:
+        zone_peers = list_zone_peers(self.peers)[:MAX_STARTUP_LENDERS]
+        if not zone_peers:
             return []
-        payload = encode_start(StartRequest(len(near) + 1))
-        asked = (self.peers.ask(host, START_MESSAGE, payload, ASK_TIMEOUT_S) for host in near)
-        payloads = await asyncio.gather(*asked)
+        payload = encode_start(StartRequest(len(zone_peers) + 1))
+        requests = (
+            self.peers.ask(host, START_MESSAGE, payload, ASK_TIMEOUT_S) for host in zone_peers
+        )
+        payloads = await asyncio.gather(*requests)
         self._is_unanswered = any(isinstance(payload, PeerSilent) for payload in payloads)
         answers = [_decode_answer(payload) for payload in payloads]
         if any(answer.has_shares for answer in answers):
@@ -90,37 +92,44 @@
     def record_round(self, other_zones: Iterable[str]) -> None:
         """Count a round in which summaries of these zones were known."""
         self._rounds += 1
-        seen = frozenset(peer.name for peer in self.peers.live())
-        is_settled = seen == self._live_before and has_all_summaries(self.peers, other_zones)
+        live = frozenset(peer.name for peer in self.peers.live())
+        is_settled = live == self._live_before and has_all_summaries(self.peers, other_zones)
         self._stable_rounds = self._stable_rounds + 1 if is_settled else 0
-        self._live_before = seen
-        # A host of the zone that does not answer in time may hold all that this one needs.
-        if len(seen) > 1 and self._stable_rounds >= STABLE_ROUNDS and not self._is_unanswered:
+        self._live_before = live
+        # A host of the zone that doesn't answer in time may hold the whole share that this one
+        # needs.
+        if len(live) > 1 and self._stable_rounds >= STABLE_ROUNDS and not self._is_unanswered:
             self._knows_others = True
         self.has_shares = (
             self.has_shares or self._knows_others or self._rounds >= MAX_STARTUP_ROUNDS
         )
 
     def compute_initial_fraction(
-        self, account: str, kind: LimitKind, own: Mapping[str, Summary], far: Mapping[str, Summary]
+        self,
+        account: str,
+        kind: LimitKind,
+        own_zone: Mapping[str, Summary],
+        other_zones: Mapping[str, Summary],
     ) -> float:
-        """Return the part of a limit of which this host holds nothing yet.
+        """Return the initial fraction of a limit of which this host holds nothing yet.
 
-        What nobody holds is divided by the hosts that claim nothing yet, so all
-        of these together take no more, however many begin at once and whenever
-        each hears of a new account. Hosts of a silent zone count: they may do
-        the same on their side of the cut.
+        The free fraction is divided by the number of hosts that report no share, so all of these
+        together take no more than that, however many start at once and whenever each learns of a
+        new account. Hosts of a silent zone count too, as they may do the same on their side of the
+        network partition.
         """
-        known = count_possible_holders(self.peers)
-        is_sure = self._knows_others and len(self.peers.live()) > 1
-        if not is_sure or not has_all_summaries(self.peers, far):
-            return FALLBACK_FRACTION / known
-        summaries = [*own.values(), *far.values()]
-        found = [s[account].reports[int(kind)] for s in summaries if _has_report(s, account, kind)]
-        claims = [decode_report(claim) for claim in found]
-        free = max(0.0, 1.0 - sum(claim.held for claim in claims))
-        without = max(1, known - sum(claim.host_count for claim in claims))
-        return min(1.0 / known, free / without)
+        host_count = count_possible_holders(self.peers)
+        has_full_view = self._knows_others and len(self.peers.live()) > 1
+        if not has_full_view or not has_all_summaries(self.peers, other_zones):
+            return FALLBACK_FRACTION / host_count
+        summaries = [*own_zone.values(), *other_zones.values()]
+        encoded = [
+            s[account].reports[int(kind)] for s in summaries if _has_report(s, account, kind)
+        ]
+        reports = [decode_report(report) for report in encoded]
+        free = max(0.0, 1.0 - sum(report.held for report in reports))
+        hosts_without_share = max(1, host_count - sum(report.host_count for report in reports))
+        return min(1.0 / host_count, free / hosts_without_share)
 
 
 def list_zone_peers(peers: Peers) -> Sequence[str]:
@@ -130,7 +139,7 @@
 
 
 def count_possible_holders(peers: Peers) -> int:
-    """Return how many hosts may hold a part, this one and those of silent zones included."""
+    """Return how many hosts may hold a share, this one and those of silent zones included."""
     states = [state for zone in peers.zones() for state in zone.hosts.values()]
     return max(1, len(peers.live()), sum(state not in GONE_STATES for state in states))
 
