--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -9,7 +9,7 @@
 LOAD_TIMEOUT_S = 60
 
 
-@given("the weight store is out")
+@given("the weight store is down")
 def step_store_out(context):
     context.fleet.weights.set_faults(down=True)
 
@@ -24,7 +24,7 @@
     context.offset = context.fleet.publish((EXAMPLES / "thistledown.yaml").read_text())
 
 
-@when('a client asks host "{host}" before anything is loaded')
+@when('a client asks host "{host}" before any version is loaded')
 def step_ask_early(context, host):
     fleet = context.fleet
     status = fleet.hosts[host].status
@@ -44,14 +44,14 @@
     wait_until(refused, "the host takes requests")
 
 
-@then('the answer is "{code}", not run, with a time to come back')
+@then('the answer is "{code}", not run, with a retry delay')
 def step_refused(context, code):
     error = context.response.json()["error"]
     assert (error["code"], error["not_run"]) == (code, "yes"), error
     assert float(context.response.headers["Retry-After"]) > 0
 
 
-@then('the status tells that "{version}" is coming in zone "{zone}"')
+@then('the status shows that "{version}" is coming in zone "{zone}"')
 def step_coming(context, version, zone):
     address = context.fleet.hosts[f"{zone}1"].address
 
@@ -65,7 +65,7 @@
     wait_until(told, "the status tells it", LOAD_TIMEOUT_S)
 
 
-def held_in(context, zone):
+def versions_loaded_in(context, zone):
     found = set()
     for plan in context.fleet.engines:
         if plan.zone == zone:
@@ -73,17 +73,21 @@
     return found
 
 
-@then('every zone\'s engines come to hold "{versions}"')
+@then('every zone\'s engines eventually hold "{versions}"')
 def step_come_to_hold(context, versions):
     wanted = set(versions.split())
     for zone in context.fleet.zones:
-        wait_until(lambda z=zone: wanted <= held_in(context, z), f"{zone} holds", LOAD_TIMEOUT_S)
+        wait_until(
+            lambda z=zone: wanted <= versions_loaded_in(context, z), f"{zone} holds", LOAD_TIMEOUT_S
+        )
     hosts = [h for h in context.fleet.hosts.values() if h.process.poll() is None]
     for host in hosts:
-        wait_until(lambda h=host: wanted <= known_to(h), f"{host.name} knows", LOAD_TIMEOUT_S)
+        wait_until(
+            lambda h=host: wanted <= versions_known_to(h), f"{host.name} knows", LOAD_TIMEOUT_S
+        )
 
 
-def known_to(host):
+def versions_known_to(host):
     return {version for e in host.status()["endpoints"] for version in e["versions"]}
 
 
@@ -101,7 +105,7 @@
     assert context.fleet.engines[0].settings["load_s"] == seconds
 
 
-@when('the sender of zone "{zone}" is killed while an engine loads')
+@when('the lease holder of zone "{zone}" is killed while an engine is loading')
 def step_kill_sender(context, zone):
     engines = [plan.name for plan in context.fleet.engines if plan.zone == zone]
 
@@ -111,15 +115,15 @@
 
     wait_until(ordered, "an order", LOAD_TIMEOUT_S)
     hosts = [h for h in context.fleet.hosts.values() if h.zone == zone]
-    # On a slow machine the lease may have changed hands already: the last one counts.
+    # On a slow machine the lease may have a new holder already, so the latest one counts.
     fences = {host.name: max(sent_fences(host), default=-1) for host in hosts}
     sender = max(hosts, key=lambda host: fences[host.name])
-    assert not held_in(context, zone)
+    assert not versions_loaded_in(context, zone)
     sender.kill()
     context.killed, context.fence = sender, fences[sender.name]
 
 
-@then('another host sends orders in zone "{zone}" with a higher number')
+@then('another host sends orders in zone "{zone}" with a higher fencing number')
 def step_other_sends(context, zone):
     hosts = [h for h in context.fleet.hosts.values() if h.zone == zone]
     (other,) = [host for host in hosts if host is not context.killed]
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -13,7 +13,7 @@
 JOB = "orders/a"
 
 
-def passing(context, seconds):
+def run_for(context, seconds):
     context.loop.run_until_complete(asyncio.sleep(seconds))
 
 
@@ -21,7 +21,7 @@
     for _ in range(int(timeout_s * 10)):
         if condition():
             return
-        passing(context, 0.1)
+        run_for(context, 0.1)
     assert condition(), what
 
 
@@ -29,15 +29,15 @@
     return {n: e for n, e in context.world.engines.items() if n[0] == zone}
 
 
-def all_held(context):
+def loaded_by_engine(context):
     return {name: set(engine.loaded) for name, engine in context.world.engines.items()}
 
 
-def drains(context):
+def drain_revisions(context):
     return [holder.tasks.holder.summarize().revision for holder in context.world.holders("a")]
 
 
-def loads(context):
+def loads_by_engine(context):
     return {name: list(engine.loads) for name, engine in context.world.engines.items()}
 
 
@@ -72,7 +72,7 @@
     list(context.world.engines.values())[-1].loaded = {version}
 
 
-@then("the store handed nothing out")
+@then("the store gave out no weights")
 def step_nothing_handed(context):
     assert context.world.holders("a")
     assert not context.world.store.fetched
@@ -88,7 +88,7 @@
 def step_loaded(context):
     for zone in "ab":
         wait(context, lambda z=zone: set(context.offered) <= context.world.held(z), "loaded", 150)
-    passing(context, 5)
+    run_for(context, 5)
     (context.holder,) = context.world.holders("a")
     context.fence = context.holder.leases.find(JOB).fence
 
@@ -107,71 +107,71 @@
 
 
 def send(context, holder, engine):
-    action = SendOrder(engine, context.late_order)
+    action = SendOrder(engine, context.outdated_order)
     context.loop.create_task(holder.tasks._send(holder.table.find(engine), action))
 
 
-@when("the holder decides on an order, is paused until another host took over, and goes on")
+@when("the holder decides on an order, is paused until another host takes over, and goes on")
 def step_paused_before(context):
     context.holder.paused = True
     context.world.network.down.add(context.holder.name)
     wait(context, lambda: context.world.holders("a"), "another holder", 60)
-    context.late_order = ModelsOrder(context.fence, ["stale:1"])
+    context.outdated_order = ModelsOrder(context.fence, ["stale:1"])
     send(context, context.holder, next(iter(in_zone(context, "a"))))
-    passing(context, 1)
+    run_for(context, 1)
 
 
-@then("it kept the order back")
+@then("it does not send the order")
 def step_kept_back(context):
     assert context.holder.counted("order_kept_back") == 1
     orders = [order for e in context.world.engines.values() for order in e.taken]
-    assert context.late_order not in orders
+    assert context.outdated_order not in orders
 
 
 @when("the holder's order for {what} is stuck while another host takes over")
 def step_stuck(context, what):
     holder, world = context.holder, context.world
     holder.stuck = True
-    name, context.late_engine = next(iter(in_zone(context, "a").items()))
-    context.wanted_before = set(context.late_engine.wanted)
+    name, context.outdated_engine = next(iter(in_zone(context, "a").items()))
+    context.wanted_before = set(context.outdated_engine.wanted)
     kept = context.wanted_before if what == "one version more" else set()
-    context.late_order = ModelsOrder(context.fence, sorted({*kept, "stale:1"}))
+    context.outdated_order = ModelsOrder(context.fence, sorted({*kept, "stale:1"}))
 
     send(context, holder, name)
-    passing(context, 0.1)
+    run_for(context, 0.1)
     holder.paused = True
-    # A paused process answers nobody, so the others take it for dead.
+    # A paused process answers no messages, so the others consider it dead.
     world.network.down.add(holder.name)
     wait(context, lambda: world.holders("a"), "another holder", 60)
-    passing(context, 5)
+    run_for(context, 5)
 
 
-@when("the stuck order gets through")
+@when("the stuck order is delivered")
 def step_through(context):
     context.holder.stuck = False
-    passing(context, 0.1)
+    run_for(context, 0.1)
 
 
-@then("what the late order began to load is dropped")
+@then("what the outdated order began to load is dropped")
 def step_late_dropped(context):
-    assert "stale:1" not in context.late_engine.wanted
+    assert "stale:1" not in context.outdated_engine.wanted
 
 
-@when("the late order's version was loaded")
+@when("the version of the outdated order is loaded")
 def step_late_loaded(context):
-    engine = context.late_engine
+    engine = context.outdated_engine
     wait(context, lambda: engine.report(context.loop.time()).loaded == ["stale:1"], "loaded", 5)
 
 
 @then("the engine refused it, which its sender counted")
 def step_refused(context):
-    assert context.late_order not in context.late_engine.taken
+    assert context.outdated_order not in context.outdated_engine.taken
     assert context.holder.counted("order_refused_fence") == 1
 
 
-@then("an engine follows the late order")
-def step_follows_late(context):
-    assert context.late_engine.wanted == context.late_order.versions
+@then("an engine follows the outdated order")
+def step_follows_outdated(context):
+    assert context.outdated_engine.wanted == context.outdated_order.versions
 
 
 @then("within {seconds:d} s the engines follow the new holder")
@@ -182,22 +182,22 @@
 
     def follow():
         engines = in_zone(context, "a").values()
-        back = context.wanted_before <= set(context.late_engine.wanted)
+        back = context.wanted_before <= set(context.outdated_engine.wanted)
         return back and all(e.fence == fence for e in engines)
 
     wait(context, follow, "the engines follow the new holder", seconds)
-    passing(context, 30)
+    run_for(context, 30)
     step_holds(context, "a", " ".join(context.offered))
 
 
-@when('a second host of zone "{zone}" goes on under an old lease for {seconds:d} s')
+@when('a second host of zone "{zone}" goes on with an old lease for {seconds:d} s')
 def step_second(context, zone, seconds):
     hosts = [h for h in context.world.hosts.values() if h.zone == zone]
     second = next(host for host in hosts if host is not context.holder)
     old = Lease(JOB, context.fence - 1, float("inf"))
     second.leases.find = lambda job: old
-    context.before = loads(context)
-    passing(context, seconds)
+    context.before = loads_by_engine(context)
+    run_for(context, seconds)
 
 
 @when('the holder of zone "{zone}" dies while a load is under way')
@@ -210,17 +210,17 @@
     context.world.kill(holder.name)
 
 
-@given("the store refuses")
+@given("the store refuses requests")
 def step_store_refuses(context):
     context.world.store.refusal = "status_429"
 
 
-@when("the store hands out again")
+@when("the store accepts requests again")
 def step_store_again(context):
     context.world.store.refusal = ""
 
 
-@given("the store takes {seconds:d} s")
+@given("each request to the store takes {seconds:d} s")
 def step_store_slow(context, seconds):
     context.world.store_s = seconds
 
@@ -253,7 +253,7 @@
 def step_pass(context, seconds):
     context.always = {zone: context.world.held(zone) for zone in "ab"}
     for _ in range(seconds * 2):
-        passing(context, 0.5)
+        run_for(context, 0.5)
         for zone in "ab":
             context.always[zone] &= context.world.held(zone)
 
@@ -268,54 +268,54 @@
     assert set(versions.split()) <= context.always[zone], context.always
 
 
-@then("no engine in memory began a load twice")
+@then("no engine in memory loaded a version twice")
 def step_no_doubles(context):
-    for name, loaded in loads(context).items():
+    for name, loaded in loads_by_engine(context).items():
         assert len(loaded) == len(set(loaded)), (name, loaded)
 
 
-@then('callers are told when "{version}" may come')
+@then('callers are told when "{version}" is expected to be loaded')
 def step_told(context, version):
     host = context.world.hosts["a1"]
     assert host.context.coming[VersionId.parse(version)] > 0
 
 
-def work_on(version, in_session=False, engine=""):
+def open_request(version, in_session=False, engine=""):
     return OpenRequest(VersionId.parse(version), 1, in_session, engine)
 
 
-@given('a session at host "{host}" keeps "{versions}"')
-@given('sessions at host "{host}" keep "{versions}"')
+@given('a session at host "{host}" is pinned to "{versions}"')
+@given('sessions at host "{host}" are pinned to "{versions}"')
 def step_session(context, host, versions):
-    context.world.hosts[host].open_work = [work_on(v, True) for v in versions.split()]
-    passing(context, 3)
+    context.world.hosts[host].open_work = [open_request(v, True) for v in versions.split()]
+    run_for(context, 3)
 
 
 @when('{count:d} requests for "{version}" are open at host "{host}"')
 def step_open(context, count, version, host):
-    context.world.hosts[host].open_work = [work_on(version)] * count
+    context.world.hosts[host].open_work = [open_request(version)] * count
 
 
 @when('{count:d} requests of sessions for "{version}" are open at host "{host}"')
 def step_open_sessions(context, count, version, host):
-    context.world.hosts[host].open_work = [work_on(version, True)] * count
+    context.world.hosts[host].open_work = [open_request(version, True)] * count
 
 
 @when('host "{host}" has {many:d} requests open for "{one}" and {few:d} for "{other}"')
 def step_open_both(context, many, one, few, other, host):
-    work = [work_on(one)] * many + [work_on(other)] * few
+    work = [open_request(one)] * many + [open_request(other)] * few
     context.world.hosts[host].open_work = work
 
 
-def engine_with(context, zone, version):
+def engines_with(context, zone, version):
     return [n for n, e in in_zone(context, zone).items() if version in e.loaded]
 
 
 @given('a stream of "{version}" is open at host "{host}"')
 def step_stream(context, version, host):
-    (engine,) = engine_with(context, "a", version)
+    (engine,) = engines_with(context, "a", version)
     context.streaming = context.world.hosts[host]
-    context.streaming.open_work = [work_on(version, engine=engine)]
+    context.streaming.open_work = [open_request(version, engine=engine)]
 
 
 @when('the stream of "{version}" ends')
@@ -345,28 +345,28 @@
         engine.restart()
 
 
-@when('an engine of zone "{zone}" that holds "{version}" falls silent')
+@when('an engine of zone "{zone}" that holds "{version}" stops answering')
 def step_silent(context, zone, version):
-    (context.silent,) = engine_with(context, zone, version)
+    (context.silent,) = engines_with(context, zone, version)
     context.world.engines[context.silent].silent = True
 
 
 @then('another engine of zone "{zone}" holds "{version}"')
 def step_other_holds(context, zone, version):
-    assert set(engine_with(context, zone, version)) - {context.silent}
+    assert set(engines_with(context, zone, version)) - {context.silent}
 
 
-@when("the log is out for the orders")
+@when("the log is down for the orders")
 def step_log_out(context):
     context.world.log.down = True
 
 
-@when("the log is back for the orders")
+@when("the log is up for the orders")
 def step_log_back(context):
     context.world.log.down = False
 
 
-@then("no order came after the lease lapsed")
+@then("no order was sent after the lease expired")
 def step_no_orders(context):
     orders = [o for e in context.world.engines.values() for o in e.taken]
     assert all("yew:1" not in msgspec.to_builtins(o)["versions"] for o in orders)
@@ -374,28 +374,28 @@
 
 @then('{count:d} engines of zone "{zone}" hold "{version}"')
 def step_copies(context, count, zone, version):
-    assert len(engine_with(context, zone, version)) == count
+    assert len(engines_with(context, zone, version)) == count
 
 
 @when(
-    '{many:d} and {few:d} requests for "{one}" and "{other}" take turns '
+    '{many:d} and {few:d} requests for "{one}" and "{other}" alternate '
     'at host "{host}" for {seconds:d} s'
 )
 def step_waver(context, many, few, one, other, host, seconds):
-    context.before = (loads(context), all_held(context), drains(context))
+    context.before = (loads_by_engine(context), loaded_by_engine(context), drain_revisions(context))
     for number in range(seconds // 20):
         more, less = (one, other) if number % 2 else (other, one)
         step_open_both(context, many, more, few, less, host)
-        passing(context, 20)
+        run_for(context, 20)
 
 
-@then('the store handed each version out twice for zone "{zone}"')
+@then('the store gave out each version twice for zone "{zone}"')
 def step_handed_twice(context, zone):
     fetched = [version for version, engine in context.world.store.fetched if engine[0] == zone]
     assert sorted(fetched) == sorted(2 * context.offered), fetched
 
 
-@then('every zone has one sender and holds "{versions}"')
+@then('every zone has one lease holder and holds "{versions}"')
 def step_each_zone(context, versions):
     for zone in {host.zone for host in context.world.hosts.values()}:
         assert len(context.world.holders(zone)) == 1, zone
@@ -404,4 +404,8 @@
 
 @then("nothing was loaded or unloaded in that time")
 def step_nothing_moved(context):
-    assert (loads(context), all_held(context), drains(context)) == context.before
+    assert (
+        loads_by_engine(context),
+        loaded_by_engine(context),
+        drain_revisions(context),
+    ) == context.before
--- a/poplarrun/orders/__init__.py
+++ b/poplarrun/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Which engine holds which versions, and the orders that bring it about."""
+"""Placement of model versions on engines: demand, plan, and the orders to load or unload."""
 
 from poplarrun.orders._controller import (
     ENGINE_GONE_TIMEOUT_S,
--- a/poplarrun/orders/_controller.py
+++ b/poplarrun/orders/_controller.py
@@ -1,4 +1,4 @@
-"""The sender of a zone's orders: compares what engines hold with the plan, and orders the rest."""
+"""Controller of a zone's engines: reconciles what they hold with the plan by sending orders."""
 
 import math
 import random
@@ -12,24 +12,24 @@
 from poplarrun.orders._plan import EngineCapacity, Plan, Planner, VersionNeed
 from poplarrun.orders._summaries import DemandSummary, DrainRevision, OrdersSummary
 
-# Each engine is looked at this often, whatever its load reports say. A late
-# order that an engine took is found and undone within this, a round and two timeouts.
+# Interval at which each engine is polled, whatever its load reports say. An outdated order that an
+# engine accepted is found and reverted within this, one round and two timeouts.
 ENGINE_POLL_INTERVAL_S = 5.0
-# An engine that did not answer for so long counts for nothing: its versions go elsewhere.
+# An engine that has not answered for this long is dropped, and its versions are placed elsewhere.
 ENGINE_GONE_TIMEOUT_S = 15.0
-# Versions of a zone that are on their way at the same time.
+# Bound on the versions of a zone that are being fetched or loaded at the same time.
 MAX_CONCURRENT_LOADS = 4
 INITIAL_BACKOFF_DELAY_S = 1.0
 MAX_BACKOFF_DELAY_S = 30.0
 JITTER_FRACTION = 0.2
-# Before any load was measured.
+# Assumed load time before any was measured.
 DEFAULT_LOAD_TIME_S = 10.0
 LOAD_TIME_SMOOTHING_FACTOR = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class FetchWeights:
-    """The store is to hand a version's weights to an engine."""
+    """Action: ask the weight store to give a version's weights to an engine."""
 
     engine: str
     version: VersionId
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """An engine is to get an order."""
+    """Action: send an order to an engine."""
 
     engine: str
     order: ModelsOrder
@@ -45,7 +45,7 @@
 
 @dataclass
 class _EngineState:
-    """An engine as it was last looked at."""
+    """Result of the last poll of an engine."""
 
     models: EngineModels
     answered_at: float
@@ -62,15 +62,15 @@
 
 @dataclass
 class OrderController:
-    """Decides on the orders of one zone; every call has the time passed in.
+    """Decides on the orders of one zone; every call gets the current time as an argument.
 
-    What engines report is compared with the plan as a whole, round for round,
-    so a successor needs nothing of its predecessor's state.
+    In each round the complete plan is compared with what the engines report, so a new lease holder
+    needs no state of its predecessor.
 
     Attributes
     ----------
     draining : dict of str to set of VersionId
-        Versions that get no new work at an engine, by engine.
+        Versions that get no new requests at an engine, by engine.
     plan : Plan
         The last plan.
     """
@@ -100,46 +100,45 @@
     def list_engines_to_poll(
         self, reported: Mapping[str, frozenset[VersionId]], now: float
     ) -> list[str]:
-        """Return the engines to look at now.
+        """Return the engines to poll now, the least recently polled first.
 
         Parameters
         ----------
         reported : mapping of engine to set of VersionId
-            What their load reports say.
+            Loaded versions by the engines' load reports.
         """
         pending = {engine for engine, version in self._list_pending()}
-        restless = pending | self.draining.keys()
+        changing = pending | self.draining.keys()
         due = [
             name
             for name, versions in reported.items()
             if now - self._polled_at.get(name, -math.inf) >= ENGINE_POLL_INTERVAL_S
             or (
                 name in self._engines
-                and (name in restless or self._engines[name].differs_from(versions))
+                and (name in changing or self._engines[name].differs_from(versions))
             )
         ]
-        # Those longest unseen first: where more are due than a round looks at, none starves.
+        # Least recently polled first: if more are due than are polled in a round, none starves.
         due.sort(key=lambda name: self._polled_at.get(name, -math.inf))
         return due
 
     def has_polled(self, engines: Iterable[str]) -> bool:
-        """Tell whether each engine was looked at, whether or not it answered.
+        """Tell whether each engine was polled, whether or not it answered.
 
-        A holder that planned before would load what engines hold that it has
-        not looked at yet.
+        Planning before that would load versions that engines not polled yet already hold.
         """
         return all(engine in self._polled_at for engine in engines)
 
     def apply_models(self, engine: str, models: EngineModels, now: float) -> None:
-        """Take in what an engine holds."""
+        """Apply an engine's answer to a poll."""
         self._polled_at[engine] = now
-        known = _EngineState(models, now, _parse(models.loaded), _parse(models.loading))
+        state = _EngineState(models, now, _parse(models.loaded), _parse(models.loading))
         before = self._engines.get(engine)
-        self._engines[engine] = known
+        self._engines[engine] = state
         if models.fence < 0 and before is not None and before.models.fence >= 0:
-            # It started anew and lost what was handed to it.
+            # The engine restarted and lost the weights that it had been given.
             self._granted = {s: at for s, at in self._granted.items() if s[0] != engine}
-        for version in known.loaded - (before.loaded if before else known.loaded):
+        for version in state.loaded - (before.loaded if before else state.loaded):
             granted_at = self._granted.get((engine, version))
             if granted_at is not None:
                 self._load_time_s += LOAD_TIME_SMOOTHING_FACTOR * (
@@ -147,18 +146,18 @@
                 )
 
     def record_accepted_order(self, engine: str, order: ModelsOrder) -> None:
-        """Note that an engine took an order, so that it is not sent again meanwhile."""
-        known = self._engines.get(engine)
-        if known is not None:
-            known.models = msgspec.structs.replace(
-                known.models, wanted=order.versions, fence=order.fence
+        """Record that an engine accepted an order, so that it isn't sent again at once."""
+        state = self._engines.get(engine)
+        if state is not None:
+            state.models = msgspec.structs.replace(
+                state.models, wanted=order.versions, fence=order.fence
             )
 
     def record_no_answer(self, engine: str, now: float) -> None:
-        """Note that an engine did not answer."""
+        """Record that an engine didn't answer a poll."""
         self._polled_at[engine] = now
-        known = self._engines.get(engine)
-        if known is not None and now - known.answered_at > ENGINE_GONE_TIMEOUT_S:
+        state = self._engines.get(engine)
+        if state is not None and now - state.answered_at > ENGINE_GONE_TIMEOUT_S:
             self.forget(engine)
             self._polled_at[engine] = now
 
@@ -171,7 +170,7 @@
     def record_weights_answer(
         self, engine: str, version: VersionId, refusal: str, now: float
     ) -> None:
-        """Take in the store's answer."""
+        """Record the weight store's answer to a fetch; an empty refusal means success."""
         self._fetching.pop((engine, version), None)
         if not refusal:
             self._granted[(engine, version)] = now
@@ -182,10 +181,10 @@
         self._backoff_s = min(MAX_BACKOFF_DELAY_S, 2.0 * self._backoff_s)
 
     def reset(self) -> None:
-        """Forget everything: this host sends no orders now.
+        """Reset the state, because this host doesn't hold the lease to send orders.
 
-        The stamp goes on: a lease may come back under its old number, and hosts
-        that hold an older list must not seem to hold the new one.
+        The revision is kept: the host may get the lease back under its old fencing number, and
+        hosts that hold an older list of drains must not seem to hold the new one.
         """
         stamp = self._revision
         self.__post_init__()
@@ -196,28 +195,30 @@
         self,
         fence: int,
         needs: Sequence[VersionNeed],
-        places: Mapping[str, int],
+        batch_slots: Mapping[str, int],
         demand: Sequence[DemandSummary],
         zone: str,
         now: float,
     ) -> list[FetchWeights | SendOrder]:
-        """Plan, and return what is to be done now.
+        """Plan, and return the actions that are due now.
 
         Parameters
         ----------
         fence : int
             Fencing number of the lease.
-        places : mapping of engine to int
-            Requests in each engine's batch; engines not in it get no order.
+        needs : sequence of VersionNeed
+            Need for each version that may be loaded.
+        batch_slots : mapping of engine to int
+            Batch slots of each engine; engines not in it get no order.
         demand : sequence of DemandSummary
-            One for each host of the zone and one for each other zone that is
-            heard: all of them must have stopped using what is to be unloaded.
+            One for each host of the zone and one for each other zone that can be reached: all of
+            them must have stopped using a version before it is unloaded.
         """
         needed = frozenset(need.version for need in needs)
         engines = [
-            EngineCapacity(name, known.models.room, places[name], taken)
-            for name, known, taken in self._iterate_occupied(needed)
-            if name in places
+            EngineCapacity(name, state.models.room, batch_slots[name], occupied_by)
+            for name, state, occupied_by in self._iterate_occupied(needed)
+            if name in batch_slots
         ]
         self.plan = self.planner.plan(needs, engines, now)
         placed = frozenset().union(*self.plan.targets.values())
@@ -232,28 +233,29 @@
         return [*actions, *self._choose_fetches(now)]
 
     def summarize(self) -> OrdersSummary:
-        """Return what all hosts must know."""
+        """Return the summary for all hosts."""
         draining = {e: sorted(map(str, vs)) for e, vs in sorted(self.draining.items())}
         return OrdersSummary(self._revision, draining, self._estimate_load_times(), self._unplaced)
 
     def _iterate_occupied(
         self, needed: frozenset[VersionId]
     ) -> Iterator[tuple[str, _EngineState, frozenset[VersionId]]]:
-        """Go through the engines with the versions that their room is taken by."""
-        handed: dict[str, set[VersionId]] = {}
+        """Iterate over the engines, with the versions that occupy their room."""
+        granted: dict[str, set[VersionId]] = {}
         for name, version in (*self._granted, *self._fetching):
-            handed.setdefault(name, set()).add(version)
-        for name, known in self._engines.items():
-            # A load that nobody needs, as of a late order, is not carried on.
-            wanted = known.loaded | known.loading & needed | handed.get(name, set())
-            # What drains is on its way out: its room counts as free, and stays planned so.
-            yield name, known, wanted - self.draining.get(name, frozenset())
+            granted.setdefault(name, set()).add(version)
+        for name, state in self._engines.items():
+            # A load that no need asks for, such as that of an outdated order, is not continued.
+            wanted = state.loaded | state.loading & needed | granted.get(name, set())
+            # Draining versions will be unloaded: their room counts as free, and remains planned
+            # that way.
+            yield name, state, wanted - self.draining.get(name, frozenset())
 
     def _is_target(self, slot: tuple[str, VersionId]) -> bool:
         return slot[1] in self.plan.targets.get(slot[0], ())
 
     def _list_pending(self) -> list[tuple[str, VersionId]]:
-        """Return what was handed to engines and is not loaded yet."""
+        """Return the versions whose weights were given to an engine and which aren't loaded yet."""
         return [
             (engine, version)
             for engine, version in self._granted
@@ -261,23 +263,23 @@
         ]
 
     def _update_draining(self, fence: int) -> None:
-        """Drain what engines hold beyond the plan."""
+        """Drain the versions that engines hold beyond the plan."""
         draining: dict[str, frozenset[VersionId]] = {}
         for name, target in self.plan.targets.items():
-            extra = self._engines[name].resident - target
-            if extra:
-                draining[name] = extra
+            surplus = self._engines[name].resident - target
+            if surplus:
+                draining[name] = surplus
         if draining != self.draining or fence != self._revision.fence:
             self._revision = DrainRevision(fence, self._revision.number + 1)
         self.draining = draining
-        slots = {(name, version) for name, extra in draining.items() for version in extra}
+        slots = {(name, version) for name, surplus in draining.items() for version in surplus}
         since = self._draining_since
         self._draining_since = {slot: since.get(slot, self._revision) for slot in slots}
 
     def _is_drained(
         self, name: str, version: VersionId, demand: Sequence[DemandSummary], zone: str
     ) -> bool:
-        """Tell whether no host sends a version's work to an engine, nor has any open there."""
+        """Tell whether no host routes requests for a version to an engine or has any open there."""
         since = self._draining_since[(name, version)]
         return all(
             summary.applied_revisions.get(zone, DrainRevision()) >= since
@@ -288,33 +290,35 @@
     def _make_order(
         self, name: str, fence: int, demand: Sequence[DemandSummary], zone: str
     ) -> ModelsOrder | None:
-        """Return the order that an engine needs; None when it is as it should be.
+        """Return the order that an engine needs; None if it follows that order already.
 
-        The engine tells which order it follows. One that follows another, such
-        as a late one of a former holder, gets this one again.
+        The engine reports which order it follows. An engine that follows another one, such as an
+        outdated one of a former lease holder, gets this order again.
         """
-        known = self._engines[name]
+        state = self._engines[name]
         target = self.plan.targets[name]
-        kept = {v for v in self.draining.get(name, ()) if v in known.loaded}
-        kept = {version for version in kept if not self._is_drained(name, version, demand, zone)}
-        ready = {v for v in target if v in known.resident or (name, v) in self._granted}
-        # What is ready waits until the room of what drains is free.
-        room = known.models.room - len(kept)
-        ready_now = sorted(ready, key=lambda v: (v not in known.resident, str(v)))[: max(0, room)]
-        versions = sorted(str(version) for version in {*kept, *ready_now})
-        if versions == known.models.wanted and known.models.fence == fence:
+        retained = {v for v in self.draining.get(name, ()) if v in state.loaded}
+        retained = {
+            version for version in retained if not self._is_drained(name, version, demand, zone)
+        }
+        ready = {v for v in target if v in state.resident or (name, v) in self._granted}
+        # Versions whose weights are ready wait until draining versions have freed their room.
+        room = state.models.room - len(retained)
+        ready_now = sorted(ready, key=lambda v: (v not in state.resident, str(v)))[: max(0, room)]
+        versions = sorted(str(version) for version in {*retained, *ready_now})
+        if versions == state.models.wanted and state.models.fence == fence:
             return None
         return ModelsOrder(fence, versions)
 
     def _choose_fetches(self, now: float) -> list[FetchWeights]:
-        """Return the loads to begin, in order of need, a bounded number at a time."""
+        """Return the fetches to start, most needed first, up to a bounded number at a time."""
         count = MAX_CONCURRENT_LOADS - len(self._fetching) - len(self._list_pending())
         if now < self._backoff_until or count <= 0:
             return []
         if self._backoff_s > INITIAL_BACKOFF_DELAY_S:
-            # The store refused last: one tries it for all.
+            # The last request was refused: a single one probes the store for all.
             count = min(count, 1 - len(self._fetching))
-        # A version that was to go and is wanted again is still there.
+        # A version that was to be unloaded and is needed again is still loaded.
         missing = [
             slot for slot in self.plan.loads if slot[1] not in self._engines[slot[0]].resident
         ]
@@ -323,17 +327,17 @@
         return chosen
 
     def _estimate_load_times(self) -> dict[str, float]:
-        loaded = {version for known in self._engines.values() for version in known.loaded}
-        coming: dict[str, float] = {}
-        begun = [version for _, version in (*self._list_pending(), *self._fetching)]
-        waiting = [version for _, version in self.plan.loads if version not in begun]
-        for place, version in enumerate((*begun, *waiting)):
+        loaded = {version for state in self._engines.values() for version in state.loaded}
+        load_times_s: dict[str, float] = {}
+        started = [version for _, version in (*self._list_pending(), *self._fetching)]
+        waiting = [version for _, version in self.plan.loads if version not in started]
+        for position, version in enumerate((*started, *waiting)):
             if version not in loaded:
-                rounds = 1 + max(0, place - len(begun) + 1) / MAX_CONCURRENT_LOADS
-                coming.setdefault(
+                rounds = 1 + max(0, position - len(started) + 1) / MAX_CONCURRENT_LOADS
+                load_times_s.setdefault(
                     str(version), math.ceil(rounds * self._load_time_s + self._backoff_s)
                 )
-        return coming
+        return load_times_s
 
 
 def _parse(versions: Iterable[str]) -> frozenset[VersionId]:
--- a/poplarrun/orders/_plan.py
+++ b/poplarrun/orders/_plan.py
@@ -1,4 +1,4 @@
-"""Which engine of a zone holds which versions: a plan from need, room and what is held."""
+"""Plan of the versions on a zone's engines, from the needs, the room and what is loaded."""
 
 import heapq
 import math
@@ -7,33 +7,33 @@
 
 from poplarrun.contracts import VersionId
 
-# A version gets one more copy when its copies are fuller than this.
+# A version gets one more copy if its copies are loaded more than this.
 FULL_FRACTION = 0.7
-# A copy counts as spare only when the others would stay below this. The gap
-# between the two keeps a demand that wavers from loading and unloading in turn.
+# A copy is spare only if the others would be loaded less than this. The gap between the two bounds
+# keeps fluctuating demand from loading and unloading a version repeatedly.
 SPARE_FRACTION = 0.4
-# A copy stays for so long before demand alone may take its room away.
+# A copy stays at least this long before it can be evicted for demand alone.
 MIN_RESIDENCE_TIME_S = 60.0
-# To take the room of a version's last copy, another must have so many times its demand.
+# A version's last copy is evicted only for a version with this many times its demand.
 DISPLACING_FACTOR = 2.0
-# Copies that one plan takes out for others; the store's rate bounds more anyway.
-MAX_SWAPS = 8
+# Evictions in one plan. More would not help, because the weight store limits the rate of loads.
+MAX_EVICTIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class VersionNeed:
-    """What a zone asks of one version.
+    """A zone's need for one version.
 
     Attributes
     ----------
-    places : float
-        Requests open at once, in the zone.
+    concurrent_requests : float
+        Requests that are open at the same time in the zone.
     importance : int
-        The highest of their classes.
+        The highest importance of their classes.
     has_sessions : bool
-        Whether an open session keeps the version.
+        Whether an open session is pinned to the version.
     is_on_trial : bool
-        Whether a roll-out of it is under way.
+        Whether a roll-out of the version is in progress.
     """
 
     version: VersionId
@@ -44,29 +44,29 @@
 
     @property
     def tier(self) -> int:
-        """How much the first copy matters: 3 for sessions, 2 asked for, 1 on trial, else 0."""
+        """Priority of the first copy: 3 with sessions, 2 with requests, 1 on trial, else 0."""
         if self.has_sessions:
             return 3
         return 2 if self.concurrent_requests > 0.0 else int(self.is_on_trial)
 
     @property
     def priority(self) -> tuple[int, float, int, str]:
-        """The order of need, the highest first when reversed."""
+        """Sort key of needs; the highest is served first."""
         return (self.tier, self.concurrent_requests, self.importance, str(self.version))
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCapacity:
-    """An engine that takes orders.
+    """Capacity of an engine that takes orders.
 
     Attributes
     ----------
-    room : int
-        Versions that fit.
-    places : int
+    max_versions : int
+        Versions that the engine has room for.
+    batch_slots : int
         Requests in its batch.
-    taken : frozenset of VersionId
-        Versions that it holds or loads, or whose weights were handed to it.
+    occupied_by : frozenset of VersionId
+        Versions that are loaded or loading, or whose weights were given to the engine.
     """
 
     name: str
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A whole plan of a zone.
+    """A complete plan of a zone.
 
     Attributes
     ----------
     targets : mapping of engine to set of VersionId
-        What each engine is to hold in the end.
+        Versions that each engine is to hold in the end.
     loads : tuple of (engine, VersionId)
-        What is to be loaded, in order of need.
+        Versions to load, most needed first.
     """
 
     targets: Mapping[str, frozenset[VersionId]]
@@ -92,18 +92,18 @@
 
 
 class Planner:
-    """Plans for one zone; remembers only since when copies are there."""
+    """Plans for one zone; its only state is how long each copy has existed."""
 
     def __init__(self) -> None:
-        self._since: dict[tuple[str, VersionId], float] = {}
+        self._loaded_since: dict[tuple[str, VersionId], float] = {}
 
     def plan(
         self, needs: Sequence[VersionNeed], engines: Sequence[EngineCapacity], now: float
     ) -> Plan:
-        """Return the plan; what is held stays unless its room is needed."""
-        held = {(e.name, version) for e in engines for version in e.occupied_by}
-        self._since = {slot: self._since.get(slot, now) for slot in held}
-        draft = _Draft(needs, engines, self._since, now)
+        """Return the plan; loaded versions stay unless their room is needed."""
+        occupied = {(e.name, version) for e in engines for version in e.occupied_by}
+        self._loaded_since = {slot: self._loaded_since.get(slot, now) for slot in occupied}
+        draft = _Draft(needs, engines, self._loaded_since, now)
         ranked = sorted(needs, key=lambda need: need.priority, reverse=True)
         for need in ranked:
             if not draft.copies(need.version):
@@ -114,11 +114,11 @@
 
 @dataclass
 class _Draft:
-    """A plan in the making."""
+    """A plan under construction."""
 
     needs: Sequence[VersionNeed]
     engines: Sequence[EngineCapacity]
-    since: Mapping[tuple[str, VersionId], float]
+    loaded_since: Mapping[tuple[str, VersionId], float]
     now: float
     _loads: list[tuple[str, VersionId]] = field(default_factory=list)
     _evictions: int = 0
@@ -127,7 +127,7 @@
         self._need_of = {need.version: need for need in self.needs}
         self._targets = {e.name: set(e.occupied_by) for e in self.engines}
         self._room = {e.name: e.max_versions for e in self.engines}
-        # The engines of each version, in a fixed order.
+        # The engines of each version, in a deterministic order.
         self._holders: dict[VersionId, dict[str, None]] = {}
         for name, versions in self._targets.items():
             for version in versions:
@@ -146,7 +146,7 @@
         return len(self._holders.get(version, ()))
 
     def place_additional(self, ranked: Iterable[VersionNeed]) -> None:
-        """Place the further copies, the fullest version's next one first."""
+        """Place additional copies, always for the version with the highest load per copy."""
         queue = [
             (-self._load_per_copy(n), str(n.version), n) for n in ranked if self._wants_more(n)
         ]
@@ -157,7 +157,7 @@
                 heapq.heappush(queue, (-self._load_per_copy(need), name, need))
 
     def place(self, need: VersionNeed) -> bool:
-        """Give a version one more copy, if there is room or it may take another's."""
+        """Add a copy of a version, evicting another if necessary; tell whether it was possible."""
         engine = self._find_free(need.version) or self._evict_for(need)
         if engine is None:
             self._begin_move(need)
@@ -179,7 +179,7 @@
         return self._room[engine] - len(self._targets[engine])
 
     def _trim(self, engine: str) -> None:
-        """Take the least needed out of an engine that holds more than its room."""
+        """Evict the least needed versions of an engine that holds more than it has room for."""
         while self._count_free(engine) < 0:
             self._evict(engine, min(self._targets[engine], key=self._eviction_cost))
 
@@ -191,8 +191,8 @@
         return need.concurrent_requests / max(1, self.copies(need.version))
 
     def _find_free(self, version: VersionId) -> str | None:
-        """Return the engine with the most free room that lacks a version."""
-        passed: list[tuple[int, str]] = []
+        """Return the engine with the most free room that doesn't hold a version."""
+        skipped: list[tuple[int, str]] = []
         found = None
         while self._free and found is None:
             entry = heapq.heappop(self._free)
@@ -200,19 +200,20 @@
             if self._count_free(name) <= 0:
                 continue
             if version in self._targets[name]:
-                passed.append(entry)
+                skipped.append(entry)
                 continue
             found = name
-            passed.append((-(self._count_free(name) - 1), name))
-        for entry in passed:
+            skipped.append((-(self._count_free(name) - 1), name))
+        for entry in skipped:
             heapq.heappush(self._free, entry)
         return found
 
     def _evict_for(self, need: VersionNeed) -> str | None:
-        """Take out the copy that is missed least, if any may go for this need."""
-        if self._evictions >= MAX_SWAPS:
+        """Evict the copy with the lowest cost that a need justifies; return its engine."""
+        if self._evictions >= MAX_EVICTIONS:
             return None
-        # By version first: how much a copy is missed is the same wherever it is.
+        # The cost of an eviction is the same for all copies of a version, so versions are sorted
+        # instead of copies.
         for version in sorted(self._holders, key=self._eviction_cost):
             engine = self._find_evictable(version, need)
             if engine is not None:
@@ -222,35 +223,38 @@
         return None
 
     def _find_evictable(self, version: VersionId, need: VersionNeed) -> str | None:
-        """Return an engine whose copy of a version may go for a need."""
+        """Return an engine whose copy of a version may be evicted for a need."""
         if not self._holders[version] or not self._may_evict(version, need):
             return None
-        # A spare copy goes at once for a first one; all else stays for a while.
-        stays = version in self._need_of and (
+        # A spare copy may be evicted at once for a first copy; in all other cases the minimum
+        # residence time applies.
+        has_min_residence = version in self._need_of and (
             self.copies(need.version) > 0 or self.copies(version) <= 1
         )
         for name in self._holders[version]:
             if need.version in self._targets[name]:
                 continue
             if (
-                not stays
-                or self.now - self.since.get((name, version), self.now) >= MIN_RESIDENCE_TIME_S
+                not has_min_residence
+                or self.now - self.loaded_since.get((name, version), self.now)
+                >= MIN_RESIDENCE_TIME_S
             ):
                 return name
         return None
 
     def _begin_move(self, need: VersionNeed) -> None:
-        """Begin to move a copy into room that is only free beside the needed version.
+        """Start to move a copy into free room that the needed version can't use.
 
-        The copy is loaded there first; then the old one is spare, and goes.
+        That room is at an engine that holds the needed version already. The other version is loaded
+        there first; then its old copy is spare and can be evicted.
         """
         free = [name for name in self._targets if self._count_free(name) > 0]
-        if not free or self._evictions >= MAX_SWAPS:
+        if not free or self._evictions >= MAX_EVICTIONS:
             return
         target = min(free)
         for version in sorted(self._holders, key=self._eviction_cost):
-            elsewhere = any(need.version not in self._targets[n] for n in self._holders[version])
-            if elsewhere and version not in self._targets[target]:
+            is_elsewhere = any(need.version not in self._targets[n] for n in self._holders[version])
+            if is_elsewhere and version not in self._targets[target]:
                 self._evictions += 1
                 self._add(target, version)
                 return
@@ -262,7 +266,7 @@
             self._loads.remove((engine, version))
 
     def _eviction_cost(self, version: VersionId) -> tuple[bool, bool, int, float, VersionId]:
-        """Return how much a copy is missed when it goes."""
+        """Return the sort key of the cost of evicting a copy of a version."""
         need = self._need_of.get(version)
         if need is None:
             return (False, False, 0, 0.0, version)
@@ -270,17 +274,19 @@
         return (True, is_last, need.tier, self._load_per_copy(need), version)
 
     def _may_evict(self, version: VersionId, for_need: VersionNeed) -> bool:
-        """Tell whether one copy of a version may go for a need, the time left aside."""
+        """Tell whether a need justifies evicting a copy, apart from the minimum residence time."""
         need = self._need_of.get(version)
         if need is None:
             return True
-        left = self.copies(version) - 1
+        remaining = self.copies(version) - 1
         is_first = self.copies(for_need.version) == 0
-        if left >= 1:
+        if remaining >= 1:
             return (
-                is_first or need.concurrent_requests <= left * self._slots_per_copy * SPARE_FRACTION
+                is_first
+                or need.concurrent_requests <= remaining * self._slots_per_copy * SPARE_FRACTION
             )
-        # The last copy: never from sessions, and only for a first copy that is needed more.
+        # The last copy is never evicted while it has sessions, and only for a first copy that is
+        # needed more.
         if need.has_sessions or not is_first:
             return False
         if for_need.tier != need.tier:
--- a/poplarrun/orders/_summaries.py
+++ b/poplarrun/orders/_summaries.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other about demand for versions, and about orders under way."""
+"""Messages with which hosts share the demand for versions and the state of the orders."""
 
 import math
 import struct
@@ -12,7 +12,7 @@
 from poplarrun.hosts import SummaryTopic
 
 NO_FENCE = -1
-# Places travel as one byte, in steps of a factor: from 0.05 to 170,000.
+# Concurrent requests are encoded in one byte, on a logarithmic scale from 0.05 to 170,000.
 MIN_ENCODED_REQUESTS = 0.05
 LEVELS_PER_OCTAVE = 12
 _VERSION = struct.Struct(">HBB")
@@ -24,12 +24,12 @@
 
     Attributes
     ----------
-    places : float
-        Requests open at once, those without an endpoint included.
+    concurrent_requests : float
+        Requests that are open at the same time, including those without an endpoint.
     importance : int
-        The highest of their classes.
-    sessions : bool
-        Whether an open session keeps the version.
+        The highest importance of their classes.
+    has_sessions : bool
+        Whether an open session is pinned to the version.
     """
 
     concurrent_requests: float = 0.0
@@ -38,7 +38,7 @@
 
 
 class DrainRevision(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Which list of drains of a zone: later ones are higher."""
+    """Revision of a zone's list of drains; a later one compares higher."""
 
     fence: int = NO_FENCE
     number: int = 0
@@ -46,17 +46,17 @@
 
 @dataclass
 class DemandSummary:
-    """One host's demand, or the sum over a zone.
+    """Demand at one host, or the sum over a zone.
 
     Attributes
     ----------
     versions : dict of int to VersionDemand
         By ``hash_version``; versions without demand are left out.
-    applied : dict of str to Stamp
-        By zone with drains, the list of drains that holds at the host; the lowest
-        of a zone's hosts.
-    open : dict of str to dict of str to int
-        Open requests by engine and version, for versions that are drained.
+    applied_revisions : dict of str to DrainRevision
+        Revision of the list of drains that the host applies, by zone with drains; for a zone's sum
+        the lowest of its hosts.
+    open_requests : dict of str to dict of str to int
+        Open requests of drained versions, by engine and version.
     """
 
     versions: dict[int, VersionDemand] = field(default_factory=dict)
@@ -65,7 +65,7 @@
 
 
 class _EncodedDemand(msgspec.Struct, array_like=True):
-    """A demand summary as it travels: four bytes a version."""
+    """Encoded demand summary: four bytes for each version."""
 
     versions: bytes = b""
     applied: dict[str, DrainRevision] = {}
@@ -73,18 +73,18 @@
 
 
 class OrdersSummary(msgspec.Struct, array_like=True):
-    """What the sender of a zone's orders tells all hosts.
+    """State of a zone's orders, published by the host that sends them.
 
     Attributes
     ----------
-    stamp : Stamp
-        Counts the changes of the drains.
+    revision : DrainRevision
+        Increases whenever ``draining`` changes.
     draining : dict of str to list of str
-        By engine, versions that get no new work there.
-    coming : dict of str to float
-        Expected seconds until a version is loaded that no engine of the zone holds.
-    without_room : list of str
-        Offered versions that have no place in the zone.
+        Versions that get no new requests, by engine.
+    load_times_s : dict of str to float
+        Expected seconds until a version is loaded that no engine of the zone has loaded.
+    unplaced : list of str
+        Offered versions that have no room in the zone.
     """
 
     revision: DrainRevision = DrainRevision()
@@ -98,21 +98,21 @@
 
 
 def hash_version(version: VersionId) -> int:
-    """Return the two bytes that stand for a version in demand summaries.
+    """Return a 16-bit hash that identifies a version in demand summaries.
 
-    Two versions that share them are each taken to have the demand of both,
-    which costs at most a needless copy.
+    Two versions with the same hash each get the demand of both, which costs at most an unneeded
+    copy.
     """
     return zlib.crc32(str(version).encode()) & 0xFFFF
 
 
 def encode_demand(summary: DemandSummary) -> bytes:
-    """Return the bytes of a summary; places are rounded by up to 5%."""
+    """Encode a summary; concurrent requests are rounded by up to 5%."""
     packed = b"".join(
         _VERSION.pack(
-            key, _quantize(seen.concurrent_requests), seen.importance << 1 | seen.has_sessions
+            key, _quantize(demand.concurrent_requests), demand.importance << 1 | demand.has_sessions
         )
-        for key, seen in sorted(summary.versions.items())
+        for key, demand in sorted(summary.versions.items())
     )
     return msgspec.msgpack.encode(
         _EncodedDemand(packed, summary.applied_revisions, summary.open_requests)
@@ -120,12 +120,12 @@
 
 
 def decode_demand(payload: bytes) -> DemandSummary:
-    """Read a summary; bytes that are none are an empty one."""
+    """Decode a summary; invalid bytes give an empty one."""
     try:
         wire = _demand_decoder.decode(payload)
         versions = {
-            key: VersionDemand(_dequantize(level), marks >> 1, bool(marks & 1))
-            for key, level, marks in _VERSION.iter_unpack(wire.versions)
+            key: VersionDemand(_dequantize(level), flags >> 1, bool(flags & 1))
+            for key, level, flags in _VERSION.iter_unpack(wire.versions)
         }
     except (msgspec.MsgspecError, struct.error):
         return DemandSummary()
@@ -143,7 +143,7 @@
 
 
 def decode_orders(payload: bytes) -> OrdersSummary:
-    """Read a summary; bytes that are none are an empty one."""
+    """Decode a summary; invalid bytes give an empty one."""
     try:
         return _orders_decoder.decode(payload)
     except msgspec.MsgspecError:
@@ -151,21 +151,21 @@
 
 
 def sum_demand(summaries: Sequence[DemandSummary]) -> DemandSummary:
-    """Sum up what several hosts see."""
+    """Add up the demand of several hosts."""
     total = DemandSummary()
     for summary in summaries:
-        for version, seen in summary.versions.items():
-            known = total.versions.get(version, VersionDemand())
+        for version, demand in summary.versions.items():
+            total_demand = total.versions.get(version, VersionDemand())
             total.versions[version] = VersionDemand(
-                known.concurrent_requests + seen.concurrent_requests,
-                max(known.importance, seen.importance),
-                known.has_sessions or seen.has_sessions,
+                total_demand.concurrent_requests + demand.concurrent_requests,
+                max(total_demand.importance, demand.importance),
+                total_demand.has_sessions or demand.has_sessions,
             )
         for engine, versions in summary.open_requests.items():
             counts = total.open_requests.setdefault(engine, {})
             for name, count in versions.items():
                 counts[name] = counts.get(name, 0) + count
-    # A zone that one host has not told of counts as not applied there.
+    # A revision counts as applied only if every host reports it.
     zones = set.intersection(*(set(s.applied_revisions) for s in summaries)) if summaries else set()
     total.applied_revisions = {
         zone: min(s.applied_revisions[zone] for s in summaries) for zone in sorted(zones)
