--- a/features/steps/leases.py
+++ b/features/steps/leases.py
@@ -14,52 +14,52 @@
 from poplarrun.log import MemoryLog
 
 JOB = "orders"
-TEND_S = 0.5
+ROUND_INTERVAL_S = 0.5
 
 
 class DelayedLog:
-    """An ``AsyncLog`` that takes its time, over one host's way to the log."""
+    """An ``AsyncLog`` with delays, on top of one host's connection to the log."""
 
-    def __init__(self, way):
-        self.way = way
-        self.held = None
+    def __init__(self, connection):
+        self.connection = connection
+        self.held_back = None
 
     async def append(self, stream, data):
         await asyncio.sleep(0.01)
-        if self.held is not None and isinstance(decode_lease_record(data), Renew):
-            self.held.append(data)
+        if self.held_back is not None and isinstance(decode_lease_record(data), Renew):
+            self.held_back.append(data)
             await asyncio.sleep(3)
-        return self.way.append(stream, data)
+        return self.connection.append(stream, data)
 
     async def read(self, stream, from_offset, limit):
         await asyncio.sleep(0.01)
-        return self.way.read(stream, from_offset, limit)
+        return self.connection.read(stream, from_offset, limit)
 
 
 class LeaseHost:
-    """A host that tends its leases, and can be paused."""
+    """A host that runs rounds of its leases and can be paused."""
 
     def __init__(self, context, name):
         self.name = name
-        self.way = ReachableLog(context.log)
-        self.log = DelayedLog(self.way)
+        self.connection = ReachableLog(context.log)
+        self.log = DelayedLog(self.connection)
         self.paused = False
         self.stopped = False
         peers = context.virtual.peers[name]
         metrics = context.virtual.metrics[name]
         source = random.Random(name)
-        self.keeper = LeaseManager(self.log, peers, metrics, source, clock=context.loop.time)
-        self.keeper.campaign_for(JOB)
-        context.loop.create_task(self.tend())
+        self.manager = LeaseManager(self.log, peers, metrics, source, clock=context.loop.time)
+        self.manager.campaign_for(JOB)
+        context.loop.create_task(self.run_rounds())
 
-    async def tend(self):
+    async def run_rounds(self):
         while not self.stopped:
             if not self.paused:
-                await self.keeper.run_round()
-            await asyncio.sleep(TEND_S)
+                await self.manager.run_round()
+            await asyncio.sleep(ROUND_INTERVAL_S)
 
     def find(self):
-        return None if self.stopped or self.paused else self.keeper.find(JOB)
+        return None if self.stopped or self.paused else self.manager.find(JOB)
 
 
 def holders(context):
@@ -71,11 +71,11 @@
     return holders(context)[0]
 
 
-def passing(context, seconds):
+def run_for(context, seconds):
     run(context, asyncio.sleep(seconds))
 
 
-@given('{zones:d} zones of {hosts:d} hosts that stand for the job "{job}"')
+@given('{zones:d} zones of {hosts:d} hosts that campaign for the job "{job}"')
 def step_candidates(context, zones, hosts, job):
     start_fleet(context, zones, hosts)
     wait(context, context.virtual.agree, "the hosts have met", 30)
@@ -89,14 +89,14 @@
     context.fence = context.holder.find().fence
 
 
-@when("the holder leaves in a planned way")
+@when("the holder leaves by a planned stop")
 def step_leaves(context):
-    run(context, context.holder.keeper.release_all())
+    run(context, context.holder.manager.release_all())
     context.holder.stopped = True
     run(context, context.virtual.peers.pop(context.holder.name).leave())
 
 
-@when("the holder dies without a word")
+@when("the holder is killed")
 def step_dies(context):
     context.holder.stopped = True
     context.virtual.kill_host(context.holder.name)
@@ -105,30 +105,30 @@
 @when("the holder is paused for {seconds:d} s")
 def step_paused(context, seconds):
     context.holder.paused = True
-    passing(context, seconds)
+    run_for(context, seconds)
     context.holder.paused = False
-    context.first_look = context.holder.find()
+    context.first_lease = context.holder.find()
 
 
 @when("the lease log is down for {seconds:d} s")
 def step_log_down(context, seconds):
     context.log.down = True
-    passing(context, seconds)
+    run_for(context, seconds)
     context.during = len(holders(context))
     context.log.down = False
 
 
 @when("the holder's renewal is held back while another host takes over")
 def step_held_back(context):
-    context.holder.log.held = []
-    wait(context, lambda: context.holder.log.held, "a renewal", 15)
-    context.holder.way.cut = True
+    context.holder.log.held_back = []
+    wait(context, lambda: context.holder.log.held_back, "a renewal", 15)
+    context.holder.connection.cut = True
     wait(context, lambda: any(h is not context.holder for h in holders(context)), "taken", 40)
 
 
 @when("the renewal that was held back takes effect")
 def step_takes_effect(context):
-    context.log.append(LEASE_STREAM, context.holder.log.held[0])
+    context.log.append(LEASE_STREAM, context.holder.log.held_back[0])
 
 
 @when("the answers to the next {count:d} lease appends are lost")
@@ -138,7 +138,7 @@
 
 @when("{seconds:d} s pass for the leases")
 def step_pass(context, seconds):
-    passing(context, seconds)
+    run_for(context, seconds)
 
 
 @when("retention drops all but {count:d} lease records")
@@ -147,40 +147,40 @@
     context.log.truncate(LEASE_STREAM, end - count)
 
 
-@when("a fresh host joins")
+@when("a new host joins")
 def step_joins(context):
     async def join():
         context.virtual.start_host("a3")
-        context.fresh = context.lease_hosts["a3"] = LeaseHost(context, "a3")
+        context.new_host = context.lease_hosts["a3"] = LeaseHost(context, "a3")
 
     run(context, join())
-    # It reads the stream whether or not its rank makes it a candidate.
-    run(context, context.fresh.keeper._read_to_end())
+    # It must read the stream whether or not its rank makes it a candidate.
+    run(context, context.new_host.manager._read_to_end())
 
 
-def strike(context, source):
+def inject_fault(context, source):
     host = source.choice(list(context.lease_hosts.values()))
     match source.randrange(4):
         case 0:
             host.paused = not host.paused
         case 1:
-            host.way.cut = not host.way.cut
+            host.connection.cut = not host.connection.cut
         case 2:
             context.log.lost_answers = 2
         case 3:
             context.log.down = not context.log.down
 
 
-@when("{count:d} random faults strike with seed {seed:d}")
-def step_random(context, count, seed):
+@when("{count:d} random faults are injected with seed {seed:d}")
+def step_random_faults(context, count, seed):
     source = random.Random(seed)
-    context.most, context.fences = 0, []
+    context.most_holders, context.fences = 0, []
     for _ in range(count):
-        strike(context, source)
+        inject_fault(context, source)
         for _ in range(source.randrange(10, 250)):
-            passing(context, 0.1)
+            run_for(context, 0.1)
             found = holders(context)
-            context.most = max(context.most, len(found))
+            context.most_holders = max(context.most_holders, len(found))
             context.fences += [host.find().fence for host in found]
 
 
@@ -197,9 +197,9 @@
     assert host.find().fence > context.fence
 
 
-@then("the paused host found no lease at its first look")
-def step_first_look(context):
-    assert context.first_look is None
+@then("the paused host found no lease when it resumed")
+def step_first_lease(context):
+    assert context.first_lease is None
 
 
 @then("nobody holds the job")
@@ -212,17 +212,17 @@
     assert len(holders(context)) == 1, holders(context)
 
 
-@then("the fresh host knows the holder")
+@then("the new host knows the holder")
 def step_knows(context):
     (host,) = holders(context)
-    assert context.fresh.keeper.table.jobs[JOB].holder.startswith(f"{host.name}/")
+    assert context.new_host.manager.table.jobs[JOB].holder.startswith(f"{host.name}/")
 
 
 @then("at no moment did two hosts hold the job")
 def step_never_two(context):
-    assert context.most == 1, context.most
+    assert context.most_holders == 1, context.most_holders
 
 
-@then("the fencing numbers never fell")
+@then("the fencing numbers never decreased")
 def step_never_fell(context):
     assert context.fences == sorted(context.fences)
--- a/poplarrun/leases/__init__.py
+++ b/poplarrun/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases for jobs that one host does at a time, from records of the log."""
+"""Leases for jobs that one host does at a time, decided by records of the log."""
 
 from poplarrun.leases._manager import Lease, LeaseManager
 from poplarrun.leases._records import (
--- a/poplarrun/leases/_manager.py
+++ b/poplarrun/leases/_manager.py
@@ -1,4 +1,4 @@
-"""One host's side of the leases: campaigning, renewing, and knowing in time when one lapsed."""
+"""Leases of one host: it campaigns for jobs, renews its leases and detects their expiry in time."""
 
 import random
 import time
@@ -28,13 +28,13 @@
 from poplarrun.rendezvous import rank_hosts
 
 DEFAULT_LEASE_DURATION_S = 10.0
-# A lease is renewed when this share of it has passed.
+# A lease is renewed when this fraction of its duration has passed.
 RENEW_AFTER_FRACTION = 0.4
-# Two hosts' clocks run at rates that differ by less than this.
+# Bound on the difference between the rates of two hosts' clocks.
 MAX_CLOCK_DRIFT_FRACTION = 0.05
-# Others wait so much longer than the lease, over and above the drift.
+# Time that other hosts wait after the expiry of a lease, in addition to the clock drift.
 TAKEOVER_GRACE_S = 0.5
-# So many hosts, of different zones first, are ready to take a job.
+# Number of hosts that may acquire a job, from as many different zones as possible.
 MAX_CANDIDATES = 3
 RANK_DELAY_S = 1.0
 READ_PAGE_SIZE = 500
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A job that this host may do, until a moment of its own clock.
+    """A job that this host may do until a time on its own clock.
 
     Attributes
     ----------
     fence : int
-        Fencing number: goes with every order, and rises with every holder.
+        Fencing number: sent with every order, and increases with each new holder.
     valid_until : float
-        Seconds on the holder's clock.
+        Time of expiry on the holder's clock, in seconds.
     """
 
     job: str
@@ -61,19 +61,18 @@
 
 @dataclass(slots=True)
 class _LastRecord:
-    """When this host first read a job's last record."""
+    """Offset of a job's last record, and when this host first read it."""
 
     offset: int
     first_read_at: float
 
 
 class LeaseManager:
-    """The leases of one host.
+    """Manages the leases of one host.
 
-    The holder counts a lease from the moment before it sent the record; the
-    others count from the moment after they read it, and longer. So, as long as
-    clocks run at about one rate, a lease has lapsed for its holder before
-    anyone takes it over, however slow the log is.
+    The holder counts a lease from just before it sent the record, the others from just after they
+    read it, and for longer. As long as clocks run at about the same rate, a lease has therefore
+    expired for its holder before another host takes the job over, however slow the log is.
 
     Parameters
     ----------
@@ -81,6 +80,8 @@
         The platform's log.
     peers : Peers
         The other hosts.
+    rng : random.Random
+        Random source.
     clock : callable
         Seconds; must go on while the process is paused.
     """
@@ -114,7 +115,7 @@
     def campaign_for(
         self, job: str, duration_s: float = DEFAULT_LEASE_DURATION_S, zone: str | None = None
     ) -> None:
-        """Stand for a job from now on; with a zone, only that zone's hosts are candidates."""
+        """Campaign for a job from now on; with a zone, only that zone's hosts are candidates."""
         self._campaigns[job] = min(duration_s, MAX_LEASE_DURATION_S)
         if zone is not None:
             self._zone_of[job] = zone
@@ -122,20 +123,20 @@
     def find(self, job: str) -> Lease | None:
         """Return the lease of a job if this host holds it at this moment.
 
-        Ask in the same step of the loop that sends the order. A holder that
-        was paused gets None here, because its clock went on, and so finds out
-        before it acts. An order already on its way is up to the fencing number.
+        Call this in the same step of the event loop that sends the order. A holder that was paused
+        gets None, because its clock went on, and so finds out before it acts. Against an order that
+        is already in transit only the fencing number helps.
         """
-        held = self.table.jobs.get(job)
-        if held is None or held.released or held.holder != self._holder:
+        state = self.table.jobs.get(job)
+        if state is None or state.released or state.holder != self._holder:
             return None
         valid_until = self._valid_until.get(job, 0.0)
         if self._clock() >= valid_until:
             return None
-        return Lease(job, held.fence, valid_until)
+        return Lease(job, state.fence, valid_until)
 
     async def run_round(self) -> None:
-        """Do one round: read, renew, take what is free, keep the stream short."""
+        """Run one round: read the stream, renew leases, acquire free jobs, write due snapshots."""
         if self._is_stopping or not self._reads_stream():
             return
         if not await self._read_to_end():
@@ -150,7 +151,7 @@
         await self._read_to_end()
 
     async def release_all(self) -> None:
-        """Hand every job over, as part of a planned stop."""
+        """Release all leases, as part of a planned stop."""
         self._is_stopping = True
         for job in list(self._campaigns):
             lease = self.find(job)
@@ -180,35 +181,35 @@
     def _next_record(self, job: str, now: float) -> LeaseRecord | None:
         if not self.table.is_complete:
             return None
-        held = self.table.jobs.get(job)
+        state = self.table.jobs.get(job)
         record_id = uuid.uuid4().hex
-        if held is not None and not held.released and held.holder == self._holder:
-            left_s = self._valid_until.get(job, 0.0) - now
-            if left_s > held.duration_s * (1 - RENEW_AFTER_FRACTION):
+        if state is not None and not state.released and state.holder == self._holder:
+            remaining_s = self._valid_until.get(job, 0.0) - now
+            if remaining_s > state.duration_s * (1 - RENEW_AFTER_FRACTION):
                 return None
-            return Renew(record_id, job, self._holder, held.last)
-        if not self._may_acquire(job, held, now):
+            return Renew(record_id, job, self._holder, state.last)
+        if not self._may_acquire(job, state, now):
             return None
-        last = NO_OFFSET if held is None else held.last
+        last = NO_OFFSET if state is None else state.last
         return Acquire(record_id, job, self._holder, self._campaigns[job], last)
 
-    def _may_acquire(self, job: str, held: JobState | None, now: float) -> bool:
+    def _may_acquire(self, job: str, state: JobState | None, now: float) -> bool:
         rank = self._rank(job)
         if rank is None:
             return False
-        seen = self._last_records.get(job)
-        waits_s = rank * RANK_DELAY_S
-        if held is not None and not held.released:
-            waits_s += held.duration_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + TAKEOVER_GRACE_S
-        elif held is None and self.table.snapshot_at >= 0:
-            # A snapshot without the job may stem from a host that missed
-            # records: whoever held the job then may still do so.
-            waits_s += MAX_LEASE_DURATION_S * (1 + MAX_CLOCK_DRIFT_FRACTION)
-        since = self._first_read_at if seen is None else seen.first_read_at
-        return since is not None and now - since >= waits_s
+        last_record = self._last_records.get(job)
+        wait_s = rank * RANK_DELAY_S
+        if state is not None and not state.released:
+            wait_s += state.duration_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + TAKEOVER_GRACE_S
+        elif state is None and self.table.snapshot_at >= 0:
+            # A snapshot without the job may come from a host that missed records: whoever held the
+            # job then may still hold it.
+            wait_s += MAX_LEASE_DURATION_S * (1 + MAX_CLOCK_DRIFT_FRACTION)
+        since = self._first_read_at if last_record is None else last_record.first_read_at
+        return since is not None and now - since >= wait_s
 
     async def _read_to_end(self) -> bool:
-        """Read to the end of the stream; False when the log did not answer."""
+        """Read to the end of the stream; False if the log didn't answer."""
         while True:
             match await self._log.read(LEASE_STREAM, self.table.read_to + 1, READ_PAGE_SIZE):
                 case ReadFailed():
@@ -234,38 +235,38 @@
         match outcome:
             case Applied(record=LeaseSnapshot(jobs=jobs)):
                 self._incomplete_since = None
-                for job, held in jobs.items():
-                    self._record_last(job, held)
+                for job, state in jobs.items():
+                    self._record_last(job, state)
             case Applied(record=record):
                 assert not isinstance(record, LeaseSnapshot)
-                held = self.table.jobs[record.job]
-                self._record_last(record.job, held)
-                self._update_validity(record, held)
+                state = self.table.jobs[record.job]
+                self._record_last(record.job, state)
+                self._update_validity(record, state)
             case _:
                 self._metrics.count_event("lease_record_void")
 
-    def _record_last(self, job: str, held: JobState) -> None:
-        seen = self._last_records.get(job)
-        if seen is None or seen.offset != held.last:
-            self._last_records[job] = _LastRecord(held.last, self._clock())
+    def _record_last(self, job: str, state: JobState) -> None:
+        last_record = self._last_records.get(job)
+        if last_record is None or last_record.offset != state.last:
+            self._last_records[job] = _LastRecord(state.last, self._clock())
 
-    def _update_validity(self, record: Acquire | Renew | Release, held: JobState) -> None:
+    def _update_validity(self, record: Acquire | Renew | Release, state: JobState) -> None:
         sent_at = self._sent_at.pop(record.id, None)
-        if held.holder != self._holder:
+        if state.holder != self._holder:
             self._valid_until.pop(record.job, None)
-        elif sent_at is not None and not held.released:
-            duration_s = held.duration_s * (1 - MAX_CLOCK_DRIFT_FRACTION)
+        elif sent_at is not None and not state.released:
+            duration_s = state.duration_s * (1 - MAX_CLOCK_DRIFT_FRACTION)
             self._valid_until[record.job] = sent_at + duration_s
 
     async def _append(self, record: LeaseRecord) -> None:
-        """Append a record; its effect is what the fold says, whatever the answer was."""
+        """Append a record; its effect is decided by the fold, whatever the append's answer is."""
         if len(self._sent_at) > len(self._campaigns) * SNAPSHOT_INTERVAL_RECORDS:
             self._sent_at.clear()
         self._sent_at[record.id] = self._clock()
         await self._log.append(LEASE_STREAM, encode_lease_record(record))
 
     async def _write_snapshot_if_due(self) -> None:
-        """Write the table into the stream before retention drops what it follows from."""
+        """Write a snapshot before retention drops the records that it is based on."""
         now = self._clock()
         if now - self._snapshot_tried_at < SNAPSHOT_RETRY_INTERVAL_S or not self._is_snapshot_due(
             now
@@ -277,8 +278,8 @@
 
     def _is_snapshot_due(self, now: float) -> bool:
         if self._incomplete_since is not None:
-            # Nobody who knows the table wrote it for a whole longest lease:
-            # every lease has lapsed, and the jobs start anew from nothing.
+            # No host that knows the table wrote it for a maximum lease duration. So every lease has
+            # expired, and the jobs start from an empty table.
             return now - self._incomplete_since > MAX_LEASE_DURATION_S * (
                 1 + MAX_CLOCK_DRIFT_FRACTION
             )
@@ -286,15 +287,15 @@
             return False
         if self.table.read_to - self.table.snapshot_at >= SNAPSHOT_INTERVAL_RECORDS:
             return True
-        kept = self._end - self._horizon
-        return self._horizon > 0 and self.table.snapshot_at - self._horizon < kept / 2
+        retained = self._end - self._horizon
+        return self._horizon > 0 and self.table.snapshot_at - self._horizon < retained / 2
 
 
 def _spread_zones(ranked: list[Peer]) -> list[Peer]:
-    """Put the first host of each zone before the second ones, so that one cut spares some."""
-    seen: dict[str, int] = {}
+    """Sort the first host of each zone first, so that candidates remain if a zone is isolated."""
+    counts: dict[str, int] = {}
     keyed: list[tuple[int, Peer]] = []
     for peer in ranked:
-        keyed.append((seen.get(peer.zone, 0), peer))
-        seen[peer.zone] = seen.get(peer.zone, 0) + 1
+        keyed.append((counts.get(peer.zone, 0), peer))
+        counts[peer.zone] = counts.get(peer.zone, 0) + 1
     return [peer for _, peer in sorted(keyed, key=lambda pair: pair[0])]
--- a/poplarrun/leases/_records.py
+++ b/poplarrun/leases/_records.py
@@ -1,4 +1,4 @@
-"""Records of the lease stream and their fold: who holds each job, the same at every host."""
+"""Records of the lease stream and their fold, which gives the same holders on every host."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -8,21 +8,21 @@
 from poplarrun.log import Entry, Gap
 
 LEASE_STREAM = "leases"
-# No lease lasts longer, so after this time of reading nothing every lease has lapsed.
+# Bound on the duration of a lease: once no record was read for this long, every lease has expired.
 MAX_LEASE_DURATION_S = 60.0
 NO_OFFSET = -1
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="acquire"):
-    """Takes a job that is free, or whose lease lapsed.
+    """Acquires a job that is free, or whose lease expired.
 
     Attributes
     ----------
     holder : str
         The host and its incarnation.
     over : int
-        Offset of the job's last record that the taker saw; -1 for none. A
-        renewal that came between makes this record void.
+        Offset of the job's last record that the writer has read; -1 for none. If a renewal came in
+        between, this record is void.
     """
 
     id: str
@@ -33,7 +33,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, tag="renew"):
-    """Prolongs a lease; void unless ``over`` is still the job's last record."""
+    """Renews a lease; void unless ``over`` is still the job's last record."""
 
     id: str
     job: str
@@ -42,7 +42,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """Gives a job back, so that the next holder need not wait."""
+    """Releases a job, so that the next holder need not wait for the lease to expire."""
 
     id: str
     job: str
@@ -56,7 +56,7 @@
     Attributes
     ----------
     fence : int
-        Offset at which the holder took the job: its fencing number.
+        Fencing number: the offset at which the holder acquired the job.
     last : int
         Offset of the job's last accepted record.
     """
@@ -69,7 +69,7 @@
 
 
 class LeaseSnapshot(msgspec.Struct, frozen=True, tag="leases"):
-    """All jobs' states; counts only where it directly follows ``read_to``."""
+    """State of all jobs; valid only directly after the record at ``read_to``."""
 
     id: str
     read_to: int
@@ -82,12 +82,12 @@
 
 
 def encode_lease_record(record: LeaseRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a record."""
     return msgspec.json.encode(record)
 
 
 def decode_lease_record(data: bytes) -> LeaseRecord | None:
-    """Read the bytes of a record; None when they are none."""
+    """Decode a record; None if the bytes are invalid."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -102,12 +102,12 @@
     ----------
     read_to : int
         Offset of the last record that was folded.
-    jobs : mapping of job to Held
-        Each job's state.
-    anchored : bool
-        False after records were missed: only a snapshot counts then.
+    jobs : mapping of job to JobState
+        State of each job.
+    is_complete : bool
+        False after records were missed: only a snapshot is accepted then.
     snapshot_at : int
-        Offset of the last snapshot that counted.
+        Offset of the last accepted snapshot.
     """
 
     read_to: int = -1
@@ -133,9 +133,9 @@
 def fold_lease_entry(table: LeaseTable, entry: Entry) -> tuple[LeaseTable, Applied | Void]:
     """Apply one record of the stream.
 
-    No clock enters: a record names the last record that its writer saw, and
-    counts only if that is still the last one of the job. So of a renewal and
-    a take-over that race, the first in the log wins, at every host alike.
+    No clock is involved: a record names the last record that its writer has read, and is accepted
+    only if that is still the job's last one. If a renewal and a takeover race, the first in the log
+    wins on every host.
     """
     if entry.offset <= table.read_to:
         return table, Void("already folded")
@@ -146,36 +146,38 @@
             return table, Void("not a lease record")
         case LeaseSnapshot(read_to=read_to, jobs=jobs):
             if read_to != entry.offset - 1:
-                return table, Void("a snapshot that does not follow directly")
+                return table, Void(
+                    "the snapshot does not directly follow the records that it covers"
+                )
             return LeaseTable(entry.offset, jobs, True, entry.offset), Applied(record)
     if not table.is_complete:
-        return table, Void("records before it are gone and no snapshot was read yet")
-    held = table.jobs.get(record.job)
-    if record.over != (NO_OFFSET if held is None else held.last):
-        return table, Void("another record came before it")
-    after = _apply(record, held, entry.offset)
+        return table, Void("earlier records are missing and no snapshot has been read since")
+    state = table.jobs.get(record.job)
+    if record.over != (NO_OFFSET if state is None else state.last):
+        return table, Void("the job has a later record than the one that this record names")
+    after = _apply(record, state, entry.offset)
     if after is None:
         return table, Void("another host holds the job")
     return replace(table, jobs={**table.jobs, record.job: after}), Applied(record)
 
 
 def fold_lease_gap(table: LeaseTable, gap: Gap) -> LeaseTable:
-    """Go on behind records that are gone; a snapshot tells who holds what."""
+    """Skip records that are gone; a snapshot is needed to know the holders again."""
     return replace(table, read_to=max(table.read_to, gap.horizon - 1), is_complete=False)
 
 
 def _apply(
-    record: Acquire | Renew | Release, held: JobState | None, offset: int
+    record: Acquire | Renew | Release, state: JobState | None, offset: int
 ) -> JobState | None:
     match record:
         case Acquire():
             duration_s = min(record.duration_s, MAX_LEASE_DURATION_S)
             return JobState(record.holder, offset, offset, duration_s)
-        case Renew() | Release() if held is None or held.holder != record.holder:
+        case Renew() | Release() if state is None or state.holder != record.holder:
             return None
-        case Renew() if held.released:
+        case Renew() if state.released:
             return None
         case Renew():
-            return JobState(held.holder, held.fence, offset, held.duration_s)
+            return JobState(state.holder, state.fence, offset, state.duration_s)
         case Release():
-            return JobState(held.holder, held.fence, offset, held.duration_s, True)
+            return JobState(state.holder, state.fence, offset, state.duration_s, True)
