--- a/features/histories.feature
+++ b/features/histories.feature
@@ -1,10 +1,10 @@
-Feature: Histories of concurrent runs keep every rule
+Feature: Histories of concurrent runs satisfy every rule
 
-  Scenario Outline: The checker finds a bad history
-    # The checker is worth nothing if it passes everything: each rule gets a
-    # history that breaks it, and a good one beside it that breaks none.
-    Given a good history of one operation
-    When it is spoilt by <fault>
+  Scenario Outline: The checker rejects invalid histories
+    # Guards against a checker that accepts everything: each rule gets a history that
+    # breaks it, and a valid history must break none.
+    Given a valid history of one operation
+    When it is modified with <fault>
     Then the violations are "<rules>"
 
     Examples:
@@ -26,12 +26,12 @@
       | a last word without an effect     | what is told as ran has run                        |
 
   Scenario Outline: Seeded schedules of faults
-    # Six hosts in three zones take operations whose callers repeat at any host,
-    # also at two at once, while hosts are killed and stopped at each step, the
-    # log fails in every way, and zones are cut off. Time is virtual.
+    # Six hosts in three zones get operations whose callers repeat them at any host,
+    # also at two at the same time, while hosts are killed and stopped at each step, the
+    # log fails in every way, and zones are isolated. Time is simulated.
     When schedules <first> to <last> are run
     Then no rule is broken
-    And at least <faults> kinds of fault struck
+    And at least <faults> kinds of faults were injected
 
     Examples:
       | first | last | faults |
@@ -42,17 +42,17 @@
     When schedule 7 is run twice
     Then both histories are equal
 
-  Scenario: A seed gives the same run each time
-    # A violation that can't be run again can't be found. Seed 10 has stops and
-    # refusing services, whose retries once waited by a source without a seed.
+  Scenario: A seed reproduces its run
+    # A violation that can't be reproduced can't be debugged. Seed 10 has stops and
+    # refusing services, whose retry delays once came from an unseeded random source.
     When the schedules of seeds 2, 8 and 10 run twice each
     Then both runs of each have the same history
 
-  Scenario Outline: The checker finds a bad history of chats
-    # As above, for the rules of chats. The good history has a session of two
-    # requests, a cascade whose two answers are on one bill, and a refusal.
-    Given a good history of chats
-    When the chats are spoilt by <fault>
+  Scenario Outline: The checker rejects invalid histories of chats
+    # As above, for the rules of chats. The valid history has a session of two requests,
+    # a cascade whose two answers are on one bill, and a refusal.
+    Given a valid history of chats
+    When the chats are modified with <fault>
     Then the violations of the chats are "<rules>"
 
     Examples:
@@ -65,7 +65,7 @@
       | a withdrawal that comes late           | a withdrawal is in force soon         |
       | a withdrawal late out of reach         | none                                  |
       | a session that moves                   | a session keeps its version           |
-      | a session that moves, a home silent    | none                                  |
+      | a session that moves, an owner silent  | none                                  |
       | a session that moves, too early silent | a session keeps its version           |
       | a token not kept to                    | a token's version is kept             |
       | an answer cut short                    | a clean end is of a whole answer      |
@@ -86,16 +86,16 @@
       | a message that failed                  | every message is answered             |
 
   Scenario Outline: Seeded schedules of chats
-    # Callers open sessions at any host, also at two at once, and go on in them
-    # anywhere, while hosts, log, zones and engines fail and operators withdraw
-    # versions and narrow what an account may use. Without its mending each fault
-    # that they once found shows again: on seed 10 (an account that waited for its
-    # session's homes left what it had been allowed to all later requests), on 10
-    # and 51 (a cascade's second step on a version taken meanwhile), on 8 and 159
-    # (a cascade refused as "not run" after its first step ran).
+    # Callers open sessions at any host, also at two at the same time, and continue them
+    # anywhere, while hosts, log, zones and engines fail and operators withdraw versions
+    # and restrict what an account may use. The seeds reproduce these faults if they are
+    # not fixed: on seed 10 (an account that waited for its session's owners left its
+    # allowed versions to all later requests), on 10 and 51 (the second step of a
+    # cascade ran on a version no longer allowed), on 8 and 159 (a cascade was refused
+    # as "not run" after its first step ran).
     When the schedules of chats <seeds> are run
     Then no rule of chats is broken
-    And at least <faults> kinds of fault struck
+    And at least <faults> kinds of faults were injected
 
     Examples:
       | seeds                  | faults |
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -20,11 +20,11 @@
 from poplarrun.log import MemoryLog, PartCollector, ThreadedLog, call_here, split_snapshot
 from standins.histories import run_virtual
 
-START = 1_000_000.0
+START_S = 1_000_000.0
 DAYS_S = 3 * 86400.0
 HOURS_S = 7 * 3600.0
-# Repeats come within this many records, less than the fold remembers.
-LATELY = 500
+# Repeats come within this many records, fewer than the fold remembers.
+RECENT_RECORDS = 500
 
 
 def set_part_bytes(context, size):
@@ -33,21 +33,21 @@
 
 
 def make_writer(context, name="a1"):
-    """Return a writer that sees no other host, so every shard is its own."""
+    """Return a writer that sees no other host, and therefore owns every shard."""
     peers = MemoryPeers(MemoryNetwork(), Peer(name, "a", "r", 1))
     return BillSnapshots(
         peers, ThreadedLog(context.bill_log, call_here), lambda: context.wall, lambda: context.wall
     )
 
 
-def begin(context):
+def start_log(context):
     set_part_bytes(context, 500)
     context.bill_log = MemoryLog()
-    context.wall = START
+    context.wall = START_S
     context.bills = []
 
 
-def bill_of(number, at):
+def make_bill(number, at):
     return Bill(f"r{number}", "shop", f"larch:{number % 3}", 0.1 * number, at)
 
 
@@ -56,18 +56,18 @@
     context.bill_log.append(stream_of(0), encode_bills([bill]))
 
 
-def entries_of(context):
+def read_entries(context):
     return context.bill_log.read(stream_of(0), 0, 10**6).entries
 
 
-def whole_snapshots(context):
+def list_complete_snapshots(context):
     collector = PartCollector()
-    found = (collector.add(entry) for entry in entries_of(context))
+    found = (collector.add(entry) for entry in read_entries(context))
     return [whole for whole in found if whole is not None]
 
 
 def read_now(context):
-    return read_statement(context.bill_log, "shop", START)
+    return read_statement(context.bill_log, "shop", START_S)
 
 
 @given(
@@ -75,34 +75,34 @@
     "with seed {seed:d}"
 )
 def step_bills_over_days(context, count, seed):
-    begin(context)
+    start_log(context)
     source = random.Random(seed)
     writer = make_writer(context)
     for number in range(count):
-        bill = bill_of(number, START + number * DAYS_S / count)
+        bill = make_bill(number, START_S + number * DAYS_S / count)
         if source.random() < 0.2:
             append(context, Bill(bill.id, "shop", "begun", 0.01, bill.at, is_final=False))
         append(context, bill)
         if source.random() < 0.3:
-            append(context, source.choice(context.bills[-LATELY:]))
+            append(context, source.choice(context.bills[-RECENT_RECORDS:]))
         if number % (count // 5) == count // 10:
             context.wall += HOURS_S
             run_virtual(writer.write_due_snapshots())
     fold = BillFold()
-    for entry in entries_of(context):
+    for entry in read_entries(context):
         fold.fold(entry)
     assert abs(read_now(context).total - sum(b.amount for b in fold.list_bills())) < 1e-3
 
 
 @given("two hosts that write snapshots of a busy stream at once")
 def step_two_writers(context):
-    begin(context)
+    start_log(context)
     for number in range(200):
-        append(context, bill_of(number, START + number))
+        append(context, make_bill(number, START_S + number))
 
     async def add_bills():
         for number in range(200, 300):
-            append(context, bill_of(number, START + number))
+            append(context, make_bill(number, START_S + number))
             await asyncio.sleep(0.03)
 
     async def run():
@@ -110,22 +110,22 @@
         await asyncio.gather(add_bills(), *(writer.write_due_snapshots() for writer in writers))
 
     run_virtual(run())
-    parts = [part for part in map(parts_module._read_part, entries_of(context)) if part]
+    parts = [part for part in map(parts_module._read_part, read_entries(context)) if part]
     changes = sum(one.snapshot != other.snapshot for one, other in itertools.pairwise(parts))
-    assert changes > 5 and len(whole_snapshots(context)) == 2, changes
+    assert changes > 5 and len(list_complete_snapshots(context)) == 2, changes
 
 
 @given("a snapshot in parts of which the last is missing, with {before} before it")
 def step_interrupted(context, before):
-    begin(context)
+    start_log(context)
     for number in range(100):
-        append(context, bill_of(number, START + number))
+        append(context, make_bill(number, START_S + number))
     if before != "none":
         run_virtual(make_writer(context).write_due_snapshots())
     totals = BillTotals()
-    for entry in entries_of(context):
+    for entry in read_entries(context):
         totals.fold(entry)
-    whole = totals.take_snapshot(START)
+    whole = totals.take_snapshot(START_S)
     context.covered = whole.through
     *parts, _ = split_snapshot(whole)
     assert parts
@@ -133,19 +133,19 @@
         context.bill_log.append(stream_of(0), part)
 
 
-@given("a bill that reaches the log a day after it was made")
+@given("a bill that reaches the log a day after its request")
 def step_late_bill(context):
-    begin(context)
+    start_log(context)
     for number in range(5000):
-        append(context, Bill(f"r{number}", "shop", "larch:1", 0.1, START + 20.0 * number))
-    append(context, Bill("late", "shop", "larch:1", 0.1, START))
+        append(context, Bill(f"r{number}", "shop", "larch:1", 0.1, START_S + 20.0 * number))
+    append(context, Bill("late", "shop", "larch:1", 0.1, START_S))
 
 
 @when("the log drops all records that the snapshots cover")
 @when("the log drops the records before it")
 def step_drop(context):
     context.before = read_now(context)
-    snapshots = whole_snapshots(context)
+    snapshots = list_complete_snapshots(context)
     through = snapshots[-1].through if snapshots else context.covered
     context.bill_log.truncate(stream_of(0), through + 1)
 
@@ -160,9 +160,9 @@
 @then("bills that are appended again change nothing")
 def step_again(context):
     context.before = read_now(context)
-    dropped = entries_of(context)[0].offset
+    dropped = read_entries(context)[0].offset
     assert dropped > 0
-    for bill in context.bills[-LATELY:]:
+    for bill in context.bills[-RECENT_RECORDS:]:
         context.bill_log.append(stream_of(0), encode_bills([bill]))
     after = read_now(context)
     assert after.lines == context.before.lines, after
@@ -174,39 +174,41 @@
     assert read_now(context).missing_below[0] == context.covered + 1
 
 
-@then("it shows {count:d} late bill apart")
+@then("it lists {count:d} late bill separately")
 def step_late_apart(context, count):
     assert [line.count for line in read_now(context).late] == [count]
 
 
-async def bill_while_finishers_die(context, names):
-    """Cut off a host with a bill, then all that finish it, in the order of their names."""
+async def bill_while_hosts_are_isolated(context, names):
+    """Isolate a host with a bill, then each host that takes it over, in the order of names."""
     loop = asyncio.get_running_loop()
     network = MemoryNetwork()
     log = ThreadedLog(context.bill_log, call_here)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
-    keepers = [BillReplicator(p, log, loop.time, loop.time) for p in peers]
-    # The log takes what each host appends, and its answers are lost; then it is gone.
+    replicators = [BillReplicator(p, log, loop.time, loop.time) for p in peers]
+    # The log stores what each host appends, but its answers are lost; then the host is isolated.
     context.bill_log.lost_answers = 10**6
-    await keepers[0].replicate(bill_of(1, START))
-    for gone in range(1, len(names)):
-        network.cut(names[:gone], names[gone:])
+    await replicators[0].replicate(make_bill(1, START_S))
+    for isolated_count in range(1, len(names)):
+        network.cut(names[:isolated_count], names[isolated_count:])
         for _ in range(4):
-            await asyncio.gather(*(keeper.run_round() for keeper in keepers[gone:]))
+            await asyncio.gather(
+                *(replicator.run_round() for replicator in replicators[isolated_count:])
+            )
             await asyncio.sleep(1.0)
 
 
-@given("a host and the peers that finish its bill die one after the other")
+@given("a host and the peers that take its bill over die one after another")
 def step_finishers_die(context):
     context.chains = []
     for number in range(8):
-        begin(context)
+        start_log(context)
         names = [f"{zone}{number}" for zone in "abcde"]
-        run_virtual(bill_while_finishers_die(context, names))
+        run_virtual(bill_while_hosts_are_isolated(context, names))
         context.chains.append(context.bill_log)
 
 
-@then("all copies of the bill stand in one stream")
+@then("all copies of the bill are in one stream")
 def step_one_stream(context):
     for log in context.chains:
         ends = [log.read(stream_of(shard), 0, 1).end for shard in range(SHARDS)]
--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-import poplarrun.billing._replicator as keeper_module
+import poplarrun.billing._replicator as replicator_module
 from poplarrun.billing import (
     SHARDS,
     Bill,
@@ -22,7 +22,7 @@
 DAY_S = 86400.0
 
 
-def bill_of(text, account="shop", at=NOW):
+def parse_bill(text, account="shop", at=NOW):
     name, amount, *is_open = text.split()
     return Bill(name, account, "larch:1", float(amount), at, is_final=not is_open)
 
@@ -31,23 +31,23 @@
 def step_bills(context, text):
     context.bill_log = MemoryLog()
     for part in text.split(", "):
-        context.bill_log.append(stream_of(0), encode_bills([bill_of(part)]))
+        context.bill_log.append(stream_of(0), encode_bills([parse_bill(part)]))
 
 
 @given("the log holds bills of another account")
 def step_other_account(context):
-    context.bill_log.append(stream_of(0), encode_bills([bill_of("r7 9.0", "other")]))
+    context.bill_log.append(stream_of(0), encode_bills([parse_bill("r7 9.0", "other")]))
 
 
 @given("the log holds bills of long ago")
 def step_long_ago(context):
-    context.bill_log.append(stream_of(0), encode_bills([bill_of("r8 9.0", at=10.0)]))
+    context.bill_log.append(stream_of(0), encode_bills([parse_bill("r8 9.0", at=10.0)]))
 
 
 @given("{count:d} random bills in two logs, in different orders, with seed {seed:d}")
 def step_two_logs(context, count, seed):
     source = random.Random(seed)
-    bills = [bill_of(f"r{number} {source.random()}") for number in range(count)]
+    bills = [parse_bill(f"r{number} {source.random()}") for number in range(count)]
     context.bill_logs = (MemoryLog(), MemoryLog())
     for log in context.bill_logs:
         source.shuffle(bills)
@@ -73,38 +73,40 @@
     loop = asyncio.get_running_loop()
     log = ThreadedLog(context.bill_log, call_here)
     network = MemoryNetwork()
-    keepers = [
+    replicators = [
         BillReplicator(
             MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time
         )
         for zone in "abc"
     ]
 
-    async def tend_all(times):
+    async def run_rounds(times):
         for _ in range(times):
-            for keeper in keepers:
-                await keeper.run_round()
+            for replicator in replicators:
+                await replicator.run_round()
             await asyncio.sleep(1.0)
 
     context.bill_log.down = True
     for second in range(seconds):
         for number in range(per_s):
             bill = Bill(f"r{second}-{number}", "shop", "larch:1", 0.1)
-            await keepers[second % 3].replicate(bill)
-        await tend_all(1)
-    context.held_in_outage = max(keeper.size for keeper in keepers)
+            await replicators[second % 3].replicate(bill)
+        await run_rounds(1)
+    context.held_during_outage = max(replicator.size for replicator in replicators)
     context.bill_log.down = False
-    await tend_all(10)
-    context.held_after = [keeper.size for keeper in keepers]
+    await run_rounds(10)
+    context.held_after = [replicator.size for replicator in replicators]
 
 
-@given("three hosts bill {per_s:d} requests a second while the log is out for {hours:d} hour")
+@given(
+    "three hosts bill {per_s:d} requests a second while the log is unavailable for {hours:d} hour"
+)
 def step_outage(context, per_s, hours):
     context.bill_log = MemoryLog()
     context.outage = (per_s, hours * 3600)
 
 
-@when("the log answers again")
+@when("the log is available again")
 def step_log_answers(context):
     run_virtual(bill_through_outage(context, *context.outage))
 
@@ -121,7 +123,7 @@
         fold.fold(entry)
     assert len(fold.list_bills()) == count
     assert sum(len(decode_bills(entry.data)) for entry in entries) == count
-    assert context.held_in_outage == count, context.held_in_outage
+    assert context.held_during_outage == count, context.held_during_outage
 
 
 @then("no host holds a bill after {seconds:d} s")
@@ -129,33 +131,33 @@
     assert context.held_after == [0, 0, 0], context.held_after
 
 
-@given("a host that holds as many bills as it may")
+@given("a host that holds as many bills as allowed")
 def step_full_host(context):
     async def fill():
         loop = asyncio.get_running_loop()
         network = MemoryNetwork()
         log = ThreadedLog(MemoryLog(), call_here)
-        keepers = [
+        replicators = [
             BillReplicator(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
             for name in ("a1", "a2")
         ]
         for number in range(context.bound):
-            keepers[0].open_bill(Bill(f"r{number}", "shop", "larch:1", 0.1))
-        context.full_keeper = keepers[0]
-        context.copies = await keepers[1]._send("a1", [Bill("x", "shop", "larch:1", 0.1)], [])
+            replicators[0].open_bill(Bill(f"r{number}", "shop", "larch:1", 0.1))
+        context.full_replicator = replicators[0]
+        context.copies = await replicators[1]._send("a1", [Bill("x", "shop", "larch:1", 0.1)], [])
 
     context.bound = 50
-    old_bound, keeper_module.MAX_BILLS = keeper_module.MAX_BILLS, context.bound
-    context.add_cleanup(setattr, keeper_module, "MAX_BILLS", old_bound)
+    old_bound, replicator_module.MAX_BILLS = replicator_module.MAX_BILLS, context.bound
+    context.add_cleanup(setattr, replicator_module, "MAX_BILLS", old_bound)
     run_virtual(fill())
 
 
-@then("it is full")
+@then("it accepts no more bills")
 def step_is_full(context):
-    assert context.full_keeper.is_full
+    assert context.full_replicator.is_full
 
 
-@then("it keeps no copies for others")
+@then("it accepts no copies from peers")
 def step_no_copies(context):
     assert context.copies is False
-    assert context.full_keeper.size == context.bound
+    assert context.full_replicator.size == context.bound
--- a/features/steps/histories.py
+++ b/features/steps/histories.py
@@ -17,7 +17,7 @@
 RAN = AnswerKind.RAN
 
 
-@given("a good history of one operation")
+@given("a valid history of one operation")
 def step_good(context):
     context.history = History(
         invokes=[Invoke(0.0, "r1", "k", "a1"), Invoke(0.0, "r2", "k", "b1")],
@@ -29,7 +29,7 @@
     )
 
 
-@when("it is spoilt by {fault}")
+@when("it is modified with {fault}")
 def step_spoil(context, fault):
     history = context.history
     match fault:
@@ -85,7 +85,7 @@
     assert not broken, broken
 
 
-@then("at least {count:d} kinds of fault struck")
+@then("at least {count:d} kinds of faults were injected")
 def step_struck(context, count):
     injected = sum((result.injected for result in context.results), Counter())
     kinds = [kind for kind, times in injected.items() if times]
--- a/features/steps/histories_chats.py
+++ b/features/steps/histories_chats.py
@@ -31,7 +31,7 @@
     return ChatAnswer(at, request_id, ChatEnd.WHOLE, generation.text, generation.version)
 
 
-@given("a good history of chats")
+@given("a valid history of chats")
 def step_good(context):
     context.chats = ChatHistory(
         invokes=[
@@ -78,7 +78,7 @@
     history.granted.append(Granted(at + 6.0, "c3", "a1", "dear:1", 2))
 
 
-@when("the chats are spoilt by {fault}")
+@when("the chats are modified with {fault}")
 def step_spoil(context, fault):
     history = context.chats
     match fault:
@@ -106,7 +106,7 @@
             history.out_of_reach["a1"] = [(12.0, 14.0)]
         case "a session that moves":
             move_session(history)
-        case "a session that moves, a home silent":
+        case "a session that moves, an owner silent":
             move_session(history)
             history.disturbed.append(Disturbed(2.0, "shop/s", "silent"))
         case "a session that moves, too early silent":
--- a/features/steps/refused_bills.py
+++ b/features/steps/refused_bills.py
@@ -8,7 +8,7 @@
 from standins.histories import run_virtual
 
 HOSTS = {"a1": "a", "b1": "b", "c1": "c"}
-SETTLED_S = 5
+ROUNDS = 5
 
 
 @given("a host whose peers know of a request that it then refuses as not run")
@@ -16,10 +16,10 @@
     context.bill_log = MemoryLog()
 
 
-async def refuse_and_cut(log):
+async def refuse_and_isolate(log):
     loop = asyncio.get_running_loop()
     network = MemoryNetwork()
-    keepers = {
+    replicators = {
         name: BillReplicator(
             MemoryPeers(network, Peer(name, zone, "r", 1)),
             ThreadedLog(log, call_here),
@@ -28,20 +28,20 @@
         )
         for name, zone in HOSTS.items()
     }
-    keepers["a1"].open_bill(Bill("r1", "shop", "larch:1", 0.1))
-    await keepers["a1"].run_round()
-    assert all(keepers[name].has_bill("r1") for name in ("b1", "c1"))
-    keepers["a1"].cancel_bill("r1")
+    replicators["a1"].open_bill(Bill("r1", "shop", "larch:1", 0.1))
+    await replicators["a1"].run_round()
+    assert all(replicators[name].has_bill("r1") for name in ("b1", "c1"))
+    replicators["a1"].cancel_bill("r1")
     network.cut(["a1"], ["b1", "c1"])
-    for _ in range(SETTLED_S):
-        await asyncio.gather(*(keeper.run_round() for keeper in keepers.values()))
+    for _ in range(ROUNDS):
+        await asyncio.gather(*(replicator.run_round() for replicator in replicators.values()))
         await asyncio.sleep(1.0)
-    assert keepers["b1"].finished_for_peers
+    assert replicators["b1"].finished_for_peers
 
 
-@when("the host is cut off from them, and they finish its bills")
+@when("the host is isolated from them, and they take its bills over")
 def step_cut(context):
-    run_virtual(refuse_and_cut(context.bill_log))
+    run_virtual(refuse_and_isolate(context.bill_log))
 
 
 @then("the statement's total is {total:f}")
--- a/poplarrun/billing/__init__.py
+++ b/poplarrun/billing/__init__.py
@@ -1,4 +1,4 @@
-"""Billing: each request once, kept by peers until the log has it."""
+"""Billing: every request is billed once; peers hold copies of a bill until it is in the log."""
 
 from poplarrun.billing._fold import BillFold
 from poplarrun.billing._records import SHARDS, Bill, decode_bills, encode_bills, stream_of
--- a/poplarrun/billing/_batcher.py
+++ b/poplarrun/billing/_batcher.py
@@ -1,4 +1,4 @@
-"""The bills that wait for the log, and the batches that carry them there."""
+"""Queue of the bills that are not in the log yet, and their appends in batches."""
 
 import asyncio
 import contextlib
@@ -8,14 +8,14 @@
 from poplarrun.log import Appended, AsyncLog
 
 MIN_BATCH_INTERVAL_S = 1.0
-# All hosts together append so many batches a second.
+# Bound on the appends of all hosts together.
 MAX_BATCHES_PER_S = 60.0
 MAX_BATCH_BILLS = 2000
-LOG_TIMEOUT_S = 1.0
+LOG_APPEND_TIMEOUT_S = 1.0
 
 
 class BillBatcher:
-    """Appends bills in batches until the log has them.
+    """Appends bills to the log in batches, and retries until they are there.
 
     Parameters
     ----------
@@ -24,15 +24,15 @@
     now : callable
         Seconds, monotonic.
     count_hosts : callable
-        How many hosts share the log's appends now.
-    note_appended : callable
-        Called with the bills that the log has.
+        Number of hosts that share the log's append rate.
+    on_appended : callable
+        Called with the bills that were appended.
     count : callable
         Counts an event by its name.
 
     Attributes
     ----------
-    appends : int
+    append_count : int
         Appends made so far.
     """
 
@@ -41,14 +41,14 @@
         log: AsyncLog,
         now: Callable[[], float],
         count_hosts: Callable[[], int],
-        note_appended: Callable[[list[Bill]], None],
+        on_appended: Callable[[list[Bill]], None],
         count: Callable[[str], None],
     ) -> None:
         self.append_count = 0
         self._log = log
         self._now = now
         self._count_hosts = count_hosts
-        self._on_appended = note_appended
+        self._on_appended = on_appended
         self._count = count
         self._queues: dict[int, dict[str, Bill]] = {}
         self._waiters: dict[str, asyncio.Future[bool]] = {}
@@ -58,45 +58,45 @@
 
     @property
     def unlogged_count(self) -> int:
-        """Bills that the log doesn't hold yet."""
+        """Bills that are not in the log yet."""
         return sum(len(queue) for queue in self._queues.values())
 
     def find(self, bill_id: str) -> Bill | None:
-        """Return a bill that waits."""
+        """Return a queued bill, or None."""
         found = (queue.get(bill_id) for queue in self._queues.values())
         return next((bill for bill in found if bill is not None), None)
 
     def add(self, shard: int, bill: Bill) -> None:
-        """Let a bill go with the next batch of a shard."""
+        """Queue a bill for the next batch of a shard."""
         self._queues.setdefault(shard, {})[bill.id] = bill
 
     def start_flush(self, is_urgent: bool = False) -> None:
-        """Append what waits, after a while in which a batch fills, or at once."""
+        """Append the queued bills in the background, after a delay unless they are urgent."""
         if is_urgent:
             self._flush_now.set()
         if self._flush_task is None and self.unlogged_count:
             self._flush_task = asyncio.create_task(self._flush())
 
     async def drain(self) -> None:
-        """Append what waits at once; return when it is done or the log fails."""
+        """Append the queued bills at once; return when that is done or the log fails."""
         self.start_flush(is_urgent=True)
         if self._flush_task is not None:
             await asyncio.wait([self._flush_task])
 
     async def wait_until_logged(self, bill: Bill) -> bool:
-        """Append at once, and tell whether the log has the bill."""
+        """Append at once, and tell whether the bill is in the log."""
         if self.find(bill.id) is None:
             return True
         if self._now() < self._failed_until:
             return False
         appended = self._waiters.setdefault(bill.id, asyncio.get_running_loop().create_future())
         self.start_flush(is_urgent=True)
-        await asyncio.wait([appended], timeout=LOG_TIMEOUT_S)
+        await asyncio.wait([appended], timeout=LOG_APPEND_TIMEOUT_S)
         self._waiters.pop(bill.id, None)
         return appended.done() and appended.result()
 
     async def _flush(self) -> None:
-        """Append one batch after the other, until nothing waits or the log fails."""
+        """Append batches until the queue is empty or the log fails."""
         try:
             while self.unlogged_count:
                 await self._pause()
@@ -107,14 +107,14 @@
             self._flush_task = None
 
     async def _pause(self) -> None:
-        """Let a batch fill, unless a caller waits for the log."""
+        """Wait while a batch fills, unless the bills are urgent."""
         interval_s = max(MIN_BATCH_INTERVAL_S, self._count_hosts() / MAX_BATCHES_PER_S)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._flush_now.wait(), interval_s)
         self._flush_now.clear()
 
     async def _append(self, shard: int) -> bool:
-        """Append one batch; an unknown outcome is repeated, for the fold drops repeats."""
+        """Append one batch; if the outcome is unknown, it is repeated and the fold drops one."""
         queue = self._queues[shard]
         bills = list(queue.values())[:MAX_BATCH_BILLS]
         self.append_count += 1
@@ -127,12 +127,12 @@
             self._on_appended(bills)
         else:
             self._count("bill_append_failed")
-            self._failed_until = self._now() + LOG_TIMEOUT_S
+            self._failed_until = self._now() + LOG_APPEND_TIMEOUT_S
         for bill in bills:
             self._notify_waiter(bill.id, is_appended)
         return is_appended
 
     def _notify_waiter(self, bill_id: str, is_appended: bool) -> None:
-        caller = self._waiters.pop(bill_id, None)
-        if caller is not None and not caller.done():
-            caller.set_result(is_appended)
+        waiter = self._waiters.pop(bill_id, None)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(is_appended)
--- a/poplarrun/billing/_reader.py
+++ b/poplarrun/billing/_reader.py
@@ -1,30 +1,30 @@
-"""Reading one billing stream into its totals, past records that are gone."""
+"""Reads one billing stream into its totals, also if its first records are gone."""
 
 from poplarrun.billing._totals import BillTotals
 from poplarrun.log import Entry, Page, PartCollector, WholeSnapshot
 
 
 class ShardReader:
-    """Follows a stream page by page; whoever holds the log reads from ``position`` on.
+    """Follows a stream page by page; the caller reads the log from ``position`` on.
 
-    Where the first records are gone it looks for the oldest snapshot that the
-    kept records continue, and folds on from there. Without one it starts at the
-    oldest kept record, and the totals say what they miss.
+    If the first records are gone, it searches for the oldest snapshot that the remaining records
+    continue, and folds from there. Without one it starts at the oldest remaining record, and the
+    totals tell what is missing.
 
     Attributes
     ----------
     totals : BillTotals
         The state of the stream up to ``position``.
     position : int
-        The offset to read from.
+        The next offset to read.
     snapshot : WholeSnapshot, optional
-        The last whole snapshot that was met, without its data.
-    bytes_since : int
-        Bytes of the records behind it.
+        The last complete snapshot that was read, without its data.
+    bytes_since_snapshot : int
+        Bytes of the records after it.
     snapshot_bytes : int
-        Its size.
+        Its size in bytes.
     horizon : int
-        The oldest record that the last page told of.
+        Offset of the oldest record, by the last page.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self.snapshot_bytes = 0
         self.horizon = 0
         self._parts = PartCollector()
-        # Where the search for a snapshot began; None while records are folded.
+        # Offset at which the search for a snapshot started; None while records are folded.
         self._searched_from: int | None = None
 
     def apply_page(self, page: Page) -> bool:
-        """Take the page that ``position`` asked for; tell whether all is folded."""
+        """Apply the page that was read at ``position``; tell whether the end is reached."""
         self.horizon = page.horizon
         if page.horizon > self.position:
             self._start_search(page.horizon)
@@ -58,7 +58,7 @@
         self._parts = PartCollector()
 
     def _apply_entry(self, entry: Entry) -> bool:
-        """Take one entry; tell whether reading goes on from elsewhere."""
+        """Apply one entry; tell whether to continue reading from another position."""
         self.position = entry.offset + 1
         if self._searched_from is None:
             self.totals.fold(entry)
--- a/poplarrun/billing/_records.py
+++ b/poplarrun/billing/_records.py
@@ -5,26 +5,27 @@
 
 import msgspec
 
-# Each host appends its bills to one of these, so a batch is one append.
+# Number of streams. Each host appends its bills to only one of them, so that a batch is a single
+# append.
 SHARDS = 16
 
 
 class Bill(msgspec.Struct, frozen=True):
-    """What one request costs its client account, once.
+    """The cost of one request to its client account.
 
     Attributes
     ----------
     id : str
         The request's id.
     account, item : str
-        Who pays, and for what.
+        The account that pays, and what it pays for.
     amount : float
-        In account currency.
+        In the account's currency.
     at : float
         Seconds since the epoch.
     is_final : bool
-        False for the entry of a request that still runs: what is due if its
-        host dies now. A final bill of the same id replaces it.
+        False for the entry of a running request: the amount that is due if its host dies now. A
+        final bill of the same id replaces it.
     """
 
     id: str
@@ -35,7 +36,7 @@
     is_final: bool = True
 
 
-# The form of a bill on the wire and in the log: its fields in order.
+# A bill as encoded in messages and in the log: its fields in order.
 BillLine = tuple[str, str, str, float, float, bool]
 
 _encoder = msgspec.msgpack.Encoder()
@@ -43,7 +44,7 @@
 
 
 def shard_of(host: str) -> int:
-    """Return the shard that the bills of a host go to."""
+    """Return the shard of the bills of a host."""
     return hashlib.blake2b(host.encode(), digest_size=1).digest()[0] % SHARDS
 
 
@@ -53,12 +54,12 @@
 
 
 def encode_lines(bills: list[Bill]) -> list[BillLine]:
-    """Return the lines of bills."""
+    """Convert bills to lines."""
     return [(b.id, b.account, b.item, b.amount, b.at, b.is_final) for b in bills]
 
 
 def decode_lines(lines: list[BillLine]) -> list[Bill]:
-    """Return the bills of lines; one copy of each account and item is kept."""
+    """Convert lines to bills; accounts and items are interned to save memory."""
     return [
         Bill(id_, sys.intern(account), sys.intern(item), amount, at, is_final)
         for id_, account, item, amount, at, is_final in lines
@@ -66,12 +67,12 @@
 
 
 def encode_bills(bills: list[Bill]) -> bytes:
-    """Return the bytes of one append."""
+    """Encode the bills of one append."""
     return _encoder.encode(encode_lines(bills))
 
 
 def decode_bills(data: bytes) -> list[Bill]:
-    """Read the bills of one append; none when the bytes are no batch."""
+    """Decode the bills of one append; empty if the bytes are invalid."""
     try:
         return decode_lines(_decoder.decode(data))
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/poplarrun/billing/_replicator.py
+++ b/poplarrun/billing/_replicator.py
@@ -1,4 +1,4 @@
-"""A host's bills: kept by peers until the log has them, and those of dead peers finished."""
+"""Replication of a host's bills to peers until they are logged, and takeover from dead peers."""
 
 import asyncio
 import enum
@@ -16,16 +16,17 @@
 
 REPLICATE_MESSAGE = "billing.keep"
 REPLICA_COUNT = 2
-# Peers are asked in turn until two have the bill; more would hold up the answer.
+# Peers are asked in turn until two have the bill. Asking more than this would delay the answer to
+# the client.
 MAX_PEERS_ASKED = 4
 REPLICATE_TIMEOUT_S = 0.3
-# About 0.4 KB each. An hour without the log, at 18 requests a second a host and
-# three copies of each bill. At the bound requests are refused before they run.
+# Bound on the bills in memory, about 0.4 KB each: an hour without the log, at 18 requests a second
+# for each host and three copies of each bill. At the bound requests are refused before they run.
 MAX_BILLS = 200_000
 
 
 class BillDurability(enum.Enum):
-    """What holds a bill when its answer goes out."""
+    """Where a bill is stored when the answer to its request is sent."""
 
     PEERS = "peers"
     LOG = "log"
@@ -50,7 +51,7 @@
 
 
 class BillReplicator:
-    """Keeps bills until the log has them.
+    """Keeps bills on several hosts until they are in the log.
 
     Parameters
     ----------
@@ -65,8 +66,8 @@
 
     Attributes
     ----------
-    finished : int
-        Bills that were finished for dead hosts.
+    finished_for_peers : int
+        Bills that were appended for dead hosts.
     """
 
     def __init__(
@@ -87,13 +88,13 @@
             log, now, lambda: len(peers.live()), self._handle_appended, count
         )
         self._peer_bills = PeerBills()
-        # Requests of this host that run, and what peers must be told with the
-        # next ``tend``: new ones, and bills that too few peers hold.
+        # Running requests of this host, and the bills to send to peers in the next round: new ones,
+        # and those of which too few peers have copies.
         self._open_bills: dict[str, Bill] = {}
         self._unreplicated: dict[str, Bill] = {}
-        # Shards of the bills that this host finishes for others, until the log has them.
+        # Shards of the bills that this host appends for dead hosts, until they are in the log.
         self._foreign_shards: ShardsByBill = {}
-        # The peers that may hold a bill, and the bills that a peer can drop.
+        # The peers that may have a copy of a bill, and the ids that each peer can discard.
         self._replicas_of: dict[str, list[str]] = {}
         self._logged_ids_for: dict[str, list[str]] = {}
         self._live_before: set[HostIncarnation] = set()
@@ -107,55 +108,55 @@
 
     @property
     def size(self) -> int:
-        """Bills in memory: own ones and those held for peers."""
+        """Bills in memory: this host's own and copies held for peers."""
         return len(self._open_bills) + self._batches.unlogged_count + self._peer_bills.size
 
     @property
     def is_full(self) -> bool:
-        """Whether no request may begin, for its bill could not be kept."""
+        """Whether no request may begin, because its bill could not be stored."""
         return self.size >= MAX_BILLS
 
     @property
     def unlogged_count(self) -> int:
-        """Bills that the log doesn't hold yet."""
+        """Bills that are not in the log yet."""
         return self._batches.unlogged_count
 
     def has_bill(self, bill_id: str) -> bool:
-        """Tell whether a bill is in memory here, the own one or a peer's."""
+        """Tell whether a bill is in memory here, own or copied."""
         return self._find(bill_id) is not None or self._peer_bills.contains(bill_id)
 
     def open_bill(self, bill: Bill) -> None:
-        """Note a request that begins; peers bill it so if this host dies meanwhile.
+        """Record a request that begins; peers bill it as given if this host dies meanwhile.
 
-        They are told with the next ``tend``: most requests are over by then,
-        and cost no message beside that of their final bill.
+        Peers get it only in the next round: most requests have finished by then, and need no
+        message but that of their final bill.
         """
         stamped = msgspec.structs.replace(bill, at=self._wall(), is_final=False)
         self._open_bills[bill.id] = self._unreplicated[bill.id] = stamped
 
     def cancel_bill(self, bill_id: str) -> None:
-        """Forget a request that ended without any cost.
+        """Remove a request that ended without any cost.
 
-        Peers that were told of it would bill it in this host's place, should it be
-        cut off before it tells them to forget it too: its caller was told "not run"
-        and would pay. A final bill of nothing in the log outweighs theirs.
+        If this host is isolated before it can tell its peers, those that have a copy would bill the
+        request in its place: a caller that was told "not run" would pay. A final bill of amount
+        zero in the log overrides theirs.
         """
         self._unreplicated.pop(bill_id, None)
         bill = self._open_bills.pop(bill_id, None)
         if bill is None:
             return
         if bill_id in self._replicas_of:
-            free = msgspec.structs.replace(bill, amount=0.0, is_final=True)
-            self._batches.add(self._shard, free)
+            zero_bill = msgspec.structs.replace(bill, amount=0.0, is_final=True)
+            self._batches.add(self._shard, zero_bill)
             self._batches.start_flush()
 
     async def replicate(self, bill: Bill) -> BillDurability:
-        """Keep a final bill, and return once it outlives this host.
+        """Store a final bill, and return once it survives the death of this host.
 
-        Two peers, in other zones where there are any, hold it then; where they
-        can't be reached, the log does; with neither in reach, only this host.
-        The answer is not held back for longer: a zone that is cut off goes on
-        serving, and tells the peers once they are back.
+        Two peers then have copies, in other zones where possible. If they can't be reached, the log
+        has the bill; if neither can be reached, only this host does. The answer is not delayed any
+        further: an isolated zone continues to serve, and sends the bills to peers once they are
+        reachable.
         """
         bill = msgspec.structs.replace(bill, at=self._wall(), is_final=True)
         self._open_bills.pop(bill.id, None)
@@ -163,21 +164,21 @@
         self._batches.add(self._shard, bill)
         self._batches.start_flush()
         if await self._replicate([bill]) >= REPLICA_COUNT:
-            kept = BillDurability.PEERS
+            durability = BillDurability.PEERS
         elif await self._batches.wait_until_logged(bill):
-            kept = BillDurability.LOG
+            durability = BillDurability.LOG
         else:
-            kept = BillDurability.HOST_ALONE
+            durability = BillDurability.HOST_ALONE
             self._unreplicated[bill.id] = bill
-        self._count(f"bill_kept_by_{kept.value}")
-        return kept
+        self._count(f"bill_kept_by_{durability.value}")
+        return durability
 
     async def drain(self) -> None:
-        """Append what waits at once; what the log doesn't take, peers finish."""
+        """Append the queued bills at once; those that the log doesn't accept are left to peers."""
         await self._batches.drain()
 
     async def run_round(self) -> None:
-        """Tell peers what is new, and finish the bills of dead hosts."""
+        """Replicate what is new, and take over the bills of dead hosts."""
         live = {(peer.name, peer.incarnation) for peer in self._peers.live()}
         for orphans in self._peer_bills.remove_orphans(live, self._now()):
             self._adopt_orphans(orphans)
@@ -188,12 +189,11 @@
         await self._send_logged_ids({name for name, _ in live})
 
     def _adopt_orphans(self, orphans: OrphanedBills) -> None:
-        """Append a dead host's bills in its place, as far as they were told here.
+        """Append a dead host's bills in its place, as far as this host has copies.
 
-        Two new peers are told of them too: while the log is out, the hosts that
-        held them could die one after the other. All copies of a bill must come
-        into one stream, or the stream's fold bills it twice: so its shard goes
-        with it, whoever finishes it in the end.
+        Two more peers get copies of them: while the log is unavailable, the hosts that have copies
+        could die one after another. All copies of a bill must be appended to the same stream, or it
+        would be billed twice. Its shard is therefore sent with it, whoever appends it in the end.
         """
         for bill in orphans.bills:
             if self._batches.find(bill.id) is None:
@@ -206,34 +206,35 @@
         self._batches.start_flush(is_urgent=True)
 
     def _rereplicate(self, names: set[str]) -> None:
-        """Have bills copied anew that a peer held which is gone.
+        """Schedule new copies of the bills that a lost peer had.
 
-        While the log is out, the holders of a bill could else die one by one.
+        While the log is unavailable, the hosts that have copies of a bill could otherwise die one
+        after another.
         """
         if not names:
             return
-        for bill_id, keepers in self._replicas_of.items():
-            bill = None if names.isdisjoint(keepers) else self._find(bill_id)
+        for bill_id, replicas in self._replicas_of.items():
+            bill = None if names.isdisjoint(replicas) else self._find(bill_id)
             if bill is not None:
                 self._unreplicated[bill_id] = bill
 
     async def _replicate_new(self) -> None:
-        """Tell peers of running requests, and of bills that too few of them hold."""
-        told = list(self._unreplicated.values())[:MAX_BATCH_BILLS]
-        if told and await self._replicate(told) >= REPLICA_COUNT:
-            for bill in told:
+        """Send running requests, and bills of which too few peers have copies, to peers."""
+        bills_to_send = list(self._unreplicated.values())[:MAX_BATCH_BILLS]
+        if bills_to_send and await self._replicate(bills_to_send) >= REPLICA_COUNT:
+            for bill in bills_to_send:
                 if self._unreplicated.get(bill.id) is bill:
                     del self._unreplicated[bill.id]
 
     async def _send_logged_ids(self, live: set[str]) -> None:
-        """Tell live peers what they can drop.
+        """Send live peers the ids that they can discard.
 
-        One that is gone is not told: should it be back, it holds a few bills
-        until this host's incarnation ends, and the fold drops what it appends.
+        A peer that is gone gets none. If it returns, it holds a few bills until this host's
+        incarnation ends, and the fold drops what it appends.
         """
-        settled, self._logged_ids_for = self._logged_ids_for, {}
-        told = [self._send(peer, [], ids) for peer, ids in settled.items() if peer in live]
-        await asyncio.gather(*told)
+        logged_ids, self._logged_ids_for = self._logged_ids_for, {}
+        sends = [self._send(peer, [], ids) for peer, ids in logged_ids.items() if peer in live]
+        await asyncio.gather(*sends)
 
     def _handle_appended(self, bills: list[Bill]) -> None:
         for bill in bills:
@@ -242,57 +243,63 @@
         self._record_logged([bill.id for bill in bills])
 
     def _record_logged(self, ids: list[str]) -> None:
-        """Note for each peer which bills it need not hold any longer."""
+        """Record for each peer which copies it can discard."""
         for bill_id in ids:
             for peer in dict.fromkeys(self._replicas_of.pop(bill_id, ())):
                 self._logged_ids_for.setdefault(peer, []).append(bill_id)
 
     def _find(self, bill_id: str) -> Bill | None:
-        """Return a bill that this host must get into the log."""
+        """Return a bill that this host has to get into the log, or None."""
         return self._batches.find(bill_id) or self._open_bills.get(bill_id)
 
     async def _replicate(self, bills: list[Bill]) -> int:
-        """Give bills to peers until two have them; return how many do."""
+        """Send bills to peers until two have copies; return how many do."""
         copies = 0
         candidates = self._rank_peers()[:MAX_PEERS_ASKED]
         while candidates and copies < REPLICA_COUNT:
-            asked, candidates = (
+            recipients, candidates = (
                 candidates[: REPLICA_COUNT - copies],
                 candidates[REPLICA_COUNT - copies :],
             )
-            # A silent peer may hold them too: it must hear when it can drop them.
+            # A peer that didn't answer may have copies too, and must be told when to discard them.
             for bill in bills:
-                self._replicas_of.setdefault(bill.id, []).extend(asked)
-            copies += sum(await asyncio.gather(*(self._send(peer, bills, []) for peer in asked)))
+                self._replicas_of.setdefault(bill.id, []).extend(recipients)
+            copies += sum(
+                await asyncio.gather(*(self._send(peer, bills, []) for peer in recipients))
+            )
         self._record_logged([bill.id for bill in bills if self._find(bill.id) is None])
         return copies
 
     def _rank_peers(self) -> list[str]:
-        """Order the peers, those of other zones first, spread evenly over the fleet."""
+        """Return the peers with one of each other zone first, ranked to spread copies evenly."""
         me = self._peers.me
         others = [peer for peer in self._peers.live() if peer.name != me.name]
         ranked = self._ranking.rank(f"billing/{me.name}", tuple(peer.name for peer in others))
         zones = {peer.name: peer.zone for peer in others}
-        seen: set[str] = set()
+        seen_zones: set[str] = set()
         first: list[str] = []
         rest: list[str] = []
         for name in ranked:
-            is_new = zones[name] != me.zone and zones[name] not in seen
+            is_new = zones[name] != me.zone and zones[name] not in seen_zones
             (first if is_new else rest).append(name)
-            seen.add(zones[name])
+            seen_zones.add(zones[name])
         rest.sort(key=lambda name: zones[name] == me.zone)
         return first + rest
 
-    async def _send(self, peer: str, bills: list[Bill], settled: list[str]) -> bool:
+    async def _send(self, peer: str, bills: list[Bill], logged_ids: list[str]) -> bool:
         me = self._peers.me
-        foreign = {b.id: self._foreign_shards[b.id] for b in bills if b.id in self._foreign_shards}
-        keep = _ReplicateRequest(me.name, me.incarnation, encode_lines(bills), settled, foreign)
-        message = _encode(keep)
+        foreign_shards = {
+            b.id: self._foreign_shards[b.id] for b in bills if b.id in self._foreign_shards
+        }
+        request = _ReplicateRequest(
+            me.name, me.incarnation, encode_lines(bills), logged_ids, foreign_shards
+        )
+        message = _encode(request)
         answer = await self._peers.ask(peer, REPLICATE_MESSAGE, message, REPLICATE_TIMEOUT_S)
         if isinstance(answer, bytes):
             return _answer_decoder.decode(answer).has_room
-        if settled:
-            self._logged_ids_for.setdefault(peer, []).extend(settled)
+        if logged_ids:
+            self._logged_ids_for.setdefault(peer, []).extend(logged_ids)
         return False
 
     async def _serve_replicate(self, _: str, payload: bytes) -> bytes:
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the billing streams, written before the log drops what they cover."""
+"""Snapshots of the billing streams, written before retention drops the records they cover."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,21 +10,23 @@
 from poplarrun.metrics import ignore_event
 from poplarrun.rendezvous import Ranking
 
-# A page is folded in one step of the loop: 60 bills a record at the two-year size.
+# A page is folded in one step of the event loop, with 60 bills in each record at the expected load
+# in two years.
 READ_PAGE_SIZE = 50
 SNAPSHOT_INTERVAL_S = 6 * 3600.0
-# A busy stream gets one sooner, but never for less than four times its size.
+# A busy stream gets a snapshot sooner, but only once its new records have four times the size of
+# the last one.
 MIN_SNAPSHOT_RECORDS = 1000
 MIN_SNAPSHOT_BYTES_RATIO = 4
-# A failed one is tried again after so long; the horizon may be near.
+# Delay before a failed snapshot is written again; retention may reach its records soon.
 SNAPSHOT_RETRY_INTERVAL_S = 60.0
 
 
 class BillSnapshots:
-    """Writes the snapshots of the shards that are this host's.
+    """Writes the snapshots of the shards that this host owns.
 
-    A shard's usual owner follows its stream. Two hosts that both take
-    themselves for it write two snapshots, and either is right.
+    A shard's owner follows its stream. If two hosts both consider themselves the owner, both write
+    snapshots, and either one is valid.
 
     Parameters
     ----------
@@ -56,7 +58,7 @@
         self._ranking = Ranking()
 
     async def write_due_snapshots(self) -> None:
-        """Follow the own shards, and write the snapshots that are due."""
+        """Read the owned shards, and write the snapshots that are due."""
         names = tuple(peer.name for peer in self._peers.live())
         for shard in range(SHARDS):
             if self._ranking.rank(f"billing/{shard}", names)[0] == self._peers.me.name:
@@ -91,8 +93,8 @@
         if reader.snapshot is not None:
             if self._wall() - reader.snapshot.at >= SNAPSHOT_INTERVAL_S:
                 return True
-            # The log drops records sooner than the interval foresees: half of what
-            # it keeps is already behind the last snapshot.
+            # Retention drops records sooner than the interval assumes: half of the remaining ones
+            # are older than the last snapshot.
             kept = reader.totals.next_offset - reader.horizon
             if reader.horizon > 0 and through - reader.horizon < kept / 2:
                 return True
@@ -101,7 +103,7 @@
         return is_first or (since >= MIN_SNAPSHOT_RECORDS and is_worth)
 
     async def _write(self, shard: int, reader: ShardReader) -> None:
-        """Append a snapshot; an interrupted one is never whole, and counts nowhere."""
-        whole = reader.totals.take_snapshot(self._wall())
-        is_written = await append_parts(self._log, stream_of(shard), split_snapshot(whole))
+        """Append a snapshot; an interrupted one is incomplete and has no effect."""
+        snapshot = reader.totals.take_snapshot(self._wall())
+        is_written = await append_parts(self._log, stream_of(shard), split_snapshot(snapshot))
         self._count("bill_snapshot_written" if is_written else "bill_snapshot_failed")
--- a/poplarrun/billing/_statement.py
+++ b/poplarrun/billing/_statement.py
@@ -1,4 +1,4 @@
-"""A client account's statement, out of the log alone."""
+"""A client account's statement, computed from the log alone."""
 
 import datetime
 import math
@@ -30,17 +30,17 @@
     Attributes
     ----------
     first_day : date
-        The first day that counts, in UTC.
+        The first day that is included, in UTC.
     lines : tuple of StatementLine
         One for each item.
     late : tuple of StatementLine
-        Bills that came too late to tell whether they had been counted before;
-        they are not in ``lines``.
+        Bills that came too late to tell whether they had been counted before; they are not in
+        ``lines``.
     ends : tuple of int
         The end of each billing stream: equal ends give equal statements.
     missing_below : tuple of int
-        Records of each stream below it were gone before a snapshot told of
-        them; 0 when none were.
+        Records of each stream below this offset were gone before a snapshot covered them; 0 if none
+        were.
     """
 
     account: str
@@ -52,34 +52,34 @@
 
     @property
     def total(self) -> float:
-        """The whole amount, without what is late."""
+        """The total amount, without late bills."""
         return math.fsum(line.amount for line in self.lines)
 
 
 def read_statement(log: Log, account: str, since: float) -> Statement | None:
-    """Make a statement out of the log alone; None when the log doesn't answer.
+    """Compute a statement from the log alone; None if the log doesn't answer.
 
-    Sums are kept by the day in UTC, so the whole day of ``since`` counts.
+    Totals are kept by day in UTC, so the whole day of ``since`` is included.
     """
     readers = [_read_shard(log, stream_of(shard)) for shard in range(SHARDS)]
-    done = [reader for reader in readers if reader is not None]
-    if len(done) < SHARDS:
+    complete = [reader for reader in readers if reader is not None]
+    if len(complete) < SHARDS:
         return None
     first_day = math.floor(since / DAY_S)
     sums: dict[tuple[bool, str], list[int]] = defaultdict(lambda: [0, 0])
-    for reader in done:
+    for reader in complete:
         for key, count, units in reader.totals.sums():
             if key.account == account and key.day >= first_day:
-                held = sums[key.is_late, key.item]
-                held[0] += count
-                held[1] += units
+                key_totals = sums[key.is_late, key.item]
+                key_totals[0] += count
+                key_totals[1] += units
     return Statement(
         account,
         EPOCH + datetime.timedelta(days=first_day),
         _list_lines(sums, is_late=False),
         _list_lines(sums, is_late=True),
-        tuple(reader.position for reader in done),
-        tuple(reader.totals.missing_below for reader in done),
+        tuple(reader.position for reader in complete),
+        tuple(reader.totals.missing_below for reader in complete),
     )
 
 
@@ -94,7 +94,7 @@
 
 
 def _read_shard(log: Log, stream: str) -> ShardReader | None:
-    """Fold a whole stream; None when the log doesn't answer."""
+    """Fold a whole stream; None if the log doesn't answer."""
     reader = ShardReader()
     while True:
         page = log.read(stream, reader.position, READ_PAGE_SIZE)
--- a/poplarrun/billing/_totals.py
+++ b/poplarrun/billing/_totals.py
@@ -1,4 +1,4 @@
-"""The compact fold of one billing stream: sums by account, item and day."""
+"""Compact fold of one billing stream: totals by account, item and day."""
 
 import math
 from collections.abc import Iterator
@@ -12,16 +12,16 @@
 
 DAY_S = 86400
 RETENTION_DAYS = 400
-# One record may move the fold's clock by so much: a host whose clock is a day
-# ahead would else have every id forgotten at once, and repeats billed twice.
+# A record advances the fold's clock by at most this much. Otherwise a host whose clock is a day
+# ahead would make the fold forget every id at once, and repeats would be billed twice.
 MAX_CLOCK_STEP_S = 5.0
-# Amounts are added as whole numbers of billionths, so that neither the order of
-# the records nor a snapshot between them shows in a sum.
+# Amounts are added as integers in units of one billionth, so that neither the order of the records
+# nor a snapshot between them changes a total.
 UNITS_PER_CURRENCY = 10**9
 
 
 class TotalKey(NamedTuple):
-    """What is summed: one item of an account on one day, late bills by themselves."""
+    """Key of a total: an item of an account on one day, with late bills separate."""
 
     account: str
     item: str
@@ -48,14 +48,14 @@
 
 
 class BillTotals:
-    """Sums of one stream's bills, each counted once, by the records in offset order.
+    """Totals of one stream's bills, each counted once, from the records in offset order.
 
     Attributes
     ----------
     next_offset : int
         Offset of the next record to fold.
     missing_below : int
-        Records below it were gone and no snapshot told of them; 0 when none were.
+        Records below this offset were gone and no snapshot covered them; 0 if none were.
     """
 
     def __init__(self, missing_below: int = 0) -> None:
@@ -67,7 +67,7 @@
         self._ids = RecentIds()
 
     def sums(self) -> Iterator[tuple[TotalKey, int, int]]:
-        """Give each cell with its count of bills and its amount in ``UNITS``."""
+        """Iterate over the keys with their number of bills and amount in ``UNITS_PER_CURRENCY``."""
         return ((key, count, units) for key, (count, units) in self._sums.items())
 
     def fold(self, entry: Entry) -> None:
@@ -82,15 +82,17 @@
             self._fold_bill(bill)
 
     def take_snapshot(self, at: float) -> WholeSnapshot:
-        """Return the state after the last folded record; equal states, equal bytes."""
+        """Return a snapshot after the last folded record; equal states give equal bytes."""
         sums = [(*key, count, str(units)) for key, (count, units) in sorted(self._sums.items())]
-        opened = [(i, *o.key, str(o.units), o.clock) for i, o in sorted(self._provisional.items())]
-        state = _EncodedTotals(self._clock, self.missing_below, sums, opened, self._ids.save())
+        provisional = [
+            (i, *o.key, str(o.units), o.clock) for i, o in sorted(self._provisional.items())
+        ]
+        state = _EncodedTotals(self._clock, self.missing_below, sums, provisional, self._ids.save())
         return WholeSnapshot(self.next_offset - 1, at, _encode(state))
 
     @classmethod
     def restore(cls, snapshot: WholeSnapshot) -> "BillTotals | None":
-        """Return the state that a snapshot tells; None when it can't be read."""
+        """Return the state of a snapshot; None if it can't be decoded."""
         try:
             state = _decoder.decode(snapshot.data)
             totals = cls(state.missing_below)
@@ -107,17 +109,17 @@
         return totals
 
     def _fold_bill(self, bill: Bill) -> None:
-        number = hash_id(bill.id)
-        is_known = number in self._ids
-        # A copy may have copies of its own, by a host that finishes it later.
-        self._ids.add(number)
+        id_hash = hash_id(bill.id)
+        is_known = id_hash in self._ids
+        # A repeat renews the id, because another host that takes the bill over may append it later.
+        self._ids.add(id_hash)
         if is_known:
-            opened = self._provisional.pop(bill.id, None) if bill.is_final else None
-            if opened is None:
+            provisional = self._provisional.pop(bill.id, None) if bill.is_final else None
+            if provisional is None:
                 return
-            self._add(opened.key, -1, -opened.units)
-        # Older than any id that is remembered: it may have been counted, or not.
-        # It is summed apart, for a person to look at.
+            self._add(provisional.key, -1, -provisional.units)
+        # The bill is older than all remembered ids, so it is unknown whether it was counted. It is
+        # added up separately, for a person to check.
         is_late = not is_known and bill.at < self._clock - DEDUPLICATION_WINDOW_S
         key = TotalKey(bill.account, bill.item, math.floor(bill.at / DAY_S), is_late)
         units = round(bill.amount * UNITS_PER_CURRENCY)
@@ -137,11 +139,13 @@
         self._clock = min(max(before, at), before + MAX_CLOCK_STEP_S)
         self._ids.advance(self._clock)
         horizon = self._clock - DEDUPLICATION_WINDOW_S
-        for bill_id in [i for i, opened in self._provisional.items() if opened.clock < horizon]:
+        for bill_id in [
+            i for i, provisional in self._provisional.items() if provisional.clock < horizon
+        ]:
             del self._provisional[bill_id]
         if self._clock // DAY_S > before // DAY_S:
             oldest = self._clock // DAY_S - RETENTION_DAYS
-            self._sums = {key: held for key, held in self._sums.items() if key.day >= oldest}
+            self._sums = {key: total for key, total in self._sums.items() if key.day >= oldest}
 
 
 def _is_finite(bill: Bill) -> bool:
