--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -14,8 +14,8 @@
     read_statement,
     stream_of,
 )
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from standins.histories import run_virtual
 
 NOW = 1_000_000.0
@@ -71,8 +71,8 @@
 
 async def bill_through_outage(context, per_s, seconds):
     loop = asyncio.get_running_loop()
-    log = ThreadedLog(context.bill_log, call_here)
-    network = MemoryNetwork()
+    log = ThreadedLog(context.bill_log, call_inline)
+    network = MemoryPeerNetwork()
     replicators = [
         BillReplicator(
             MemoryPeers(network, Peer(f"{zone}1", zone, "r", 1)), log, loop.time, loop.time
@@ -86,14 +86,14 @@
                 await replicator.run_round()
             await asyncio.sleep(1.0)
 
-    context.bill_log.down = True
+    context.bill_log.is_down = True
     for second in range(seconds):
         for number in range(per_s):
             bill = Bill(f"r{second}-{number}", "shop", "larch:1", 0.1)
             await replicators[second % 3].replicate(bill)
         await run_rounds(1)
     context.held_during_outage = max(replicator.size for replicator in replicators)
-    context.bill_log.down = False
+    context.bill_log.is_down = False
     await run_rounds(10)
     context.held_after = [replicator.size for replicator in replicators]
 
@@ -135,8 +135,8 @@
 def step_full_host(context):
     async def fill():
         loop = asyncio.get_running_loop()
-        network = MemoryNetwork()
-        log = ThreadedLog(MemoryLog(), call_here)
+        network = MemoryPeerNetwork()
+        log = ThreadedLog(MemoryLog(), call_inline)
         replicators = [
             BillReplicator(MemoryPeers(network, Peer(name, "a", "r", 1)), log, loop.time, loop.time)
             for name in ("a1", "a2")
--- a/features/steps/dispatch.py
+++ b/features/steps/dispatch.py
@@ -10,30 +10,36 @@
     make_route,
     make_work,
 )
-from poplarrun.dispatch import ConnectionBroke, Knowledge, Send, first_patience_s, gap_patience_s
-from poplarrun.errors import NotRun, Refusal, answer_for
-from poplarrun.gateway._host import RETRY_PART, part_of_allowance
-from poplarrun.placement import Seat
-from poplarrun.routing import Account, Repeat, Work
+from poplarrun.dispatch import (
+    ConfigView,
+    ConnectionLost,
+    SendDecision,
+    event_gap_timeout_s,
+    first_event_timeout_s,
+)
+from poplarrun.errors import NotRun, Refusal, response_for
+from poplarrun.gateway._host import RETRY_FRACTION, host_retry_allowance
+from poplarrun.placement import EndpointEstimate
+from poplarrun.routing import Account, InFlightRequest, RepeatPolicy
 
 
 def send_until_refused(dispatch, number):
     now = 100.0 + number * 0.01
     work = dispatch.admit(make_request(number=number), now)
     while True:
-        step = dispatch.choose(work, now)
+        step = dispatch.choose_endpoint(work, now)
         if isinstance(step, Refusal):
             return work.sends
-        attempt = dispatch.note_sent(work, step, now)
-        failure = ConnectionBroke("reset")
-        if dispatch.note_failure(work, step.seat.member, attempt, failure, now) is not None:
+        attempt = dispatch.record_sent(work, step, now)
+        failure = ConnectionLost("reset")
+        if dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, now) is not None:
             return work.sends
 
 
 @given("a dispatch whose configuration was confirmed at {at:f} and keys bound by {bound:f} s")
 def step_dispatch(context, at, bound):
-    context.knowledge = Knowledge(bound)
-    context.knowledge.take(make_catalogue())
+    context.knowledge = ConfigView(bound)
+    context.knowledge.apply_catalogue(make_catalogue())
     context.knowledge.confirm(at)
     context.dispatch = make_dispatch(context.knowledge)
 
@@ -41,14 +47,14 @@
 @then("a keyed request is admitted at {at:f}")
 def step_admitted(context, at):
     context.work = context.dispatch.admit(make_request(), at)
-    assert isinstance(context.work, Work), context.work
+    assert isinstance(context.work, InFlightRequest), context.work
 
 
 @then('a keyed request is refused with "{kind}" at {at:f}')
 def step_refused(context, kind, at):
     refusal = context.dispatch.admit(make_request(), at)
     assert isinstance(refusal, Refusal) and refusal.kind.value == kind, refusal
-    assert answer_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
+    assert response_for(refusal.kind).not_run is NotRun.YES and refusal.retry_after_s > 0.0
 
 
 @then("after a new confirmation at {confirmed:f} a keyed request is admitted at {at:f}")
@@ -67,35 +73,39 @@
 def step_sent_and_broken(context, at, broken):
     step_admitted(context, at)
     dispatch, work = context.dispatch, context.work
-    step = dispatch.choose(work, at)
-    attempt = dispatch.note_sent(work, step, at)
-    failure = ConnectionBroke("reset")
-    assert dispatch.note_failure(work, step.seat.member, attempt, failure, broken) is None
+    step = dispatch.choose_endpoint(work, at)
+    attempt = dispatch.record_sent(work, step, at)
+    failure = ConnectionLost("reset")
+    assert dispatch.handle_failure(work, step.estimate.endpoint, attempt, failure, broken) is None
     context.broken_at = broken
 
 
 @then('it is sent again, and a new request is refused with "{kind}" at {at:f}')
 def step_sent_again(context, kind, at):
-    assert isinstance(context.dispatch.choose(context.work, context.broken_at), Send)
+    assert isinstance(
+        context.dispatch.choose_endpoint(context.work, context.broken_at), SendDecision
+    )
     step_refused(context, kind, at)
 
 
 @when("a keyed request is admitted at {at:f} and its key is taken away")
 def step_key_gone(context, at):
     step_admitted(context, at)
-    context.knowledge.take(make_catalogue(version=2, keys=()))
+    context.knowledge.apply_catalogue(make_catalogue(version=2, keys=()))
     context.refusal = context.dispatch.recheck(context.work, at + 0.1)
 
 
 @then('it may not be sent, and the refusal says "not run"')
 def step_not_sent(context):
     assert isinstance(context.refusal, Refusal), context.refusal
-    assert answer_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
+    assert response_for(context.refusal.kind).not_run is NotRun.YES, context.refusal
 
 
 @when("the versions {first:d}, {second:d} and {third:d} arrive in this order")
 def step_versions(context, first, second, third):
-    context.taken = [context.knowledge.take(make_catalogue(v)) for v in (first, second, third)]
+    context.taken = [
+        context.knowledge.apply_catalogue(make_catalogue(v)) for v in (first, second, third)
+    ]
 
 
 @then("version {version:d} is in force and {older:d} changed nothing")
@@ -108,18 +118,18 @@
 def step_broken(context):
     dispatch = context.dispatch
     work = dispatch.admit(make_request(), 100.1)
-    step = dispatch.choose(work, 100.1)
-    assert isinstance(step, Send)
-    attempt = dispatch.note_sent(work, step, 100.1)
-    dispatch.note_failure(work, step.seat.member, attempt, ConnectionBroke("reset"), 100.2)
-    dispatch.placement.update([])
-    context.refusal = dispatch.choose(work, 100.3)
+    step = dispatch.choose_endpoint(work, 100.1)
+    assert isinstance(step, SendDecision)
+    attempt = dispatch.record_sent(work, step, 100.1)
+    dispatch.handle_failure(work, step.estimate.endpoint, attempt, ConnectionLost("reset"), 100.2)
+    dispatch.placement.update_endpoints([])
+    context.refusal = dispatch.choose_endpoint(work, 100.3)
 
 
 @then('the refusal doesn\'t say "not run"')
 def step_not_promised(context):
     assert isinstance(context.refusal, Refusal)
-    answer = answer_for(context.refusal.kind)
+    answer = response_for(context.refusal.kind)
     assert answer.not_run is not NotRun.YES and answer.status not in (408, 421, 429, 503)
 
 
@@ -130,11 +140,11 @@
 
     context.dispatches = []
     for _ in range(count):
-        knowledge = Knowledge(None)
-        knowledge.take(make_catalogue())
+        knowledge = ConfigView(None)
+        knowledge.apply_catalogue(make_catalogue())
         knowledge.confirm(100.0)
-        share = part_of_allowance(allowance, count - 1)
-        context.dispatches.append(make_dispatch(knowledge, 4, RETRY_PART * ratio, share))
+        share = host_retry_allowance(allowance, count - 1)
+        context.dispatches.append(make_dispatch(knowledge, 4, RETRY_FRACTION * ratio, share))
 
 
 @when("each of them gets {count:d} requests that fail at each endpoint")
@@ -148,7 +158,7 @@
 
 @then("{hosts:d} hosts together take no more than {allowance:d} besides")
 def step_more_hosts(context, hosts, allowance):
-    assert hosts * part_of_allowance(allowance, hosts - 1) <= allowance
+    assert hosts * host_retry_allowance(allowance, hosts - 1) <= allowance
 
 
 @then("all second sends together are at most {ratio:f} times {count:d} and {allowance:d}")
@@ -173,8 +183,10 @@
 
 @then("a request of an account of rank {rank:d} on a route of rank {route:d} has rank {whole:d}")
 def step_rank(context, rank, route, whole):
-    work = Work(make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0)
-    assert work.rank == whole
+    work = InFlightRequest(
+        make_request(), make_route(rank=route), Account("a", rank), "engines", 0.0, 1.0
+    )
+    assert work.priority == whole
 
 
 @then("a stream expected after {one:f} s is left after {first:f} s, {rest}")
@@ -182,16 +194,16 @@
     other, second = (float(number) for number in re.findall(r"[0-9.]+(?= s)", rest))
     member = make_placement(1).find("engine-0")
     for expected, patience in ((one, first), (other, second)):
-        seat = Seat(member, 0.0, expected, 0)
-        assert first_patience_s(make_work(), seat) == patience
+        seat = EndpointEstimate(member, 0.0, expected, 0)
+        assert first_event_timeout_s(make_work(), seat) == patience
 
 
 @then("its last attempt, and an order, are never left")
 def step_no_patience(context):
-    seat = Seat(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
+    seat = EndpointEstimate(make_placement(1).find("engine-0"), 0.0, 0.2, 0)
     last = make_work()
-    last.runs = 2
+    last.possible_runs = 2
     order = make_work()
-    order.route = make_route(repeat=Repeat.ONCE, attempts=1)
-    assert first_patience_s(last, seat) is None and first_patience_s(order, seat) is None
-    assert gap_patience_s(order) is None
+    order.route = make_route(repeat=RepeatPolicy.ONCE, attempts=1)
+    assert first_event_timeout_s(last, seat) is None and first_event_timeout_s(order, seat) is None
+    assert event_gap_timeout_s(order) is None
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -3,10 +3,17 @@
 
 from behave import given, then, when
 
-from poplarrun.clients import BLOCK_WORDS, CacheEvent, HostKind, HostState, ListedHost, LoadReport
+from poplarrun.clients import (
+    WORDS_PER_BLOCK,
+    CacheEvent,
+    HostKind,
+    HostState,
+    ListedHost,
+    LoadReport,
+)
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import EndpointTable, LoadSharing, PromptProfile, assign_endpoints
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 
 VERSION = VersionId("larch", "1")
 
@@ -165,7 +172,7 @@
 
 
 def choose_for_prompt(context, at):
-    prompt = PromptProfile(len(context.blocks) * BLOCK_WORDS, context.blocks)
+    prompt = PromptProfile(len(context.blocks) * WORDS_PER_BLOCK, context.blocks)
     return context.endpoint_table.choose_engine(VERSION, at, (), prompt).endpoint.name
 
 
@@ -198,7 +205,7 @@
 
 @given('load sharing between hosts "{hosts}" with engines "{engines}" in zone "{zone}"')
 def step_sharing(context, hosts, engines, zone):
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     context.engines = names_of(engines)
     context.sharing, context.tables = {}, {}
     for host in names_of(hosts):
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -4,9 +4,9 @@
 
 from bench.load_limits import LimitRun
 from features.steps.endpoints import names_of
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.errors import ErrorKind
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.limits import (
     LOAN_MESSAGE,
     ROUND_INTERVAL_S,
@@ -79,7 +79,7 @@
 
     def __init__(self, limits, zones="aa"):
         self.zones = zones
-        self.network = MemoryNetwork()
+        self.network = MemoryPeerNetwork()
         self.account = ClientAccount("acme", (), ("*",), ("*",), (), limits)
         self.hosts = {}
         for number in (1, 2):
@@ -115,17 +115,17 @@
 
 @given("account limits of 2 hosts for {rate:d} requests a second")
 def step_rate(context, rate):
-    context.clock = LimitClock(Limits(requests_per_second=float(rate)))
+    context.clock = LimitClock(AccountLimitSettings(requests_per_second=float(rate)))
 
 
 @given("account limits of 2 hosts for {streams:d} concurrent streams")
 def step_streams(context, streams):
-    context.clock = LimitClock(Limits(concurrent_streams=streams))
+    context.clock = LimitClock(AccountLimitSettings(concurrent_streams=streams))
 
 
 @given("account limits of 2 hosts for {amount:f} spent a day")
 def step_spend(context, amount):
-    context.clock = LimitClock(Limits(spend_per_day=amount))
+    context.clock = LimitClock(AccountLimitSettings(spend_per_day=amount))
 
 
 @then("the first request at each host is admitted")
--- a/features/steps/log_signatures.py
+++ b/features/steps/log_signatures.py
@@ -11,8 +11,14 @@
     encode_lease_record,
     fold_lease_entry,
 )
-from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, seal_record
-from poplarrun.versions import ROLLOUTS_STREAM, Granted, Rollouts, encode_rollout, fold_rollout
+from poplarrun.log import Entry, LogKeys, MemoryLog, SignedLog, sign_log_record
+from poplarrun.versions import (
+    ROLLOUTS_STREAM,
+    BudgetGrant,
+    RolloutTable,
+    encode_rollout,
+    fold_rollout,
+)
 
 KEYS = {"first": b"first-key-of-the-hosts", "second": b"second-key-of-the-hosts"}
 STREAM = "billing-00"
@@ -27,7 +33,7 @@
 
 @given('a host\'s record in stream "{stream}", {changed}, read with keys "{keys}"')
 def step_record(context, stream, changed, keys):
-    sealed = seal_record(stream, BILL, KEYS["first"])
+    sealed = sign_log_record(stream, BILL, KEYS["first"])
     log = MemoryLog()
     match changed:
         case "with another byte at its end":
@@ -35,7 +41,7 @@
         case "cut to half its length":
             sealed = sealed[: len(sealed) // 2]
         case "moved to another stream":
-            sealed = seal_record("billing-01", BILL, KEYS["first"])
+            sealed = sign_log_record("billing-01", BILL, KEYS["first"])
         case "without its signature":
             sealed = BILL
     log.append(stream, sealed)
@@ -64,7 +70,7 @@
 @when("the forger appends a bill, an outcome, a lease and a roll-out")
 def step_forge(context):
     outcome = Outcome("c1", "shop", "k", Lost("forged"))
-    grant = Granted("g", "note", "larch:1", 0, 0, {"a1/1": 100})
+    grant = BudgetGrant("g", "note", "larch:1", 0, 0, {"a1/1": 100})
     log = context.forged_log
     log.append(STREAM, BILL)
     log.append(CLAIMS, encode_batch([outcome]))
@@ -91,7 +97,7 @@
     for entry in read_all(context, LEASE_STREAM):
         table, _ = fold_lease_entry(table, entry)
     assert not table.jobs and table.read_to == 0
-    state = Rollouts()
+    state = RolloutTable()
     for entry in read_all(context, ROLLOUTS_STREAM):
         state = fold_rollout(state, entry)
     assert state.states == {} and state.read_to == 0
--- a/features/steps/refused_bills.py
+++ b/features/steps/refused_bills.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from poplarrun.billing import Bill, BillReplicator, read_statement
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
-from poplarrun.log import MemoryLog, ThreadedLog, call_here
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
+from poplarrun.log import MemoryLog, ThreadedLog, call_inline
 from standins.histories import run_virtual
 
 HOSTS = {"a1": "a", "b1": "b", "c1": "c"}
@@ -18,11 +18,11 @@
 
 async def refuse_and_isolate(log):
     loop = asyncio.get_running_loop()
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     replicators = {
         name: BillReplicator(
             MemoryPeers(network, Peer(name, zone, "r", 1)),
-            ThreadedLog(log, call_here),
+            ThreadedLog(log, call_inline),
             loop.time,
             loop.time,
         )
--- a/poplarrun/billing/_reader.py
+++ b/poplarrun/billing/_reader.py
@@ -1,7 +1,7 @@
 """Reads one billing stream into its totals, also if its first records are gone."""
 
 from poplarrun.billing._totals import BillTotals
-from poplarrun.log import Entry, Page, PartCollector, WholeSnapshot
+from poplarrun.log import Entry, Page, SnapshotAssembler, StreamSnapshot
 
 
 class ShardReader:
@@ -17,7 +17,7 @@
         The state of the stream up to ``position``.
     position : int
         The next offset to read.
-    snapshot : WholeSnapshot, optional
+    snapshot : StreamSnapshot, optional
         The last complete snapshot that was read, without its data.
     bytes_since_snapshot : int
         Bytes of the records after it.
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self.totals = BillTotals()
         self.position = 0
-        self.snapshot: WholeSnapshot | None = None
+        self.snapshot: StreamSnapshot | None = None
         self.bytes_since_snapshot = 0
         self.snapshot_bytes = 0
         self.horizon = 0
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
         # Offset at which the search for a snapshot started; None while records are folded.
         self._searched_from: int | None = None
 
@@ -55,7 +55,7 @@
 
     def _start_search(self, horizon: int) -> None:
         self.position = self._searched_from = horizon
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
 
     def _apply_entry(self, entry: Entry) -> bool:
         """Apply one entry; tell whether to continue reading from another position."""
@@ -66,9 +66,9 @@
         whole = self._parts.add(entry)
         if whole is None:
             return False
-        self.snapshot = WholeSnapshot(whole.through, whole.at, b"")
+        self.snapshot = StreamSnapshot(whole.last_offset, whole.written_at, b"")
         self.snapshot_bytes, self.bytes_since_snapshot = len(whole.data), 0
-        if self._searched_from is None or whole.through + 1 < self._searched_from:
+        if self._searched_from is None or whole.last_offset + 1 < self._searched_from:
             return False
         restored = BillTotals.restore(whole)
         if restored is not None:
@@ -79,4 +79,4 @@
         self.totals = totals
         self.position = totals.next_offset
         self._searched_from = None
-        self._parts = PartCollector()
+        self._parts = SnapshotAssembler()
--- a/poplarrun/billing/_replicator.py
+++ b/poplarrun/billing/_replicator.py
@@ -12,7 +12,7 @@
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog
 from poplarrun.metrics import ignore_event
-from poplarrun.rendezvous import Ranking
+from poplarrun.rendezvous import RankingCache
 
 REPLICATE_MESSAGE = "billing.keep"
 REPLICA_COUNT = 2
@@ -98,7 +98,7 @@
         self._replicas_of: dict[str, list[str]] = {}
         self._logged_ids_for: dict[str, list[str]] = {}
         self._live_before: set[HostIncarnation] = set()
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
         peers.serve(REPLICATE_MESSAGE, self._serve_replicate)
 
     @property
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -8,7 +8,7 @@
 from poplarrun.hosts import Peers
 from poplarrun.log import AsyncLog, Page, append_parts, split_snapshot
 from poplarrun.metrics import ignore_event
-from poplarrun.rendezvous import Ranking
+from poplarrun.rendezvous import RankingCache
 
 # A page is folded in one step of the event loop, with 60 bills in each record at the expected load
 # in two years.
@@ -55,7 +55,7 @@
         self._count = count
         self._readers: dict[int, ShardReader] = {}
         self._tried_at: dict[int, float] = {}
-        self._ranking = Ranking()
+        self._ranking = RankingCache()
 
     async def write_due_snapshots(self) -> None:
         """Read the owned shards, and write the snapshots that are due."""
@@ -86,12 +86,12 @@
         tried_at = self._tried_at.get(shard)
         if tried_at is not None and self._now() - tried_at < SNAPSHOT_RETRY_INTERVAL_S:
             return False
-        through = -1 if reader.snapshot is None else reader.snapshot.through
+        through = -1 if reader.snapshot is None else reader.snapshot.last_offset
         since = reader.totals.next_offset - 1 - through
         if not since:
             return False
         if reader.snapshot is not None:
-            if self._wall() - reader.snapshot.at >= SNAPSHOT_INTERVAL_S:
+            if self._wall() - reader.snapshot.written_at >= SNAPSHOT_INTERVAL_S:
                 return True
             # Retention drops records sooner than the interval assumes: half of the remaining ones
             # are older than the last snapshot.
--- a/poplarrun/billing/_totals.py
+++ b/poplarrun/billing/_totals.py
@@ -8,7 +8,7 @@
 
 from poplarrun.billing._recent_ids import DEDUPLICATION_WINDOW_S, Generation, RecentIds, hash_id
 from poplarrun.billing._records import Bill, decode_bills
-from poplarrun.log import Entry, WholeSnapshot
+from poplarrun.log import Entry, StreamSnapshot
 
 DAY_S = 86400
 RETENTION_DAYS = 400
@@ -81,22 +81,22 @@
         for bill in bills:
             self._fold_bill(bill)
 
-    def take_snapshot(self, at: float) -> WholeSnapshot:
+    def take_snapshot(self, at: float) -> StreamSnapshot:
         """Return a snapshot after the last folded record; equal states give equal bytes."""
         sums = [(*key, count, str(units)) for key, (count, units) in sorted(self._sums.items())]
         provisional = [
             (i, *o.key, str(o.units), o.clock) for i, o in sorted(self._provisional.items())
         ]
         state = _EncodedTotals(self._clock, self.missing_below, sums, provisional, self._ids.save())
-        return WholeSnapshot(self.next_offset - 1, at, _encode(state))
+        return StreamSnapshot(self.next_offset - 1, at, _encode(state))
 
     @classmethod
-    def restore(cls, snapshot: WholeSnapshot) -> "BillTotals | None":
+    def restore(cls, snapshot: StreamSnapshot) -> "BillTotals | None":
         """Return the state of a snapshot; None if it can't be decoded."""
         try:
             state = _decoder.decode(snapshot.data)
             totals = cls(state.missing_below)
-            totals.next_offset = snapshot.through + 1
+            totals.next_offset = snapshot.last_offset + 1
             totals._clock = state.clock
             for account, item, day, is_late, count, units in state.sums:
                 totals._sums[TotalKey(account, item, day, is_late)] = (count, int(units))
--- a/poplarrun/endpoints/_choice.py
+++ b/poplarrun/endpoints/_choice.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Container
 from dataclasses import dataclass, field
 
-from poplarrun.clients import BLOCK_WORDS as BLOCK_TOKENS
+from poplarrun.clients import WORDS_PER_BLOCK as BLOCK_TOKENS
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints._endpoint import Endpoint
 from poplarrun.endpoints._pool import Pool
@@ -132,7 +132,7 @@
         # host's endpoint must be clearly less loaded to be worth the uncertainty. Where hardly any
         # other host sends requests, there is no such uncertainty.
         slots = sum(endpoint.capacity for endpoint in pool.owned)
-        frees_soon = slots > 0 and pool.speed.whole_s / slots < SLOT_FREE_TIME_S
+        frees_soon = slots > 0 and pool.speed.mean_request_s / slots < SLOT_FREE_TIME_S
         has_background_load = pool.own_load_fraction() < EXCLUSIVE_LOAD_FRACTION
         max_load = MAX_SPILL_LOAD if may_wait and frees_soon and has_background_load else math.inf
         if best is None or best.load_after > 1.0:
@@ -207,12 +207,14 @@
         capacity = endpoint.capacity * self._compute_warmup(endpoint, now)
         requests = endpoint.estimate_requests(now, pool.background_load)
         pool.observe_own_load(endpoint.in_flight / endpoint.capacity)
-        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.whole_s
-        batch_s = requests / capacity * BATCH_COST_FRACTION * speed.whole_s
+        wait_s = max(0.0, requests + 1.0 - capacity) / capacity * speed.mean_request_s
+        batch_s = requests / capacity * BATCH_COST_FRACTION * speed.mean_request_s
         prefill_s = uncached * speed.prefill_s_per_token
         # A deprioritized endpoint counts as one with a full batch: still better than queueing.
         penalty_s = (
-            BATCH_COST_FRACTION * speed.whole_s if now < endpoint.deprioritized_until else 0.0
+            BATCH_COST_FRACTION * speed.mean_request_s
+            if now < endpoint.deprioritized_until
+            else 0.0
         )
         first_token_s = (
             wait_s + batch_s + penalty_s + prefill_s + self._compute_link_cost(endpoint.zone)
--- a/poplarrun/endpoints/_pool.py
+++ b/poplarrun/endpoints/_pool.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from poplarrun.endpoints._endpoint import BackgroundLoadModel, Endpoint
-from poplarrun.rendezvous import home_of, salt_of
+from poplarrun.rendezvous import choose_owner, hash_name
 from poplarrun.speeds import PoolSpeed
 
 # At most this fraction of a pool is ejected for broken answers. If the requests themselves cause
@@ -91,7 +91,7 @@
         self.owned = [e for e in self.same_zone if e.name in self.owned_names]
         self._preferred.clear()
         self._eligible = {e.name for e in eligible}
-        self.hash_salts = [(e.name, salt_of(e.name)) for e in self.same_zone or self.other_zones]
+        self.hash_salts = [(e.name, hash_name(e.name)) for e in self.same_zone or self.other_zones]
         self.refresh_at = min((e.paused_until for e in paused), default=float("inf"))
 
     def add_refusing(self, attempted: Container[str]) -> Container[str]:
@@ -108,7 +108,7 @@
         if key not in self._preferred:
             if len(self._preferred) >= MAX_PREFERRED_CACHED:
                 self._preferred.clear()
-            self._preferred[key] = home_of(key, self.hash_salts)
+            self._preferred[key] = choose_owner(key, self.hash_salts)
         return self._preferred[key]
 
     def sample_owned(self, rng: random.Random, count: int, avoid: Container[str]) -> list[Endpoint]:
--- a/poplarrun/endpoints/_sharing.py
+++ b/poplarrun/endpoints/_sharing.py
@@ -144,7 +144,7 @@
 
     def apply_published(self, now: float) -> None:
         """Apply the summaries that other hosts published since the last call."""
-        summaries = self._peers.gathered(LOAD_TOPIC)
+        summaries = self._peers.collect_summaries(LOAD_TOPIC)
         for host, payload in summaries.own_zone.items():
             if host != self._peers.me.name:
                 self._apply(host, _decode(payload), now)
--- a/poplarrun/gateway/_exchange.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -4,32 +4,32 @@
 from dataclasses import dataclass
 
 from poplarrun.dispatch import (
-    AnswerFailed,
     Attempt,
-    ConnectionBroke,
-    Dispatch,
+    ConnectionLost,
+    Dispatcher,
+    ErrorResponse,
     Failure,
     Garbled,
     NoConnection,
-    SaidNotRun,
-    Send,
-    TookTooLong,
-    first_patience_s,
-    gap_patience_s,
+    NotExecuted,
+    ResponseTimeout,
+    SendDecision,
+    event_gap_timeout_s,
+    first_event_timeout_s,
 )
-from poplarrun.errors import ErrorKind, NotRun, Refusal, answer_for
-from poplarrun.gateway._events import Event, EventCutter, NoEvents
+from poplarrun.errors import ErrorKind, NotRun, Refusal, response_for
+from poplarrun.gateway._event_stream import Event, EventParser, MalformedStream
 from poplarrun.gateway._records import RequestRecorder
-from poplarrun.gateway._sessions import SessionKeeping
-from poplarrun.platform import EndpointAnswer, decode_answer, encode_send
-from poplarrun.routing import Repeat, Work
+from poplarrun.gateway._sessions import SessionLookup
+from poplarrun.platform import EndpointAnswer, decode_answer, encode_request_headers
+from poplarrun.routing import InFlightRequest, RepeatPolicy
 from poplarrun.transport import (
-    Broken,
     CallerConnection,
     ClientConnection,
     ConnectFailed,
+    ConnectionBroken,
     ConnectionPool,
-    boot_time,
+    seconds_since_boot,
 )
 
 # Longest wait for a connection, in seconds. Both ways between zones take some 10 ms;
@@ -73,7 +73,7 @@
     body: bytes
 
 
-class Exchange:
+class RequestForwarder:
     """One admitted request.
 
     Parameters
@@ -84,12 +84,12 @@
 
     def __init__(
         self,
-        dispatch: Dispatch,
+        dispatch: Dispatcher,
         pool: ConnectionPool,
         caller: CallerConnection,
-        work: Work,
+        work: InFlightRequest,
         recorder: RequestRecorder,
-        sessions: SessionKeeping,
+        sessions: SessionLookup,
     ) -> None:
         self._dispatch = dispatch
         self._pool = pool
@@ -106,10 +106,10 @@
         """Answer the caller, by a whole answer, a refusal or a break-off."""
         work = self._work
         try:
-            async with asyncio.timeout(max(0.0, work.left_s(boot_time()))):
+            async with asyncio.timeout(max(0.0, work.remaining_s(seconds_since_boot()))):
                 refusal = await self._try_endpoints()
         except TimeoutError:
-            self._end_attempt(TookTooLong(boot_time() - work.arrived_at))
+            self._end_attempt(ResponseTimeout(seconds_since_boot() - work.arrived_at))
             refusal = self._out_of_time()
         except asyncio.CancelledError:
             self._recorder.left(work)
@@ -121,12 +121,12 @@
 
     async def _try_endpoints(self) -> Refusal | None:
         """Send until an answer is whole; None when the caller has it."""
-        if not await self._sessions.learn(self._work):
+        if not await self._sessions.resolve(self._work):
             self._recorder.unanswered()
         while True:
-            now = boot_time()
-            step = self._dispatch.choose(self._work, now)
-            self._recorder.chosen(self._work, boot_time() - now)
+            now = seconds_since_boot()
+            step = self._dispatch.choose_endpoint(self._work, now)
+            self._recorder.chosen(self._work, seconds_since_boot() - now)
             if isinstance(step, Refusal):
                 return step
             try:
@@ -139,9 +139,9 @@
                 if refusal is not None:
                     return refusal
 
-    async def _try_one(self, step: Send) -> bool:
+    async def _try_one(self, step: SendDecision) -> bool:
         """Send once; False when a larger model is to be asked instead."""
-        is_stream = self._work.route.repeat is Repeat.STREAM
+        is_stream = self._work.route.repeat_policy is RepeatPolicy.STREAM
         opened = await self._open(step)
         answer = opened.answer
         if answer.status not in SUCCESS:
@@ -157,57 +157,57 @@
     def _drop_for_larger(self, opened: _Open) -> bool:
         """Drop a doubtful answer, of which the caller has seen nothing."""
         confidence = opened.answer.confidence
-        now = boot_time()
+        now = seconds_since_boot()
         if self._is_started or confidence is None:
             return False
-        if not self._dispatch.ask_larger(self._work, opened.attempt, confidence, now):
+        if not self._dispatch.try_escalate(self._work, opened.attempt, confidence, now):
             return False
         self._attempt = None
         self._abort_connection()
         self._recorder.dropped(self._work, confidence)
         return True
 
-    async def _open(self, step: Send) -> _Open:
+    async def _open(self, step: SendDecision) -> _Open:
         """Connect, send and wait for the head of the answer."""
         connection = await self._connect(step)
         self._connection = connection
         work = self._work
         # Nothing may be awaited between this check and the hand-over: a request that
         # waited, or a host that was suspended, would send what is due to be refused.
-        now = boot_time()
+        now = seconds_since_boot()
         refusal = self._dispatch.recheck(work, now)
         if refusal is not None:
             raise RefusedError(refusal)
-        lifetime = step.seat.member.listing.lifetime
-        is_resumed, work.size = work.last_event is not None, step.size
-        headers = encode_send(work, lifetime, work.left_s(now), step.urgency)
+        lifetime = step.estimate.endpoint.record.instance_id
+        is_resumed, work.model_size = work.last_event_id is not None, step.size
+        headers = encode_request_headers(work, lifetime, work.remaining_s(now), step.urgency)
         request = work.request
         is_sent = connection.send(request.method, request.target, headers, request.body)
         if not is_sent:
             raise AttemptError(NoConnection("closed before the send"))
-        attempt = self._dispatch.note_sent(work, step, now)
+        attempt = self._dispatch.record_sent(work, step, now)
         self._attempt = attempt
         # What may run only once is left to end although its caller has gone: whether it
         # ran would stay unknown otherwise.
-        self._caller.is_shielded = not work.route.may_repeat
+        self._caller.is_shielded = not work.route.can_repeat
         self._recorder.sent(work, step, now, is_resumed)
-        patience_s = first_patience_s(work, step.seat)
+        patience_s = first_event_timeout_s(work, step.estimate)
         try:
             async with asyncio.timeout(patience_s):
                 head = await connection.read_head()
         except TimeoutError as error:
-            raise AttemptError(TookTooLong(boot_time() - attempt.sent_at)) from error
-        except Broken as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+            raise AttemptError(ResponseTimeout(seconds_since_boot() - attempt.sent_at)) from error
+        except ConnectionBroken as error:
+            raise AttemptError(ConnectionLost(str(error))) from error
         answer = decode_answer(head.status, head.headers)
         attempt.confidence = answer.confidence
         self._check_answer(answer, connection)
         return _Open(attempt, connection, answer)
 
-    async def _connect(self, step: Send) -> ClientConnection:
-        listing = step.seat.member.listing
-        if self._work.route.may_repeat:
-            idle = self._pool.take_idle(listing.address, listing.lifetime)
+    async def _connect(self, step: SendDecision) -> ClientConnection:
+        listing = step.estimate.endpoint.record
+        if self._work.route.can_repeat:
+            idle = self._pool.acquire_idle(listing.address, listing.instance_id)
             if idle is not None:
                 return idle
         # What may run only once gets a connection of its own: on one that was used
@@ -225,14 +225,14 @@
             raise AttemptError(Garbled("answers another request"))
         # Without an id, only the first answer on a connection is surely this one's.
         if answer.is_not_run and (is_ours or connection.uses == 1):
-            raise AttemptError(SaidNotRun(answer.status, answer.status == 421))
+            raise AttemptError(NotExecuted(answer.status, answer.status == 421))
         if not answer.is_genuine or not is_ours:
             raise AttemptError(Garbled("bears no signature"))
 
     async def _relay_whole(self, opened: _Open) -> None:
         body = await self._read_body(opened)
-        now = boot_time()
-        self._dispatch.note_first(self._work, opened.attempt, now)
+        now = seconds_since_boot()
+        self._dispatch.record_first_event(self._work, opened.attempt, now)
         self._recorder.first(self._work, opened.attempt)
         self._end_well(opened, now)
         self._is_started = True
@@ -243,7 +243,7 @@
         body = await self._read_body(opened)
         self._give_back(opened)
         self._failed_answer = _Whole(opened.answer, body)
-        raise AttemptError(AnswerFailed(opened.answer.status))
+        raise AttemptError(ErrorResponse(opened.answer.status))
 
     async def _read_body(self, opened: _Open) -> bytes:
         parts: list[bytes] = []
@@ -254,13 +254,13 @@
                 size += len(data)
                 if size > MOST_ANSWER_BYTES:
                     raise AttemptError(Garbled("the answer is too large"))
-        except Broken as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+        except ConnectionBroken as error:
+            raise AttemptError(ConnectionLost(str(error))) from error
         return b"".join(parts)
 
     async def _relay_stream(self, opened: _Open) -> None:
-        cutter = EventCutter()
-        patience_s = first_patience_s(self._work, opened.attempt.seat)
+        cutter = EventParser()
+        patience_s = first_event_timeout_s(self._work, opened.attempt.estimate)
         try:
             while True:
                 async with asyncio.timeout(patience_s):
@@ -270,32 +270,32 @@
                 events = cutter.feed(data)
                 if events:
                     await self._pass_on(opened, events)
-                    patience_s = gap_patience_s(self._work)
+                    patience_s = event_gap_timeout_s(self._work)
         except TimeoutError as error:
-            raise AttemptError(TookTooLong(patience_s or 0.0)) from error
-        except (Broken, NoEvents) as error:
-            raise AttemptError(ConnectionBroke(str(error))) from error
+            raise AttemptError(ResponseTimeout(patience_s or 0.0)) from error
+        except (ConnectionBroken, MalformedStream) as error:
+            raise AttemptError(ConnectionLost(str(error))) from error
         if not cutter.is_between:
-            raise AttemptError(ConnectionBroke("ended inside an event"))
+            raise AttemptError(ConnectionLost("ended inside an event"))
         if not self._is_started:
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
             self._is_started = True
-        self._end_well(opened, boot_time())
-        self._caller.finish()
+        self._end_well(opened, seconds_since_boot())
+        self._caller.end_response()
 
     async def _pass_on(self, opened: _Open, events: list[Event]) -> None:
         """Send whole events to the caller, each once and in order."""
-        if opened.attempt.first_at is None:
-            self._dispatch.note_first(self._work, opened.attempt, boot_time())
+        if opened.attempt.first_event_at is None:
+            self._dispatch.record_first_event(self._work, opened.attempt, seconds_since_boot())
             self._recorder.first(self._work, opened.attempt)
-        opened.attempt.note_events(len(events), boot_time())
+        opened.attempt.record_events(len(events), seconds_since_boot())
         due = self._due(events)
         if not due:
             return
         if not self._is_started:
             self._is_started = True
             self._caller.start_stream(opened.answer.status, list(opened.answer.headers))
-        await self._caller.push(b"".join(event.data for event in due))
+        await self._caller.send_chunk(b"".join(event.data for event in due))
 
     def _due(self, events: list[Event]) -> list[Event]:
         """Return the events that follow those that the caller has."""
@@ -305,46 +305,48 @@
             if event.id is None:
                 due.append(event)
                 continue
-            before = work.last_event
+            before = work.last_event_id
             if before is not None and event.id <= before:
                 continue
             if before is not None and event.id > before + 1:
                 raise AttemptError(Garbled(f"event {event.id} follows {before}"))
-            work.last_event = event.id
+            work.last_event_id = event.id
             due.append(event)
         return due
 
     def _end_well(self, opened: _Open, now: float) -> None:
         self._attempt = None
         self._give_back(opened)
-        self._dispatch.note_end(self._work, opened.attempt, now)
+        self._dispatch.record_completed(self._work, opened.attempt, now)
         self._recorder.answered(self._work, opened.answer.status, opened.attempt)
 
     def _give_back(self, opened: _Open) -> None:
         self._connection = None
-        lifetime = opened.attempt.seat.member.listing.lifetime
-        self._pool.give_back(opened.connection, lifetime)
+        lifetime = opened.attempt.estimate.endpoint.record.instance_id
+        self._pool.release(opened.connection, lifetime)
 
-    def _learn(self, step: Send, failure: Failure) -> Refusal | None:
+    def _learn(self, step: SendDecision, failure: Failure) -> Refusal | None:
         """Close a broken send; None where another one follows."""
         attempt, self._attempt = self._attempt, None
         self._abort_connection()
-        refusal = self._dispatch.note_failure(
-            self._work, step.seat.member, attempt, failure, boot_time()
+        refusal = self._dispatch.handle_failure(
+            self._work, step.estimate.endpoint, attempt, failure, seconds_since_boot()
         )
         self._recorder.failed(self._work, step, failure, refusal is not None)
         return refusal
 
     def _end_attempt(self, failure: Failure) -> None:
         if self._attempt is not None:
-            member = self._attempt.seat.member
+            member = self._attempt.estimate.endpoint
             attempt, self._attempt = self._attempt, None
-            self._dispatch.note_failure(self._work, member, attempt, failure, boot_time())
+            self._dispatch.handle_failure(
+                self._work, member, attempt, failure, seconds_since_boot()
+            )
 
     def _drop_attempt(self) -> None:
         """Stop what is still under way at an endpoint: nobody waits for it."""
         if self._attempt is not None:
-            self._dispatch.note_abandoned(self._attempt)
+            self._dispatch.record_cancelled(self._attempt)
             self._attempt = None
         self._abort_connection()
 
@@ -362,7 +364,7 @@
         """Tell the caller that there is no answer, or break a begun one off."""
         if self._is_started:
             self._recorder.refused(self._work, refusal, True)
-            self._caller.break_off()
+            self._caller.abort_response()
             return
         if self._failed_answer is not None:
             answer = self._failed_answer.answer
@@ -375,7 +377,7 @@
 
 def respond_refusal(caller: CallerConnection, refusal: Refusal) -> None:
     """Answer with a refusal; 429 and 503 promise that the request has not run."""
-    answer = answer_for(refusal.kind)
+    answer = response_for(refusal.kind)
     headers = [(b"Content-Type", b"text/plain")]
     retry_s = refusal.retry_after_s if refusal.retry_after_s is not None else answer.retry_after_s
     if retry_s is not None and answer.not_run is NotRun.YES:
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from poplarrun.contracts import ClientAccount, Limits
+from poplarrun.contracts import AccountLimitSettings, ClientAccount
 from poplarrun.errors import ErrorKind
-from poplarrun.hosts import Gathered, Peers
+from poplarrun.hosts import CollectedSummaries, Peers
 from poplarrun.limits._account import AccountState, list_limit_kinds
 from poplarrun.limits._buckets import Spend
 from poplarrun.limits._loans import (
@@ -116,7 +116,7 @@
         self, account: ClientAccount, tokens: int, now: float, is_stream: bool = True
     ) -> LimitExceeded | None:
         """Admit and count a request, or return the exceeded limit and a delay to retry after."""
-        if account.limits == Limits():
+        if account.limits == AccountLimitSettings():
             return None
         state = self._get_state(account)
         state.requests.requested += 1
@@ -222,13 +222,17 @@
         )
         self._round_ends_at = now + round_s - ROUND_INTERVAL_S / 2.0
         self._begin_day(int(wall_s // SECONDS_PER_DAY))
-        gathered = self._peers.gathered(LIMITS_TOPIC)
+        gathered = self._peers.collect_summaries(LIMITS_TOPIC)
         own_zone, other_zones = self._decode_others(gathered)
         if not self._update_startup(other_zones):
             return
         silent, is_current = self._classify_zones(gathered)
         summary: Summary = {}
-        limited = {account.name: account for account in accounts if account.limits != Limits()}
+        limited = {
+            account.name: account
+            for account in accounts
+            if account.limits != AccountLimitSettings()
+        }
         for name in self._accounts.keys() - limited.keys():
             del self._accounts[name]
         for name, account in limited.items():
@@ -275,7 +279,7 @@
     def _get_state(self, account: ClientAccount) -> AccountState:
         state = self._accounts.get(account.name)
         if state is None:
-            state = self._accounts[account.name] = AccountState(Limits())
+            state = self._accounts[account.name] = AccountState(AccountLimitSettings())
         if state.limits is not account.limits:
             state.limits = account.limits
             new = [kind for kind in list_limit_kinds(account.limits) if kind not in state.shares]
@@ -286,14 +290,16 @@
     def _compute_initial_shares(
         self, name: str, kinds: Iterable[LimitKind]
     ) -> dict[LimitKind, float]:
-        gathered = self._peers.gathered(LIMITS_TOPIC)
+        gathered = self._peers.collect_summaries(LIMITS_TOPIC)
         own, other_zones = self._decode_others(gathered)
         return {
             kind: self._startup.compute_initial_fraction(name, kind, own, other_zones)
             for kind in kinds
         }
 
-    def _decode_others(self, gathered: Gathered) -> tuple[dict[str, Summary], dict[str, Summary]]:
+    def _decode_others(
+        self, gathered: CollectedSummaries
+    ) -> tuple[dict[str, Summary], dict[str, Summary]]:
         own = {
             host: decode(payload)
             for host, payload in gathered.own_zone.items()
@@ -336,7 +342,7 @@
             state.spend = Spend(usable=state.spend.usable)
             state.spent_by_host.clear()
 
-    def _classify_zones(self, gathered: Gathered) -> tuple[frozenset[str], bool]:
+    def _classify_zones(self, gathered: CollectedSummaries) -> tuple[frozenset[str], bool]:
         others = [zone for zone in self._peers.zones() if zone.zone != self._peers.me.zone]
         silent = frozenset(zone.zone for zone in others if zone.silent)
         late = [zone for zone in others if not zone.silent and zone.silence_s > ZONE_LATE_TIMEOUT_S]
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -5,16 +5,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from poplarrun.clients import (
-    Engine,
-    EngineFailed,
-    HostKind,
-    HostList,
-    ListUnavailable,
-    LoadReport,
-)
+from poplarrun.clients import Engine, EngineFailed, HostKind, HostList, ListUnavailable, LoadReport
 from poplarrun.endpoints import Endpoint, EndpointTable, LoadSharing
-from poplarrun.hosts import ListedHosts, Peers
+from poplarrun.hosts import ListedHostTable, Peers
 from poplarrun.metrics import Metrics
 
 FIRST_REPORTS_BOUND_S = 2.0
@@ -59,7 +52,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.list_seen_at: float | None = None
-        self.entry_hosts = ListedHosts(metrics.count_event)
+        self.entry_hosts = ListedHostTable(metrics.count_event)
         self._peers = peers
         self._endpoints = table
         self._sharing = LoadSharing(peers, table)
@@ -88,7 +81,7 @@
                 self._metrics.count_event("host_list_failed")
             case listed:
                 self._endpoints.apply_host_list(listed, self._clock())
-                self.entry_hosts.take(listed, self._peers.zones(), self._clock())
+                self.entry_hosts.apply_list(listed, self._peers.zones(), self._clock())
                 self.list_seen_at = self.list_seen_at or self._clock()
 
     async def poll_loads(self) -> None:
@@ -99,7 +92,7 @@
 
     async def _poll_load(self, endpoint: Endpoint) -> None:
         began = self._clock()
-        match await self._in_thread(self._engine.report_load, endpoint.address):
+        match await self._in_thread(self._engine.fetch_load, endpoint.address):
             case LoadReport() as report:
                 now = self._clock()
                 self._endpoints.observe_link_latency(endpoint.zone, now - began)
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -8,32 +8,18 @@
 from functools import partial
 from typing import Any, TypeVar
 
-from poplarrun.admission import Held
+from poplarrun.admission import Queued
 from poplarrun.billing import Bill, BillReplicator, BillSnapshots
 from poplarrun.claims import ClaimManager
-from poplarrun.clients import (
-    Engine,
-    HostList,
-    HttpOrders,
-    Orders,
-    Ratings,
-    WeightStore,
-)
-from poplarrun.config import (
-    Accepted,
-    ConfigFollower,
-    Configuration,
-    Ignored,
-    Refused,
-    Verdict,
-)
+from poplarrun.clients import Engine, HostList, HttpOrders, Orders, Ratings, WeightStore
+from poplarrun.config import Accepted, ConfigFollower, Configuration, Ignored, Refused, Verdict
 from poplarrun.endpoints import EndpointTable
 from poplarrun.errors import ErrorKind, Refusal
 from poplarrun.hosts import Peers
 from poplarrun.leases import LeaseManager
 from poplarrun.limits import ROUND_INTERVAL_S, AccountLimits
 from poplarrun.log import Log, ThreadedLog
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.router import (
     AttemptFailed,
@@ -49,7 +35,6 @@
     SendOperation,
 )
 from poplarrun.server._endpoint_tasks import EndpointTasks
-from poplarrun.server._held import HeldChats
 from poplarrun.server._messages import (
     Explain,
     HostStatus,
@@ -61,12 +46,13 @@
 )
 from poplarrun.server._order_tasks import OrderTasks
 from poplarrun.server._peering import keys_of, make_peers, publish_offset, read_zones, sign_log
+from poplarrun.server._queued_chats import QueuedChats
 from poplarrun.server._readiness import Readiness
 from poplarrun.server._status import read_endpoint
 from poplarrun.server._tasks import Tasks
 from poplarrun.server._version_tasks import VersionTasks
 from poplarrun.settings import HostSettings
-from poplarrun.versions import SessionKeeper, Versions
+from poplarrun.versions import SessionRegistry, VersionManager
 
 HOST_LIST_POLL_S = 0.5
 LOAD_POLL_S = 0.25
@@ -132,7 +118,7 @@
         self._clock = clock
         self._endpoints = EndpointTable(settings.zone, random.Random(settings.name))
         self._limits = AccountLimits(self.peers)
-        self._held = HeldChats()
+        self._held = QueuedChats()
         self._pool = ThreadPoolExecutor(BLOCKING_THREADS, thread_name_prefix="platform")
         self._endpoint_tasks = EndpointTasks(
             self._endpoints, self.peers, host_list, engine, self.metrics, self._in_thread, clock
@@ -143,7 +129,7 @@
         self.billing = BillReplicator(self.peers, awaited_log, clock, time.time, count)
         self._bill_snapshots = BillSnapshots(self.peers, awaited_log, clock, time.time, count)
         bias = settings.platform.ratings_bias
-        versions = Versions(self.peers.me, random.Random(settings.name), bias)
+        versions = VersionManager(self.peers.me, random.Random(settings.name), bias)
         self.leases = LeaseManager(
             awaited_log,
             self.peers,
@@ -154,9 +140,9 @@
         queue_bound = max(1, int(settings.limits.threads * QUEUED_SHARE_OF_THREADS))
         self.router = Router(self._endpoints, self.metrics, versions, queue_bound)
         self.router.context.limits = self._limits
-        self.router.operations.keeper = self.claims
+        self.router.operations.claims = self.claims
         self.router.operations.peers = self.peers
-        self.router.sessions.keeper = SessionKeeper(self.peers)
+        self.router.sessions.sessions = SessionRegistry(self.peers)
         self._version_tasks = VersionTasks(
             versions,
             self.peers,
@@ -189,7 +175,7 @@
             keys=keys_of(settings),
         )
         self._version_tasks.on_withdrawal = self.config.poll.wake
-        self._log = part_logger("host")
+        self._log = component_logger("host")
         self._tasks = Tasks(self.metrics)
         self.readiness = Readiness(
             settings.limits.threads,
@@ -246,11 +232,11 @@
 
     def _hand_entries_on(self) -> None:
         context = self.router.context
-        for bill in context.opened:
+        for bill in context.opened_bills:
             self.billing.open_bill(bill)
-        for bill_id in context.closed:
+        for bill_id in context.closed_bill_ids:
             self.billing.cancel_bill(bill_id)
-        context.opened, context.closed = [], []
+        context.opened_bills, context.closed_bill_ids = [], []
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         await asyncio.gather(*(self.billing.replicate(bill) for bill in bills))
@@ -276,7 +262,7 @@
             case CallFailed():
                 return self.router.operations.retry(message)
             case FirstToken():
-                return self.router.chats.note_first_token(message, now)
+                return self.router.chats.record_first_token(message, now)
             case JudgeChat():
                 return self.router.chats.judge(message, now)
             case EndChat():
@@ -303,7 +289,7 @@
 
     def _begin_chat(self, message: BeginChat, now: float) -> Any:
         answer = self.router.chats.begin(message, now)
-        if not isinstance(answer, Held):
+        if not isinstance(answer, Queued):
             return answer
         started = self._held.hold(message.request_id)
         # It may have taken the place of a less important one, which hears now.
@@ -323,7 +309,7 @@
         return await answer if asyncio.iscoroutine(answer) else answer
 
     def _answer_held(self) -> None:
-        self._held.answer(self.router.chats.release(self._clock()))
+        self._held.answer(self.router.chats.release_queued(self._clock()))
 
     async def _release_held(self) -> None:
         if len(self._held):
@@ -396,7 +382,7 @@
             region=self.settings.region,
             ready=self.readiness.is_ready,
             offset=configuration.offset,
-            log_age_s=round(now - self.config.log_answered_at, 3),
+            log_age_s=round(now - self.config.log_read_at, 3),
             open_requests=self.router.open_requests,
             endpoints=tuple(read_endpoint(e, now) for e in self._endpoints.list_endpoints()),
             withdrawn=tuple(sorted(configuration.withdrawn)),
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -12,17 +12,17 @@
 from poplarrun.clients import (
     EngineModels,
     HostKind,
+    OrderAccepted,
     OrderFenced,
     Orders,
-    OrderTaken,
-    TakesNoOrders,
+    OrdersUnsupported,
     WeightStore,
 )
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import Endpoint
 from poplarrun.hosts import Peers
 from poplarrun.leases import Lease, LeaseManager
-from poplarrun.logs import part_logger
+from poplarrun.logging import component_logger
 from poplarrun.metrics import Metrics
 from poplarrun.orders import (
     DEMAND_TOPIC,
@@ -109,7 +109,7 @@
         self._beside: set[asyncio.Task[None]] = set()
         self._heard: dict[str, OrdersSummary] = {}
         self.holder = OrderController(random.Random(peers.me.name))
-        self._log = part_logger("orders")
+        self._log = component_logger("orders")
 
     def read_status(self) -> tuple[OrdersStatus, ...]:
         """Tell which versions come and go in each zone, for operators."""
@@ -202,7 +202,7 @@
         match await self._in_thread(self._orders.read_models, engine.address):
             case EngineModels() as models:
                 self.holder.apply_models(engine.name, models, self._clock())
-            case TakesNoOrders():
+            case OrdersUnsupported():
                 self._no_orders_until[engine.name] = self._clock() + NO_ORDERS_S
                 self.holder.forget(engine.name)
             case _:
@@ -239,7 +239,7 @@
             self._metrics.count_event("order_kept_back")
             return
         match await self._in_thread(self._orders.send, engine.address, action.order):
-            case OrderTaken():
+            case OrderAccepted():
                 self._metrics.count_event("order_sent")
                 self.holder.record_accepted_order(engine.name, action.order)
                 self._log.info(
@@ -271,7 +271,7 @@
 
     def _follow_orders(self) -> None:
         """Take over the drains and what comes, of every zone."""
-        gathered = self._peers.gathered(ORDERS_TOPIC)
+        gathered = self._peers.collect_summaries(ORDERS_TOPIC)
         own = [decode_orders(payload) for payload in gathered.own_zone.values()]
         heard = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
         heard[self._zone] = max(own, key=lambda s: s.revision, default=OrdersSummary())
@@ -284,18 +284,20 @@
         own_zone = self._heard.get(self._zone, OrdersSummary())
         # Room is given up after MIN_RESIDENCE_TIME_S at the earliest.
         waits = {**dict.fromkeys(own_zone.unplaced, MIN_RESIDENCE_TIME_S), **own_zone.load_times_s}
-        self._context.coming = {VersionId.parse(v): seconds for v, seconds in waits.items()}
+        self._context.expected_load_s = {
+            VersionId.parse(v): seconds for v, seconds in waits.items()
+        }
 
     def _demand(self) -> dict[str, DemandSummary]:
         """Return what each live host of the own zone tells; nothing counts as nothing applied."""
-        payloads = self._peers.gathered(DEMAND_TOPIC).own_zone
+        payloads = self._peers.collect_summaries(DEMAND_TOPIC).own_zone
         hosts = [peer.name for peer in self._peers.live() if peer.zone == self._zone]
         return {name: decode_demand(payloads.get(name, b"")) for name in hosts}
 
     def _other_zones(self) -> list[DemandSummary]:
         """Return what the zones tell that are heard; a silent one reaches no engine here."""
         silent = {view.zone for view in self._peers.zones() if view.silent}
-        payloads = self._peers.gathered(DEMAND_TOPIC).other_zones
+        payloads = self._peers.collect_summaries(DEMAND_TOPIC).other_zones
         return [decode_demand(p) for zone, p in payloads.items() if zone not in silent]
 
     def _needs(self, demand: DemandSummary) -> list[VersionNeed]:
