--- a/features/steps/claim_parts.py
+++ b/features/steps/claim_parts.py
@@ -71,7 +71,9 @@
 
 def append_snapshot(context, part_count):
     snapshot = context.old_fold.take_snapshot(context.wall)
-    parts = split_snapshot(StreamSnapshot(snapshot.through, snapshot.at, encode_batch([snapshot])))
+    parts = split_snapshot(
+        StreamSnapshot(snapshot.last_offset, snapshot.written_at, encode_batch([snapshot]))
+    )
     for part in parts[:part_count]:
         context.claim_log.append(STREAM, part)
     for entry in read_all(context.claim_log):
--- a/poplarrun/claims/_fold.py
+++ b/poplarrun/claims/_fold.py
@@ -99,7 +99,7 @@
 
     def restore(self, snapshot: Snapshot) -> None:
         """Replace the state by that of a snapshot."""
-        self.next_offset = snapshot.through + 1
+        self.next_offset = snapshot.last_offset + 1
         self._clock = snapshot.clock
         self._key_states = {(h.claim.account, h.claim.key): h for h in snapshot.key_states}
         self._claimed_at = dict(snapshot.claimed_at)
--- a/poplarrun/claims/_records.py
+++ b/poplarrun/claims/_records.py
@@ -82,11 +82,11 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
-    """The state of the fold after the record at offset ``through``.
+    """The state of the fold after the record at ``last_offset``.
 
     Attributes
     ----------
-    at : float
+    written_at : float
         When the snapshot was written, in seconds since the epoch.
     clock : float
         The fold's own clock, in seconds since the epoch.
@@ -96,8 +96,8 @@
         Times of claims and of released claims, by claim id.
     """
 
-    through: int
-    at: float
+    last_offset: int
+    written_at: float
     clock: float
     key_states: list[KeyState]
     claimed_at: dict[str, float]
--- a/poplarrun/claims/_shard.py
+++ b/poplarrun/claims/_shard.py
@@ -128,7 +128,7 @@
             self._pending_snapshot = snapshot
             self._ensure_append_task()
             return
-        parts = split_snapshot(StreamSnapshot(snapshot.through, snapshot.at, data))
+        parts = split_snapshot(StreamSnapshot(snapshot.last_offset, snapshot.written_at, data))
         self.append_count += len(parts)
         self._parts_task = asyncio.create_task(append_parts(self._log, self._stream, parts))
 
@@ -223,7 +223,7 @@
                 break
             for entry in page.entries:
                 snapshot = self._read_snapshot(entry)
-                if snapshot is not None and snapshot.through + 1 >= horizon:
+                if snapshot is not None and snapshot.last_offset + 1 >= horizon:
                     self.fold.restore(snapshot)
                     return
             position = page.entries[-1].offset + 1
@@ -233,7 +233,7 @@
         self.fold.fold(entry)
         snapshot = self._read_snapshot(entry)
         if snapshot is not None:
-            self._last_snapshot_at = snapshot.at
+            self._last_snapshot_at = snapshot.written_at
 
     def _read_snapshot(self, entry: Entry) -> Snapshot | None:
         """Return the snapshot in an entry, or the one of which the entry is the last part."""
