--- a/features/histories.feature
+++ b/features/histories.feature
@@ -14,16 +14,16 @@
       | an effect of a request never sent | an effect belongs to a request                     |
       | a call sent after its deadline    | nothing is sent after its deadline                 |
       | a refusal of what ran             | not run is true                                    |
-      | an answer cut short               | an answer is whole and its own                     |
+      | a truncated answer                | an answer is whole and its own                     |
       | another key's answer              | an answer is whole and its own                     |
       | an answer without an effect       | what is told as ran has run                        |
       | two answers to one request        | one answer a request                               |
-      | an answer to nobody               | an answer belongs to a request                     |
+      | an answer without a request       | an answer belongs to a request                     |
       | a second bill                     | one bill a request                                 |
       | a bill of what never ran          | only what ran is billed                            |
       | a lost bill                       | what was answered is billed                        |
       | a key that never settles          | each key is settled at last                        |
-      | a last word without an effect     | what is told as ran has run                        |
+      | a final answer without an effect  | what is told as ran has run                        |
 
   Scenario Outline: Seeded schedules of faults
     # Six hosts in three zones get operations whose callers repeat them at any host,
@@ -61,14 +61,14 @@
       | a version that the account lost        | an attempt's version is allowed       |
       | an attempt before any configuration    | an attempt's version is allowed       |
       | a version withdrawn at this host       | no attempt on a withdrawn version     |
-      | a withdrawal that a host forgot        | what is in force is what the log says |
-      | a withdrawal that comes late           | a withdrawal is in force soon         |
-      | a withdrawal late out of reach         | none                                  |
+      | a withdrawal that a host did not apply | what is in force is what the log says |
+      | a late withdrawal                      | a withdrawal is in force soon         |
+      | a late withdrawal, host out of reach   | none                                  |
       | a session that moves                   | a session keeps its version           |
       | a session that moves, an owner silent  | none                                  |
-      | a session that moves, too early silent | a session keeps its version           |
-      | a token not kept to                    | a token's version is kept             |
-      | an answer cut short                    | a clean end is of a whole answer      |
+      | a session that moves, silent later     | a session keeps its version           |
+      | a pinned version not used              | a token's version is kept             |
+      | a truncated answer                     | a clean end is of a whole answer      |
       | another request's answer               | a clean end is of a whole answer      |
       | another version's answer               | a clean end is of a whole answer      |
       | an answer of nothing                   | a clean end is of a whole answer      |
@@ -77,7 +77,7 @@
       | two answers                            | one answer a chat                     |
       | a second bill                          | one bill a chat                       |
       | a lost bill                            | an answered chat is billed            |
-      | a lost bill that only its host held    | none                                  |
+      | a lost bill that only its host had     | none                                  |
       | a bill of another usage                | a bill is of its own usage            |
       | a cascade's first answer not billed    | a bill is of its own usage            |
       | a bill of what never ran               | only a chat that ran is billed        |
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -64,9 +64,9 @@
 
 
 def list_complete_snapshots(context):
-    collector = SnapshotAssembler()
-    found = (collector.add(entry) for entry in read_entries(context))
-    return [whole for whole in found if whole is not None]
+    assembler = SnapshotAssembler()
+    found = (assembler.add(entry) for entry in read_entries(context))
+    return [snapshot for snapshot in found if snapshot is not None]
 
 
 def read_now(context):
@@ -128,9 +128,9 @@
     totals = BillTotals()
     for entry in read_entries(context):
         totals.fold(entry)
-    whole = totals.take_snapshot(START_S)
-    context.covered = whole.last_offset
-    *parts, _ = split_snapshot(whole)
+    snapshot = totals.take_snapshot(START_S)
+    context.covered = snapshot.last_offset
+    *parts, _ = split_snapshot(snapshot)
     assert parts
     for part in parts:
         context.bill_log.append(stream_of(0), part)
@@ -149,8 +149,8 @@
 def step_drop(context):
     context.before = read_now(context)
     snapshots = list_complete_snapshots(context)
-    through = snapshots[-1].last_offset if snapshots else context.covered
-    context.bill_log.truncate(stream_of(0), through + 1)
+    last_offset = snapshots[-1].last_offset if snapshots else context.covered
+    context.bill_log.truncate(stream_of(0), last_offset + 1)
 
 
 @then("the statement is as it was before")
@@ -203,17 +203,17 @@
 
 @given("a host and the peers that take its bill over die one after another")
 def step_finishers_die(context):
-    context.chains = []
+    context.logs = []
     for number in range(8):
         start_log(context)
         names = [f"{zone}{number}" for zone in "abcde"]
         run_virtual(bill_while_hosts_are_isolated(context, names))
-        context.chains.append(context.bill_log)
+        context.logs.append(context.bill_log)
 
 
 @then("all copies of the bill are in one stream")
 def step_one_stream(context):
-    for log in context.chains:
+    for log in context.logs:
         ends = [log.read(stream_of(shard), 0, 1).end for shard in range(SHARDS)]
         assert sum(ends) > 1
         assert sum(end > 0 for end in ends) == 1, ends
--- a/features/steps/claim_parts.py
+++ b/features/steps/claim_parts.py
@@ -25,9 +25,9 @@
 
 
 def list_snapshots(log):
-    collector = SnapshotAssembler()
-    found = [(entry.offset, collector.add(entry)) for entry in read_all(log)]
-    return [(offset, whole) for offset, whole in found if whole is not None]
+    assembler = SnapshotAssembler()
+    found = [(entry.offset, assembler.add(entry)) for entry in read_all(log)]
+    return [(offset, snapshot) for offset, snapshot in found if snapshot is not None]
 
 
 def read_all(log):
--- a/features/steps/histories.py
+++ b/features/steps/histories.py
@@ -30,7 +30,7 @@
 
 
 @when("it is modified with {fault}")
-def step_spoil(context, fault):
+def step_modify(context, fault):
     history = context.history
     match fault:
         case "nothing":
@@ -43,7 +43,7 @@
             history.effects[0] = replace(history.effects[0], sent_at=4.5)
         case "a refusal of what ran":
             history.answers[0] = Answer(2.0, "r1", AnswerKind.NOT_RUN)
-        case "an answer cut short":
+        case "a truncated answer":
             history.answers[0] = replace(history.answers[0], body="on")
         case "another key's answer":
             history.answers[1] = replace(history.answers[1], body="another")
@@ -52,7 +52,7 @@
             history.answers.append(Answer(2.0, "r3", AnswerKind.REPLAYED, "three"))
         case "two answers to one request":
             history.answers.append(history.answers[1])
-        case "an answer to nobody":
+        case "an answer without a request":
             history.answers.append(Answer(2.0, "r9", AnswerKind.UNKNOWN))
         case "a second bill":
             history.bills.append(history.bills[0])
@@ -62,7 +62,7 @@
             history.bills.clear()
         case "a key that never settles":
             history.final["k"] = AnswerKind.IN_PROGRESS
-        case "a last word without an effect":
+        case "a final answer without an effect":
             history.final["k4"] = RAN
         case _:
             raise AssertionError(f"no such fault: {fault}")
@@ -86,7 +86,7 @@
 
 
 @then("at least {count:d} kinds of faults were injected")
-def step_struck(context, count):
+def step_fault_kinds(context, count):
     injected = sum((result.injected for result in context.results), Counter())
     kinds = [kind for kind, times in injected.items() if times]
     assert len(kinds) >= count, kinds
--- a/features/steps/histories_chats.py
+++ b/features/steps/histories_chats.py
@@ -79,7 +79,7 @@
 
 
 @when("the chats are modified with {fault}")
-def step_spoil(context, fault):
+def step_modify(context, fault):
     history = context.chats
     match fault:
         case "nothing":
@@ -96,12 +96,12 @@
             history.accepted[1] = gone
             history.in_force.append(InForce(3.1, "a1", 1, gone))
             history.granted[3] = replace(history.granted[3], after=3)
-        case "a withdrawal that a host forgot":
+        case "a withdrawal that a host did not apply":
             history.accepted[1] = Terms(ALL - {"dear:1"}, TERMS.allowed)
             history.in_force.append(InForce(3.1, "a1", 1, TERMS))
-        case "a withdrawal that comes late":
+        case "a late withdrawal":
             withdraw(history, 10.0)
-        case "a withdrawal late out of reach":
+        case "a late withdrawal, host out of reach":
             withdraw(history, 10.0)
             history.out_of_reach["a1"] = [(12.0, 14.0)]
         case "a session that moves":
@@ -109,13 +109,13 @@
         case "a session that moves, an owner silent":
             move_session(history)
             history.disturbed.append(Disturbed(2.0, "shop/s", "silent"))
-        case "a session that moves, too early silent":
+        case "a session that moves, silent later":
             move_session(history)
             history.disturbed.append(Disturbed(2.0, "shop/another", "silent"))
             history.disturbed.append(Disturbed(2.6, "shop/s", "silent"))
-        case "a token not kept to":
+        case "a pinned version not used":
             history.invokes[1] = replace(history.invokes[1], pinned="dear:1")
-        case "an answer cut short":
+        case "a truncated answer":
             history.answers[0] = replace(history.answers[0], text=FIRST.token(0))
         case "another request's answer":
             history.generations[0] = replace(FIRST, engine_id="c9")
@@ -137,7 +137,7 @@
             history.bills.append(history.bills[0])
         case "a lost bill":
             del history.bills[0]
-        case "a lost bill that only its host held":
+        case "a lost bill that only its host had":
             del history.bills[0]
             history.kept_alone.add("c1")
         case "a bill of another usage":
--- a/poplarrun/billing/_reader.py
+++ b/poplarrun/billing/_reader.py
@@ -63,14 +63,14 @@
         if self._searched_from is None:
             self.totals.fold(entry)
         self.bytes_since_snapshot += len(entry.data)
-        whole = self._parts.add(entry)
-        if whole is None:
+        snapshot = self._parts.add(entry)
+        if snapshot is None:
             return False
-        self.snapshot = StreamSnapshot(whole.last_offset, whole.written_at, b"")
-        self.snapshot_bytes, self.bytes_since_snapshot = len(whole.data), 0
-        if self._searched_from is None or whole.last_offset + 1 < self._searched_from:
+        self.snapshot = StreamSnapshot(snapshot.last_offset, snapshot.written_at, b"")
+        self.snapshot_bytes, self.bytes_since_snapshot = len(snapshot.data), 0
+        if self._searched_from is None or snapshot.last_offset + 1 < self._searched_from:
             return False
-        restored = BillTotals.restore(whole)
+        restored = BillTotals.restore(snapshot)
         if restored is not None:
             self._resume_from(restored)
         return restored is not None
--- a/poplarrun/billing/_replicator.py
+++ b/poplarrun/billing/_replicator.py
@@ -84,7 +84,7 @@
         self._wall = wall
         self._count = count
         self._shard = shard_of(peers.me.name)
-        self._batches = BillBatcher(
+        self._batcher = BillBatcher(
             log, now, lambda: len(peers.live()), self._handle_appended, count
         )
         self._peer_bills = PeerBills()
@@ -104,12 +104,12 @@
     @property
     def append_count(self) -> int:
         """Appends made so far."""
-        return self._batches.append_count
+        return self._batcher.append_count
 
     @property
     def size(self) -> int:
         """Bills in memory: this host's own and copies held for peers."""
-        return len(self._open_bills) + self._batches.unlogged_count + self._peer_bills.size
+        return len(self._open_bills) + self._batcher.unlogged_count + self._peer_bills.size
 
     @property
     def is_full(self) -> bool:
@@ -119,7 +119,7 @@
     @property
     def unlogged_count(self) -> int:
         """Bills that are not in the log yet."""
-        return self._batches.unlogged_count
+        return self._batcher.unlogged_count
 
     def has_bill(self, bill_id: str) -> bool:
         """Tell whether a bill is in memory here, own or copied."""
@@ -147,8 +147,8 @@
             return
         if bill_id in self._replicas_of:
             zero_bill = msgspec.structs.replace(bill, amount=0.0, is_final=True)
-            self._batches.add(self._shard, zero_bill)
-            self._batches.start_flush()
+            self._batcher.add(self._shard, zero_bill)
+            self._batcher.start_flush()
 
     async def replicate(self, bill: Bill) -> BillDurability:
         """Store a final bill, and return once it survives the death of this host.
@@ -161,11 +161,11 @@
         bill = msgspec.structs.replace(bill, at=self._wall(), is_final=True)
         self._open_bills.pop(bill.id, None)
         self._unreplicated.pop(bill.id, None)
-        self._batches.add(self._shard, bill)
-        self._batches.start_flush()
+        self._batcher.add(self._shard, bill)
+        self._batcher.start_flush()
         if await self._replicate([bill]) >= REPLICA_COUNT:
             durability = BillDurability.PEERS
-        elif await self._batches.wait_until_logged(bill):
+        elif await self._batcher.wait_until_logged(bill):
             durability = BillDurability.LOG
         else:
             durability = BillDurability.HOST_ALONE
@@ -175,7 +175,7 @@
 
     async def drain(self) -> None:
         """Append the queued bills at once; those that the log doesn't accept are left to peers."""
-        await self._batches.drain()
+        await self._batcher.drain()
 
     async def run_round(self) -> None:
         """Replicate what is new, and take over the bills of dead hosts."""
@@ -184,7 +184,7 @@
             self._adopt_orphans(orphans)
         self._rereplicate({name for name, _ in self._live_before - live})
         self._live_before = live
-        self._batches.start_flush()
+        self._batcher.start_flush()
         await self._replicate_new()
         await self._send_logged_ids({name for name, _ in live})
 
@@ -196,14 +196,14 @@
         would be billed twice. Its shard is therefore sent with it, whoever appends it in the end.
         """
         for bill in orphans.bills:
-            if self._batches.find(bill.id) is None:
+            if self._batcher.find(bill.id) is None:
                 shard = orphans.foreign_shards.get(bill.id, shard_of(orphans.host))
-                self._batches.add(shard, bill)
+                self._batcher.add(shard, bill)
                 self._foreign_shards[bill.id] = shard
                 self._unreplicated[bill.id] = bill
         self.finished_for_peers += len(orphans.bills)
         self._count("dead_host_finished")
-        self._batches.start_flush(is_urgent=True)
+        self._batcher.start_flush(is_urgent=True)
 
     def _rereplicate(self, names: set[str]) -> None:
         """Schedule new copies of the bills that a lost peer had.
@@ -250,7 +250,7 @@
 
     def _find(self, bill_id: str) -> Bill | None:
         """Return a bill that this host has to get into the log, or None."""
-        return self._batches.find(bill_id) or self._open_bills.get(bill_id)
+        return self._batcher.find(bill_id) or self._open_bills.get(bill_id)
 
     async def _replicate(self, bills: list[Bill]) -> int:
         """Send bills to peers until two have copies; return how many do."""
--- a/poplarrun/billing/_snapshots.py
+++ b/poplarrun/billing/_snapshots.py
@@ -86,8 +86,8 @@
         tried_at = self._tried_at.get(shard)
         if tried_at is not None and self._now() - tried_at < SNAPSHOT_RETRY_INTERVAL_S:
             return False
-        through = -1 if reader.snapshot is None else reader.snapshot.last_offset
-        since = reader.totals.next_offset - 1 - through
+        last_offset = -1 if reader.snapshot is None else reader.snapshot.last_offset
+        since = reader.totals.next_offset - 1 - last_offset
         if not since:
             return False
         if reader.snapshot is not None:
@@ -96,7 +96,7 @@
             # Retention drops records sooner than the interval assumes: half of the remaining ones
             # are older than the last snapshot.
             kept = reader.totals.next_offset - reader.horizon
-            if reader.horizon > 0 and through - reader.horizon < kept / 2:
+            if reader.horizon > 0 and last_offset - reader.horizon < kept / 2:
                 return True
         is_first = reader.snapshot is None and bool(reader.totals.next_offset)
         is_worth = reader.bytes_since_snapshot >= MIN_SNAPSHOT_BYTES_RATIO * reader.snapshot_bytes
--- a/poplarrun/endpoints/_pool.py
+++ b/poplarrun/endpoints/_pool.py
@@ -80,8 +80,8 @@
         ]
         ejectable.sort(key=lambda e: e.paused_until)
         max_ejected = int(len(self.members) * MAX_EJECTED_FRACTION)
-        kept_in = {e.name for e in ejectable[: max(0, len(ejectable) - max_ejected)]}
-        ejected = {e.name for e in paused} - kept_in
+        not_ejected = {e.name for e in ejectable[: max(0, len(ejectable) - max_ejected)]}
+        ejected = {e.name for e in paused} - not_ejected
         # The result may be empty. Then no endpoint can be reached and every call would fail, so
         # callers get an error at once, until a pause ends or a load report shows that an endpoint
         # is back.
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -69,7 +69,7 @@
         self._peers = peers
         self._accounts: dict[str, AccountState] = {}
         self._day = 0
-        self._loans = LoanClient(peers)
+        self._loan_client = LoanClient(peers)
         self._startup = StartupSequence(peers)
         peers.serve(LOAN_MESSAGE, self._serve_loan)
         peers.serve(HAND_OVER_MESSAGE, self._serve_hand_over)
@@ -148,7 +148,7 @@
     def compute_shortfall(self, account: str) -> Loan | None:
         """Return the loan to request by ``borrow``; None while the account has enough."""
         state = self._accounts.get(account)
-        if state is None or not self._loans.can_borrow(account):
+        if state is None or not self._loan_client.can_borrow(account):
             return None
         return state.compute_shortfall(account)
 
@@ -158,7 +158,7 @@
         Shares follow demand over several rounds. Until then, a host that has just started or gets a
         burst would refuse requests that are within the account's limits.
         """
-        lent = await self._loans.borrow(wanted)
+        lent = await self._loan_client.borrow(wanted)
         state = self._accounts.get(wanted.account)
         if lent is not None and state is not None:
             state.requests.borrow(lent.requests)
--- a/poplarrun/limits/_startup.py
+++ b/poplarrun/limits/_startup.py
@@ -93,8 +93,8 @@
         """Count a round in which summaries of these zones were known."""
         self._rounds += 1
         live = frozenset(peer.name for peer in self.peers.live())
-        is_settled = live == self._live_before and has_all_summaries(self.peers, other_zones)
-        self._stable_rounds = self._stable_rounds + 1 if is_settled else 0
+        is_stable = live == self._live_before and has_all_summaries(self.peers, other_zones)
+        self._stable_rounds = self._stable_rounds + 1 if is_stable else 0
         self._live_before = live
         # A host of the zone that doesn't answer in time may hold the whole share that this one
         # needs.
