--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -236,7 +236,7 @@
     source = random.Random(3)
     context.lines = ["x" * source.randint(least, most) for _ in range(count)]
     for line in context.lines:
-        context.handler._waiting.append(line)
+        context.handler._queue.append(line)
     context.handler.flush()
 
 
--- a/poplarrun/logging/__init__.py
+++ b/poplarrun/logging/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs: JSON lines, a fixed prefix for each part, never too many."""
+"""Structured logging: rate-limited JSON lines, each prefixed with its component."""
 
 from poplarrun.logging import _events as events
 from poplarrun.logging._events import EVENTS, Event, write_event
--- a/poplarrun/logging/_events.py
+++ b/poplarrun/logging/_events.py
@@ -1,7 +1,7 @@
-"""The closed list of what a host of the gateway writes to its log.
+"""The closed list of events that a host of the gateway logs.
 
 Each event is one JSON line with the event's name, a short sentence and its fields.
-Fields never hold a key, a prompt or a body.
+Fields never contain an API key, a prompt or a request body.
 """
 
 import dataclasses
@@ -15,18 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """What a host decided or learnt.
+    """A decision of the host, or a change that it observed.
 
     Attributes
     ----------
     component : str
-        Prefix of the line.
+        Component that logs the event; prefixes the message.
     message : str
-        The sentence.
+        A sentence for operators.
     level : int
-        Level of the line.
+        Logging level.
     is_usual : bool
-        Whether it is left out first when there are too many lines.
+        Whether the event comes with ordinary requests; such lines are dropped before
+        notable ones when there are too many.
     """
 
     component: ClassVar[str] = "host"
@@ -37,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAdmitted(Event):
-    """A request may run; by which configuration, and how old that belief is."""
+    """A request was admitted, under a configuration of this version and age."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Admitted."
+    message: ClassVar[str] = "Request admitted."
     is_usual: ClassVar[bool] = True
     request: str
     route: str
@@ -53,18 +54,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSent(Event):
-    """A request went to an endpoint; what was expected of it.
+    """A request was sent to an endpoint; with the estimates behind the choice.
 
     Attributes
     ----------
+    expected_s, queue_s : float
+        Estimated time to the answer, and the part of it spent in the endpoint's queue.
+    left_s : float
+        Time left until the request's deadline.
     version_by : str
-        Why a version was picked.
+        Rule that chose the version.
     session : str
         Hash of the session's id, the same on all hosts; empty without a session.
     """
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Sent."
+    message: ClassVar[str] = "Request sent to an endpoint."
     is_usual: ClassVar[bool] = True
     request: str
     send: int
@@ -83,10 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFailed(Event):
-    """A send failed; whether the endpoint may have run the request."""
+    """A request failed at an endpoint; whether it may have been executed there."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "A send failed."
+    message: ClassVar[str] = "Sending to an endpoint failed."
     request: str
     endpoint: str
     failure: str
@@ -96,10 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LargerModelAsked(Event):
-    """An answer was dropped unseen because its model doubted it."""
+    """An answer of low confidence was discarded before the caller saw any of it."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "A larger model is asked."
+    message: ClassVar[str] = "Answer discarded for low confidence; asking a larger model."
     is_usual: ClassVar[bool] = True
     request: str
     confidence: float
@@ -108,20 +113,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAnswered(Event):
-    """The caller has a whole answer, or an endpoint's own failure.
+    """The caller received a complete answer, or an error status of the endpoint.
 
     Attributes
     ----------
     first_s, pause_s : float
-        Time from the arrival to the first event, and the longest pause after it.
+        Time from the request's arrival to the first event, and the longest pause between
+        later ones.
     target_s, most_pause_s : float
-        Those with which the answer is in time; 0 for a failure.
+        Upper bounds of these two for an answer in time; 0 for a failure.
     confidence : float, optional
-        The model's own, 0 to 1.
+        The model's confidence in its answer, 0 to 1.
     """
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Answered."
+    message: ClassVar[str] = "Request answered."
     is_usual: ClassVar[bool] = True
     request: str
     route: str
@@ -138,10 +144,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRefused(Event):
-    """The caller gets no answer, and is told whether the request has run."""
+    """The request was refused; the refusal tells whether it may have been executed."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Refused."
+    message: ClassVar[str] = "Request refused."
     request: str
     route: str
     kind: str
@@ -156,10 +162,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerBroken(Event):
-    """An answer that had begun was broken off, visibly."""
+    """An answer already under way was aborted, so that the caller sees it as incomplete."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Broken off."
+    message: ClassVar[str] = "Answer aborted before its end."
     request: str
     route: str
     kind: str
@@ -171,10 +177,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLeft(Event):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "The caller left."
+    message: ClassVar[str] = "The caller disconnected."
     request: str
     route: str
     sends: int
@@ -183,9 +189,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStarted(Event):
-    """The host serves."""
+    """The host has started to listen."""
 
-    message: ClassVar[str] = "Serving."
+    message: ClassVar[str] = "The host is listening."
     zone: str
     callers: str
     peers: str
@@ -193,9 +199,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsUnavailable(Event):
-    """Nobody can read the counters: their address can't be used."""
+    """The metrics can't be served, because their address can't be bound."""
 
-    message: ClassVar[str] = "Metrics are not served."
+    message: ClassVar[str] = "The metrics endpoint could not be started."
     level: ClassVar[int] = logging.WARNING
     address: str
     reason: str
@@ -203,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostReady(Event):
-    """Whether callers may come has changed."""
+    """The readiness reported to the load balancer has changed."""
 
     message: ClassVar[str] = "Readiness changed."
     is_ready: bool
@@ -212,53 +218,53 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStopping(Event):
-    """The platform asked the host to stop."""
+    """The host was told to stop and drains its open requests."""
 
-    message: ClassVar[str] = "Stopping."
+    message: ClassVar[str] = "The host is stopping."
     open_requests: int
 
 
 @dataclass(frozen=True, slots=True)
 class HostStopped(Event):
-    """The host ends."""
+    """The host stops, with this many requests still open."""
 
-    message: ClassVar[str] = "Stopped."
+    message: ClassVar[str] = "The host has stopped."
     open_requests: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsRead(Event):
-    """The settings file was read again."""
+    """The settings file was reloaded."""
 
-    message: ClassVar[str] = "Settings read."
+    message: ClassVar[str] = "Settings reloaded."
     is_changed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsBad(Event):
-    """The settings file can't be used; the settings before stay in force."""
+    """The settings file is invalid; the previous settings stay in force."""
 
-    message: ClassVar[str] = "The settings are bad."
+    message: ClassVar[str] = "The settings file is invalid; the previous settings stay in force."
     level: ClassVar[int] = logging.WARNING
     lines: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCrashed(Event):
-    """A fault of ours ended a request."""
+    """An unexpected exception in the gateway ended a request."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "A request crashed."
+    message: ClassVar[str] = "An unexpected exception ended a request."
     level: ClassVar[int] = logging.ERROR
     error: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLost(Event):
-    """The store does not answer this host."""
+    """The store has stopped answering this host."""
 
     component: ClassVar[str] = "store"
-    message: ClassVar[str] = "The store does not answer."
+    message: ClassVar[str] = "The store does not respond."
     level: ClassVar[int] = logging.WARNING
     reader: str
     reason: str
@@ -269,36 +275,36 @@
     """The store answers this host again."""
 
     component: ClassVar[str] = "store"
-    message: ClassVar[str] = "The store answers."
+    message: ClassVar[str] = "The store responds again."
     reader: str
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryDropped(Event):
-    """The store no longer keeps records that were not read yet."""
+    """The store dropped records before this host read them."""
 
     component: ClassVar[str] = "store"
-    message: ClassVar[str] = "History was dropped; all is read anew."
+    message: ClassVar[str] = "The store dropped unread records; reading its current state anew."
     reader: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigInForce(Event):
-    """A newer configuration is in force."""
+    """A newer configuration took effect."""
 
     component: ClassVar[str] = "config"
-    message: ClassVar[str] = "A configuration is in force."
+    message: ClassVar[str] = "A newer configuration is in force."
     version: int
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentIgnored(Event):
-    """A document is malformed and has no effect."""
+    """A configuration document is malformed and ignored."""
 
     component: ClassVar[str] = "config"
-    message: ClassVar[str] = "A document has no effect."
+    message: ClassVar[str] = "Ignoring a malformed configuration document."
     level: ClassVar[int] = logging.WARNING
     key: str
     reason: str
@@ -306,7 +312,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChanged(Event):
-    """An endpoint came, started anew or leaves."""
+    """An endpoint was added, restarted or is about to leave."""
 
     component: ClassVar[str] = "endpoints"
     message: ClassVar[str] = "An endpoint changed."
@@ -319,38 +325,38 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsGone(Event):
-    """Endpoints are not listed any more and get nothing new."""
+    """Endpoints were removed and get no new requests."""
 
     component: ClassVar[str] = "endpoints"
-    message: ClassVar[str] = "An endpoint is gone."
+    message: ClassVar[str] = "Endpoints were removed."
     endpoints: list[str]
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RecordIgnored(Event):
-    """A record of the listing names no endpoint."""
+    """A record of the endpoint list is invalid and ignored."""
 
     component: ClassVar[str] = "endpoints"
-    message: ClassVar[str] = "A record names no endpoint."
+    message: ClassVar[str] = "Ignoring an invalid record in the endpoint list."
     level: ClassVar[int] = logging.WARNING
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrdered(Event):
-    """Operators ordered a roll-out; who told this host, and how old the order was.
+    """The host learnt of a roll-out that operators ordered.
 
     Attributes
     ----------
     source : str
-        The store, or the address of a peer.
+        Where the order was read: the store, or the address of a peer.
     age_s : float
-        Time since any host saw the order first, as far as known.
+        Time since any host first saw the order, as far as known.
     """
 
     component: ClassVar[str] = "rollouts"
-    message: ClassVar[str] = "A roll-out is ordered."
+    message: ClassVar[str] = "A roll-out was ordered."
     service: str
     target: str
     duration_s: float
@@ -360,10 +366,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutShifted(Event):
-    """Sessions may change to the new version from now on; by this host or told by a peer."""
+    """Sessions may move to the new version from now on; recorded here or learnt from a peer."""
 
     component: ClassVar[str] = "rollouts"
-    message: ClassVar[str] = "Sessions may change versions."
+    message: ClassVar[str] = "Sessions may now move to the new version."
     service: str
     target: str
     source: str
@@ -372,10 +378,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutJudged(Event):
-    """A phase of a roll-out was recorded, or another host was before."""
+    """A phase of a roll-out was recorded, unless another host had recorded one before."""
 
     component: ClassVar[str] = "rollouts"
-    message: ClassVar[str] = "A roll-out was judged."
+    message: ClassVar[str] = "A phase of a roll-out was decided."
     service: str
     target: str
     phase: str
@@ -387,49 +393,49 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersChanged(Event):
-    """Hosts were lost or found."""
+    """Hosts stopped responding or were discovered."""
 
     component: ClassVar[str] = "peers"
-    message: ClassVar[str] = "Peers changed."
+    message: ClassVar[str] = "The set of live peers changed."
     lost: list[str]
     found: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class MessageUnreadable(Event):
-    """A peer's message can't be read."""
+    """A message of a peer could not be decoded."""
 
     component: ClassVar[str] = "peers"
-    message: ClassVar[str] = "A message can't be read."
+    message: ClassVar[str] = "A message of a peer could not be decoded."
     level: ClassVar[int] = logging.WARNING
     size: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinesLeftOut(Event):
-    """Lines were left out, by event, since the last such line."""
+    """Log lines were dropped since the last such event; their counts by event."""
 
     component: ClassVar[str] = "log"
-    message: ClassVar[str] = "Lines were left out."
+    message: ClassVar[str] = "Log lines were dropped."
     level: ClassVar[int] = logging.WARNING
     counts: Mapping[str, int]
 
 
-# A data class with slots is made twice, and both stay subclasses for a while: by name
-# the last one is kept, which is the one that has the slots.
+# The dataclass decorator replaces a class with slots by a new one, and until the first is
+# garbage collected both are subclasses. Keyed by name, the later one, with slots, remains.
 EVENTS: tuple[type[Event], ...] = tuple(
-    {kind.__name__: kind for kind in Event.__subclasses__()}.values()
+    {event.__name__: event for event in Event.__subclasses__()}.values()
 )
 _LOGGERS = {event.component: component_logger(event.component) for event in EVENTS}
 _FIELDS = {event: tuple(field.name for field in dataclasses.fields(event)) for event in EVENTS}
-PLACES = 4
+FLOAT_DECIMALS = 4
 
 
 def write_event(event: Event) -> None:
-    """Write one event as a line."""
-    kind = type(event)
-    fields: dict[str, Any] = {"event": kind.__name__, "is_usual": kind.is_usual}
-    for name in _FIELDS[kind]:
+    """Log one event as a line."""
+    event_type = type(event)
+    fields: dict[str, Any] = {"event": event_type.__name__, "is_usual": event_type.is_usual}
+    for name in _FIELDS[event_type]:
         value = getattr(event, name)
-        fields[name] = round(value, PLACES) if isinstance(value, float) else value
-    _LOGGERS[kind.component].log(kind.level, kind.message, extra=fields)
+        fields[name] = round(value, FLOAT_DECIMALS) if isinstance(value, float) else value
+    _LOGGERS[event_type.component].log(event_type.level, event_type.message, extra=fields)
--- a/poplarrun/logging/_setup.py
+++ b/poplarrun/logging/_setup.py
@@ -1,4 +1,7 @@
-"""Loggers of the parts. No line may hold a key or a prompt."""
+"""Loggers with a component prefix, and the set-up of JSON log lines.
+
+No line may contain an API key or a prompt.
+"""
 
 import logging
 from collections.abc import MutableMapping
@@ -12,8 +15,8 @@
 LINE_FIELDS = "%(asctime)s %(levelname)s %(message)s"
 
 
-class _PartLogger(logging.LoggerAdapter[logging.Logger]):
-    """Puts the part's prefix before each message and passes ``extra`` on."""
+class _ComponentLogger(logging.LoggerAdapter[logging.Logger]):
+    """Prefixes each message with the component's name and passes ``extra`` on."""
 
     def process(
         self, msg: str, kwargs: MutableMapping[str, Any]
@@ -22,13 +25,13 @@
         return f"{self.extra['prefix']}: {msg}", kwargs
 
 
-def component_logger(part: str) -> logging.LoggerAdapter[logging.Logger]:
-    """Return the logger of a part; its name is the prefix of each line."""
-    return _PartLogger(logging.getLogger(ROOT_NAME), {"prefix": part})
+def component_logger(component: str) -> logging.LoggerAdapter[logging.Logger]:
+    """Return the logger of a component, whose name prefixes each message."""
+    return _ComponentLogger(logging.getLogger(ROOT_NAME), {"prefix": component})
 
 
 def configure_logging(host: str, level: int = logging.INFO) -> NonBlockingHandler:
-    """Write JSON lines to standard output, each with the host's name."""
+    """Send all log lines as JSON to standard output, each with the host's name."""
     handler = NonBlockingHandler()
     handler.setFormatter(JsonFormatter(LINE_FIELDS, static_fields={"host": host}))
     logger = logging.getLogger(ROOT_NAME)
--- a/poplarrun/logging/_writer.py
+++ b/poplarrun/logging/_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever holding the loop up, and not too many of them."""
+"""A logging handler that never blocks the event loop and bounds how many lines are written."""
 
 import logging
 import sys
@@ -7,41 +7,45 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-# Lines a second that are written on average, with so many at once: usual lines, and
-# notable ones such as refusals. Ten times the load of today's hosts stays below; a
-# line takes about 40 us of processor time, so that a flood of them costs 2.4%.
+# Average rates at which lines are written: usual lines, and notable ones such as refusals.
+# Ten times the load of the current hosts stays below them. A line takes about 40 us of
+# processor time, so that a flood of lines costs 2.4% of a processor.
 USUAL_LINES_PER_S = 200.0
 NOTABLE_LINES_PER_S = 400.0
-BURST_S = 2.0
-# Lines that wait for a reader that doesn't read; more are left out and counted.
-MOST_WAITING = 2000
-# Pause between two writes, in seconds: lines of that time go out in one system call.
-WRITE_PERIOD_S = 0.1
-# Pause between two lines that tell how many were left out, in seconds.
-TELL_PERIOD_S = 1.0
-# Characters that are written at once: a pipe takes 4,096 bytes undivided.
-MOST_WRITTEN = 4096
+# Lines of this many seconds may be written in one burst.
+BURST_WINDOW_S = 2.0
+# Lines queued for a reader that has stopped reading; further ones are dropped and counted.
+MAX_QUEUED_LINES = 2000
+# Lines of one interval are written by one system call.
+WRITE_INTERVAL_S = 0.1
+# Least time between two reports of how many lines were dropped.
+DROP_REPORT_INTERVAL_S = 1.0
+# Characters per write: a pipe takes writes of up to 4,096 bytes atomically.
+MAX_WRITE_CHARS = 4096
 
 
 class LineRateLimiter:
-    """Lets through so many lines a second.
+    """A token bucket that limits the rate of log lines.
 
     Parameters
     ----------
-    per_s : float
-        Lines a second on average.
+    lines_per_s : float
+        Average rate of lines.
     """
 
-    def __init__(self, per_s: float) -> None:
-        self._per_s = per_s
-        self._most = per_s * BURST_S
-        self._tokens = self._most
-        self._at = 0.0
-
-    def take(self, now: float) -> bool:
-        """Tell whether one more line may be written now."""
-        self._tokens = min(self._most, self._tokens + max(0.0, now - self._at) * self._per_s)
-        self._at = now
+    def __init__(self, lines_per_s: float) -> None:
+        self._lines_per_s = lines_per_s
+        self._max_tokens = lines_per_s * BURST_WINDOW_S
+        self._tokens = self._max_tokens
+        self._refilled_at = 0.0
+
+    def try_acquire(self, now: float) -> bool:
+        """Return whether one more line may be written now, and count it if so."""
+        self._tokens = min(
+            self._max_tokens,
+            self._tokens + max(0.0, now - self._refilled_at) * self._lines_per_s,
+        )
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -49,17 +53,17 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Hands lines to a thread that writes them to standard output.
+    """Queues lines for a thread that writes them to standard output.
 
-    A reader that stops reading blocks that thread alone. Without it, the first write
-    to a full pipe would stop the loop, and with it every request of the host.
+    A reader that stops reading blocks only that thread. Written directly, the first line
+    for a full pipe would block the event loop, and with it every request of the host.
 
     Attributes
     ----------
     dropped_counts : Counter
-        Lines that were left out, by event, since they were last told.
+        Dropped lines by event since they were last reported.
     line_counts : Counter
-        All lines by event since the start, those that were left out included.
+        All lines by event since the start, including the dropped ones.
     """
 
     def __init__(
@@ -70,69 +74,72 @@
         super().__init__()
         self.dropped_counts: Counter[str] = Counter()
         self.line_counts: Counter[str] = Counter()
-        self._write = write or _write_out
+        self._write = write or _write_stdout
         self._clock = clock
-        self._usual = LineRateLimiter(USUAL_LINES_PER_S)
-        self._notable = LineRateLimiter(NOTABLE_LINES_PER_S)
-        self._waiting: deque[str] = deque()
-        self._told_at = clock()
-        self._wake = threading.Event()
+        self._usual_limiter = LineRateLimiter(USUAL_LINES_PER_S)
+        self._notable_limiter = LineRateLimiter(NOTABLE_LINES_PER_S)
+        self._queue: deque[str] = deque()
+        self._drops_reported_at = clock()
+        self._has_lines = threading.Event()
         self._thread: threading.Thread | None = None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Put a line into the queue, or count it as left out."""
+        """Queue a line, or count it as dropped."""
         now = self._clock()
         event = str(record.__dict__.get("event", record.levelname))
         self.line_counts[event] += 1
         is_usual = bool(record.__dict__.pop("is_usual", False))
-        budget = self._usual if is_usual else self._notable
-        if len(self._waiting) >= MOST_WAITING or not budget.take(now):
+        limiter = self._usual_limiter if is_usual else self._notable_limiter
+        if len(self._queue) >= MAX_QUEUED_LINES or not limiter.try_acquire(now):
             self.dropped_counts[event] += 1
             return
-        self._waiting.append(self.format(record))
+        self._queue.append(self.format(record))
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="log", daemon=True)
             self._thread.start()
-        self._wake.set()
+        self._has_lines.set()
 
     def collect_dropped_counts(self) -> dict[str, int]:
-        """Return how many lines were left out, once a period; empty otherwise."""
+        """Return and reset the counts of dropped lines, at most once per report interval.
+
+        Empty when no line was dropped or the interval has not passed.
+        """
         now = self._clock()
-        if not self.dropped_counts or now - self._told_at < TELL_PERIOD_S:
+        if not self.dropped_counts or now - self._drops_reported_at < DROP_REPORT_INTERVAL_S:
             return {}
-        self._told_at = now
+        self._drops_reported_at = now
         counts = dict(self.dropped_counts)
         self.dropped_counts.clear()
         return counts
 
     def flush(self) -> None:
-        """Write what waits, for the end of the process."""
-        self._write_waiting()
+        """Write all queued lines; called when the process ends."""
+        self._write_queued()
 
     def _run(self) -> None:
         while True:
-            self._wake.wait()
-            self._wake.clear()
-            self._write_waiting()
-            time.sleep(WRITE_PERIOD_S)
+            self._has_lines.wait()
+            self._has_lines.clear()
+            self._write_queued()
+            time.sleep(WRITE_INTERVAL_S)
 
-    def _write_waiting(self) -> None:
-        """Write whole lines, as many at once as a pipe takes undivided.
+    def _write_queued(self) -> None:
+        """Write whole lines, as many per write as a pipe takes atomically.
 
-        A reader of many processes' lines would else find the line of one of them inside
-        another one's, and neither could be read.
+        Where several processes write to one pipe, larger writes could be interleaved, and
+        lines of two processes would be mixed up and unreadable.
         """
-        while self._waiting:
-            text = self._waiting.popleft() + "\n"
-            while self._waiting and len(text) + len(self._waiting[0]) < MOST_WRITTEN:
-                text += self._waiting.popleft() + "\n"
+        while self._queue:
+            text = self._queue.popleft() + "\n"
+            while self._queue and len(text) + len(self._queue[0]) < MAX_WRITE_CHARS:
+                text += self._queue.popleft() + "\n"
             self._write(text)
 
 
-def _write_out(text: str) -> None:
+def _write_stdout(text: str) -> None:
     try:
         sys.stdout.write(text)
         sys.stdout.flush()
     except (BrokenPipeError, ValueError):
-        # Nobody reads any more. The host serves on; its counters still tell.
+        # The reader is gone. The host goes on serving; its metrics still count the lines.
         return
