--- a/features/errors.feature
+++ b/features/errors.feature
@@ -1,19 +1,19 @@
 Feature: The closed list of errors
 
-  Scenario: Each error kind has an answer
-    Then every error kind has a status, a type and a not_run mark
-    And every kind that says when to come back answers 409, 429, 502 or 503
-    And docs/CALLERS.md holds the table of error kinds
+  Scenario: Each error kind has an HTTP response
+    Then every error kind has a status, a type and a not_run value
+    And every kind with a retry delay has status 409, 429, 502 or 503
+    And docs/CALLERS.md contains the table of error kinds
 
   Scenario: Each refusal has its counter, and the metrics parse
-    # A refusal that no counter shows leaves the operator without a reason.
-    When every error kind is refused once
+    # Without a counter for each error kind, an operator can't see why requests are refused.
+    When one request is refused with each error kind
     Then the Prometheus text counts each kind once
 
   @fixture.small_fleet
-  Scenario: Refusals at the border are counted and come with their fields
-    # The caller sends what can't be read; nothing reaches an endpoint, the
-    # answer names the field, and the counters add up to what callers saw.
+  Scenario: Invalid requests are refused with the invalid field, and counted
+    # Requests that fail validation must not reach an endpoint; the response names the
+    # field, and the counters agree with the refusals that the caller received.
     Given the Thistledown document is in force
     When a caller sends these bodies to host "a1"
       | body                                                            | status | code              | param      |
@@ -21,26 +21,26 @@
       | {"model": "note"}                                               | 400    | invalid_request   | messages   |
       | {"model": "note", "messages": [], "max_tokens": 0}              | 400    | invalid_request   | messages   |
       | {"model": "none", "messages": [{"role": "user", "content": ""}]} | 404   | class_unknown     | model      |
-    Then the refusal counters of host "a1" add up to what the caller saw
+    Then the refusal counters of host "a1" match the refusals that the caller received
 
   @fixture.small_fleet
   Scenario: Logs carry the request id, and no key or prompt
-    # Logs go to places that callers' texts and keys must not reach. An engine
-    # breaks the answer for good, so that the host has something to log.
+    # Logs are shipped to systems that must not see prompts or API keys. An engine breaks
+    # off the answer for good, so that the host logs something about the request.
     Given the Thistledown document is in force
     And engine "engine-a" breaks its next stream after 10 tokens
-    When a caller with a secret prompt asks host "a1" and breaks off
+    When a caller sends a secret prompt to host "a1" and disconnects
     And a caller sends an unknown key to host "a1"
-    Then no log of the hosts holds the keys or the prompt
-    And each log line about a request carries its id
+    Then no log of the hosts contains the keys or the prompt
+    And each log line about a request has its id
 
   @fixture.few_threads
   Scenario: More callers than threads
-    # Each open stream holds a thread. Without a bound the next caller, and the
-    # balancer's question whether the host is ready, would wait unseen behind
-    # the streams. The caller is refused at once, and not run; the host answers.
+    # Each open stream occupies a thread. Without a bound, the next caller and the load
+    # balancer's readiness probe would wait unnoticed behind the streams. The caller must be
+    # refused at once without being executed, and the probe must still be answered.
     Given 6 open streams at a host with 8 threads
-    When one more caller asks it for a "note"
+    When one more caller sends it a "note" request
     Then the caller is refused with "queue_full" and not_run "yes"
-    And the host still says that it is ready
-    And the 6 streams end whole
+    And the host still reports that it is ready
+    And the 6 streams complete
--- a/features/steps/errors.py
+++ b/features/steps/errors.py
@@ -10,24 +10,24 @@
 from scripts.error_table import CALLERS_PAGE, render_error_table
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
-COMES_BACK = {409, 429, 502, 503}
+RETRYABLE_STATUSES = {409, 429, 502, 503}
 SECRET_PROMPT = "zyzzyva-prompt"
 KNOWN_KEY = "borough-north-key"
 WRONG_KEY = "wrong-key-qwertz"
 
 
-def post(context, host, body, key=KNOWN_KEY, pool=None, **more):
+def post(context, host, body, key=KNOWN_KEY, pool=None, **options):
     return (pool or urllib3).request(
         "POST",
         f"http://{context.fleet.hosts[host].address}/v1/chat/completions",
         body=body,
         headers={"Authorization": f"Bearer {key}", "Content-Type": "application/json"},
         retries=False,
-        **more,
+        **options,
     )
 
 
-@then("every error kind has a status, a type and a not_run mark")
+@then("every error kind has a status, a type and a not_run value")
 def step_table(context):
     assert set(ERROR_RESPONSES) == set(ErrorKind)
     for kind in ErrorKind:
@@ -36,19 +36,19 @@
         assert isinstance(answer.not_run, NotRun), kind
 
 
-@then("every kind that says when to come back answers 409, 429, 502 or 503")
-def step_come_back(context):
-    told = {kind for kind in ErrorKind if response_for(kind).retry_after_s is not None}
-    assert told
-    assert {response_for(kind).status for kind in told} <= COMES_BACK
+@then("every kind with a retry delay has status 409, 429, 502 or 503")
+def step_retry_statuses(context):
+    retryable = {kind for kind in ErrorKind if response_for(kind).retry_after_s is not None}
+    assert retryable
+    assert {response_for(kind).status for kind in retryable} <= RETRYABLE_STATUSES
 
 
-@then("docs/CALLERS.md holds the table of error kinds")
+@then("docs/CALLERS.md contains the table of error kinds")
 def step_callers_page(context):
     assert render_error_table() in CALLERS_PAGE.read_text()
 
 
-@when("every error kind is refused once")
+@when("one request is refused with each error kind")
 def step_refuse_all(context):
     context.metrics = Metrics()
     for kind in ErrorKind:
@@ -59,38 +59,38 @@
 def step_parse_metrics(context):
     families = text_string_to_metric_families(context.metrics.render().decode())
     samples = [sample for family in families for sample in family.samples]
-    counted = {
+    counts = {
         sample.labels["kind"]: sample.value
         for sample in samples
         if sample.name == "poplarrun_refusals_total"
     }
-    assert counted == {kind.value: 1.0 for kind in ErrorKind}, counted
+    assert counts == {kind.value: 1.0 for kind in ErrorKind}, counts
 
 
 @when('a caller sends these bodies to host "{host}"')
 def step_bodies(context, host):
     before = context.fleet.hosts[host].status()["refusals"]
     context.refusals_before = sum(before.values())
-    context.refusals_seen = 0
+    context.refusals_received = 0
     for row in context.table:
         response = post(context, host, row["body"].encode())
         error = json.loads(response.data)["error"]
         assert response.status == int(row["status"]), (row["body"], response.data)
         assert (error["code"], error["not_run"]) == (row["code"], "yes"), error
         assert error["param"] == row["param"], error
-        context.refusals_seen += 1
+        context.refusals_received += 1
 
 
-@then('the refusal counters of host "{host}" add up to what the caller saw')
-def step_add_up(context, host):
-    counted = sum(context.fleet.hosts[host].status()["refusals"].values())
-    assert counted - context.refusals_before == context.refusals_seen
+@then('the refusal counters of host "{host}" match the refusals that the caller received')
+def step_counters_match(context, host):
+    counts = sum(context.fleet.hosts[host].status()["refusals"].values())
+    assert counts - context.refusals_before == context.refusals_received
     response = urllib3.request("GET", f"http://{context.fleet.hosts[host].address}/metrics")
     assert list(text_string_to_metric_families(response.data.decode()))
 
 
-@when('a caller with a secret prompt asks host "{host}" and breaks off')
-def step_secret(context, host):
+@when('a caller sends a secret prompt to host "{host}" and disconnects')
+def step_secret_prompt(context, host):
     message = {"role": "user", "content": SECRET_PROMPT}
     for endpoint in ("engine-a", "engine-b", "engine-c"):
         context.fleet.endpoints[endpoint].set_faults(die_after_tokens=3, break_streams=1)
@@ -109,7 +109,7 @@
     assert post(context, host, body, key=WRONG_KEY).status == 401
 
 
-@then("no log of the hosts holds the keys or the prompt")
+@then("no log of the hosts contains the keys or the prompt")
 def step_no_secrets(context):
     context.log_text = "".join(host.log_file.read_text() for host in context.fleet.hosts.values())
     assert context.log_text
@@ -117,12 +117,14 @@
         assert secret not in context.log_text, secret
 
 
-@then("each log line about a request carries its id")
+@then("each log line about a request has its id")
 def step_request_ids(context):
     lines = [json.loads(line) for line in context.log_text.splitlines()]
-    about = [line for line in lines if line["message"].startswith(("chats:", "operations:"))]
-    assert about
-    assert all(line["request_id"].startswith("req-") for line in about), about
+    request_lines = [
+        line for line in lines if line["message"].startswith(("chats:", "operations:"))
+    ]
+    assert request_lines
+    assert all(line["request_id"].startswith("req-") for line in request_lines), request_lines
 
 
 @given("{count:d} open streams at a host with 8 threads")
@@ -139,7 +141,7 @@
     assert all(response.status == 200 for response in context.streams)
 
 
-@when('one more caller asks it for a "{work_class}"')
+@when('one more caller sends it a "{work_class}" request')
 def step_one_more(context, work_class):
     message = {"role": "user", "content": "Hello"}
     body = json.dumps({"model": work_class, "messages": [message]}).encode()
@@ -152,12 +154,12 @@
     assert (error["code"], error["not_run"]) == (code, not_run), error
 
 
-@then("the host still says that it is ready")
+@then("the host still reports that it is ready")
 def step_still_ready(context):
     assert context.fleet.hosts["a1"].is_ready()
 
 
-@then("the {count:d} streams end whole")
-def step_streams_whole(context, count):
+@then("the {count:d} streams complete")
+def step_streams_complete(context, count):
     assert len(context.streams) == count
     assert all(response.read().endswith(b"data: [DONE]\n\n") for response in context.streams)
--- a/poplarrun/errors/__init__.py
+++ b/poplarrun/errors/__init__.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that belongs to each."""
+"""The closed list of error kinds, and the HTTP response for each."""
 
 from poplarrun.errors._kinds import ErrorKind, NotRun, Refusal
 from poplarrun.errors._table import ERROR_RESPONSES, ErrorResponse, response_for
--- a/poplarrun/errors/_kinds.py
+++ b/poplarrun/errors/_kinds.py
@@ -1,11 +1,11 @@
-"""Error kinds, and the refusal that carries one of them to a caller."""
+"""The kinds of errors, and the refusal that reports one of them to a caller."""
 
 import enum
 from dataclasses import dataclass
 
 
 class ErrorKind(enum.Enum):
-    """Every reason for which a caller or an operator can be refused."""
+    """Every reason for refusing a request of a caller or an operator."""
 
     INVALID_REQUEST = "invalid_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -44,7 +44,7 @@
 
 
 class NotRun(enum.Enum):
-    """Whether the refused work is known not to have reached an endpoint."""
+    """Whether the refused request is known not to have been executed by an endpoint."""
 
     YES = "yes"
     NO = "no"
@@ -53,18 +53,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The outcome of a request that gets no answer.
+    """A request that is answered with an error.
 
     Attributes
     ----------
     kind : ErrorKind
-        The entry of the closed list.
+        Determines status, error type and counter.
     message : str
-        One sentence for the caller: what was found, what is allowed.
+        One sentence for the caller: what was found and what is allowed.
     param : str, optional
-        The field of the request that is at fault.
+        The invalid field of the request.
     retry_after_s : float, optional
-        Seconds after which a repeat makes sense; None takes the table's figure.
+        Seconds after which a retry makes sense; None uses the default of the kind.
     """
 
     kind: ErrorKind
--- a/poplarrun/errors/_table.py
+++ b/poplarrun/errors/_table.py
@@ -1,4 +1,4 @@
-"""The table from error kind to HTTP answer."""
+"""The table that maps each error kind to its HTTP response."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """How one error kind is told to a caller.
+    """The HTTP response for one error kind.
 
     Attributes
     ----------
@@ -16,9 +16,9 @@
     type : str
         The OpenAI-compatible error type.
     not_run : NotRun
-        Whether the work is known not to have run.
+        Whether the request is known not to have been executed.
     retry_after_s : float, optional
-        Default for the ``Retry-After`` header, in seconds; None sends none.
+        Default of the ``Retry-After`` header, in seconds; None omits the header.
     """
 
     status: int
@@ -28,7 +28,7 @@
 
 
 _INVALID = "invalid_request_error"
-_DENIED = "permission_error"
+_PERMISSION = "permission_error"
 _LIMITED = "rate_limit_error"
 _OVERLOADED = "overloaded_error"
 _CONFLICT = "conflict_error"
@@ -40,10 +40,10 @@
     ErrorKind.UNAUTHENTICATED: ErrorResponse(401, "authentication_error", NotRun.YES),
     ErrorKind.ROUTE_UNKNOWN: ErrorResponse(404, _INVALID, NotRun.YES),
     ErrorKind.CLASS_UNKNOWN: ErrorResponse(404, _INVALID, NotRun.YES),
-    ErrorKind.CLASS_NOT_ALLOWED: ErrorResponse(403, _DENIED, NotRun.YES),
-    ErrorKind.VERSION_NOT_ALLOWED: ErrorResponse(403, _DENIED, NotRun.YES),
+    ErrorKind.CLASS_NOT_ALLOWED: ErrorResponse(403, _PERMISSION, NotRun.YES),
+    ErrorKind.VERSION_NOT_ALLOWED: ErrorResponse(403, _PERMISSION, NotRun.YES),
     ErrorKind.SERVICE_UNKNOWN: ErrorResponse(404, _INVALID, NotRun.YES),
-    ErrorKind.SERVICE_NOT_ALLOWED: ErrorResponse(403, _DENIED, NotRun.YES),
+    ErrorKind.SERVICE_NOT_ALLOWED: ErrorResponse(403, _PERMISSION, NotRun.YES),
     ErrorKind.IDEMPOTENCY_KEY_REQUIRED: ErrorResponse(400, _INVALID, NotRun.YES),
     ErrorKind.IDEMPOTENCY_KEY_REUSED: ErrorResponse(422, _INVALID, NotRun.YES),
     ErrorKind.IDEMPOTENCY_KEY_EXPIRED: ErrorResponse(409, _CONFLICT, NotRun.UNKNOWN),
@@ -73,5 +73,5 @@
 
 
 def response_for(kind: ErrorKind) -> ErrorResponse:
-    """Return the answer of one error kind."""
+    """Return the HTTP response for one error kind."""
     return ERROR_RESPONSES[kind]
--- a/poplarrun/metrics/__init__.py
+++ b/poplarrun/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters by reason, and latency quantiles."""
+"""Counters and latency histograms of one host, exposed to Prometheus."""
 
 from poplarrun.metrics._registry import Metrics, ignore_event
 
--- a/poplarrun/metrics/_exposition.py
+++ b/poplarrun/metrics/_exposition.py
@@ -1,4 +1,4 @@
-"""The metrics of one host in the Prometheus text form."""
+"""Renders the metrics of one host in the Prometheus text format."""
 
 from collections.abc import Iterator, Mapping
 
@@ -8,18 +8,18 @@
 
 from poplarrun.metrics._registry import MICROSECONDS_PER_SECOND, Metrics
 
-QUANTILES = (50.0, 95.0, 99.0)
+PERCENTILES = (50.0, 95.0, 99.0)
 
 
 def render_metrics(metrics: Metrics) -> bytes:
-    """Return all counters and quantiles as text."""
+    """Return all counters and latency quantiles as text."""
     registry = CollectorRegistry()
     registry.register(_Families(metrics))
     return generate_latest(registry)
 
 
 class _Families(Collector):
-    """Gives out the counters, and the histograms as gauges, one a quantile."""
+    """Collects the counters, and each histogram as one gauge per quantile."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -42,21 +42,21 @@
             "event",
             metrics.line_counts,
         )
-        yield self._quantiles()
+        yield self._latency_family()
 
-    def _quantiles(self) -> Metric:
+    def _latency_family(self) -> Metric:
         family = GaugeMetricFamily(
             "poplarrun_latency_seconds", "Latency quantiles", labels=["name", "label", "quantile"]
         )
         for (name, label), histogram in self._metrics.histograms.items():
-            for quantile in QUANTILES:
-                value = histogram.get_value_at_percentile(quantile) / MICROSECONDS_PER_SECOND
-                family.add_metric([name, label, str(quantile / 100)], value)
+            for percentile in PERCENTILES:
+                value = histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_SECOND
+                family.add_metric([name, label, str(percentile / 100)], value)
         return family
 
 
-def _make_family(name: str, text: str, label: str, counts: Mapping[str, int]) -> Metric:
-    family = CounterMetricFamily(name, text, labels=[label])
+def _make_family(name: str, documentation: str, label: str, counts: Mapping[str, int]) -> Metric:
+    family = CounterMetricFamily(name, documentation, labels=[label])
     for value, count in counts.items():
         family.add_metric([value], count)
     return family
--- a/poplarrun/metrics/_registry.py
+++ b/poplarrun/metrics/_registry.py
@@ -1,4 +1,4 @@
-"""The metrics of one host; written on the loop only."""
+"""The metrics of one host. Not thread-safe: updated on the event loop only."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -8,14 +8,14 @@
 
 from poplarrun.errors import ErrorKind
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 3_600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def ignore_event(_: str) -> None:
-    """Count nothing: for parts that run without metrics."""
+    """Discard an event; the counter of components that run without metrics."""
 
 
 @dataclass
@@ -24,12 +24,18 @@
 
     Attributes
     ----------
-    refusal_counts, retry_counts, event_counts, request_counts : Counter of str
-        By error kind, reason, name of the event and class.
+    refusal_counts : Counter of str
+        Refusals by error kind.
+    retry_counts : Counter of str
+        Retries by reason.
+    event_counts : Counter of str
+        Other events by name.
+    request_counts : Counter of str
+        Requests by work class.
     line_counts : mapping of str to int
-        Log lines by event, written or left out.
+        Log lines by event, whether written or dropped.
     histograms : dict of (str, str) to HdrHistogram
-        Microseconds by name and label.
+        Latencies in microseconds, by name and label.
     """
 
     refusal_counts: Counter[str] = field(default_factory=Counter)
@@ -40,37 +46,37 @@
     histograms: dict[tuple[str, str], HdrHistogram] = field(default_factory=dict)
 
     def count_refusal(self, kind: ErrorKind) -> None:
-        """Count one refusal that a caller saw."""
+        """Count one refusal that was sent to a caller."""
         self.refusal_counts[kind.value] += 1
 
     def count_retry(self, reason: str) -> None:
-        """Count one repeated attempt."""
+        """Count one retry."""
         self.retry_counts[reason] += 1
 
     def count_event(self, event: str, amount: int = 1) -> None:
-        """Count anything else that an operator may ask for."""
+        """Count an event that is neither a refusal nor a retry."""
         self.event_counts[event] += amount
 
     def count_request(self, work_class: str) -> None:
-        """Count one request of a class, refused or not."""
+        """Count one request of a work class, refused or not."""
         self.request_counts[work_class] += 1
 
     def record_latency(self, name: str, label: str, seconds: float) -> None:
-        """Record one latency under a name and a label."""
+        """Record one latency in the histogram of a name and a label."""
         histogram = self.histograms.get((name, label))
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             self.histograms[(name, label)] = histogram
-        histogram.record_value(max(LOWEST_MICROSECONDS, int(seconds * MICROSECONDS_PER_SECOND)))
+        histogram.record_value(max(MIN_LATENCY_US, int(seconds * MICROSECONDS_PER_SECOND)))
 
     def attach_line_counts(self, counts: Mapping[str, int]) -> None:
-        """Give out how many lines of each event were logged, by a mapping that grows."""
+        """Expose the log handler's counts of lines by event, which it goes on updating."""
         self.line_counts = counts
 
     def render(self) -> bytes:
-        """Return everything in the Prometheus text form."""
-        # The library is loaded by the first reader: a host that starts anew would
-        # otherwise keep its callers waiting for it.
+        """Return all metrics in the Prometheus text format."""
+        # Imported on the first scrape: loading the library at the start would delay the
+        # time at which a restarted host serves its callers.
         from poplarrun.metrics._exposition import render_metrics
 
         return render_metrics(self)
