--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -113,8 +113,8 @@
         await asyncio.gather(add_bills(), *(writer.tend() for writer in writers))
 
     run_virtual(run())
-    parts = [part for part in map(parts_module._read_part, entries_of(context)) if part]
-    changes = sum(one.snapshot != other.snapshot for one, other in itertools.pairwise(parts))
+    parts = [part for part in map(parts_module._decode_part, entries_of(context)) if part]
+    changes = sum(one.snapshot_digest != other.snapshot_digest for one, other in itertools.pairwise(parts))
     assert changes > 5 and len(whole_snapshots(context)) == 2, changes
 
 
--- a/poplarrun/log/__init__.py
+++ b/poplarrun/log/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log: the interface, an in-memory version, records."""
+"""The platform's append-only log: its interface, an in-memory one, signing, snapshots."""
 
 from poplarrun.log._async import AsyncLog, ThreadedLog, call_inline
 from poplarrun.log._interface import (
--- a/poplarrun/log/_interface.py
+++ b/poplarrun/log/_interface.py
@@ -1,4 +1,4 @@
-"""What poplarrun assumes of the platform's log, and nothing more."""
+"""The interface to the platform's log: exactly what poplarrun relies on."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -6,21 +6,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The record stands in the stream at this offset."""
+    """The record was appended to the stream at this offset."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class AppendRefused:
-    """The record is not in the stream and this call will never put it there."""
+    """The record was not appended, and this call will not append it later."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class AppendUnknown:
-    """No answer came: the record may stand in the stream, now or later."""
+    """No usable response came: the record may have been appended, or may be later."""
 
     reason: str
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A run of entries.
+    """Consecutive entries of a stream.
 
     Attributes
     ----------
     entries : tuple of Entry
-        In offset order, from the offset asked for or the horizon.
+        In offset order, from the requested offset or the horizon, whichever is higher.
     horizon : int
-        The lowest offset that is still kept: records below it are gone.
+        Retention horizon: the lowest offset still in the log. Lower ones were dropped.
     end : int
         The offset that the next record of the stream will get.
     """
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """The log gave no answer."""
+    """The log gave no usable response."""
 
     reason: str
 
@@ -72,4 +72,4 @@
         """Append one record to a stream."""
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
-        """Read at most ``limit`` records of a stream from an offset on."""
+        """Read at most ``limit`` records of a stream, starting at an offset."""
--- a/poplarrun/log/_memory.py
+++ b/poplarrun/log/_memory.py
@@ -25,14 +25,14 @@
 
 
 class MemoryLog:
-    """A ``Log`` that keeps its streams in memory.
+    """A ``Log`` that keeps its streams in memory and can simulate faults.
 
     Attributes
     ----------
-    down : bool
+    is_down : bool
         While true, appends are refused and reads fail.
-    lost_answers : int
-        That many next appends take effect while their answer is lost.
+    responses_to_lose : int
+        The outcome of this many next appends is unknown, although the record is appended.
     """
 
     def __init__(self) -> None:
@@ -48,11 +48,11 @@
         target.records.append(data)
         if self.responses_to_lose > 0:
             self.responses_to_lose -= 1
-            return AppendUnknown("the answer was lost")
+            return AppendUnknown("the response was lost")
         return Appended(target.end - 1)
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
-        """Read at most ``limit`` records of a stream from an offset on."""
+        """Read at most ``limit`` records of a stream, starting at an offset."""
         if self.is_down:
             return ReadFailed("the log is down")
         source = self._streams.get(stream, _Stream())
@@ -63,8 +63,8 @@
         return Page(entries, source.horizon, source.end)
 
     def truncate(self, stream: str, horizon: int) -> None:
-        """Drop the records below an offset, as the retention of the platform does."""
+        """Drop the records below an offset, as the platform's retention does."""
         source = self._streams.setdefault(stream, _Stream())
-        gone = max(0, horizon - source.horizon)
-        del source.records[:gone]
+        drop_count = max(0, horizon - source.horizon)
+        del source.records[:drop_count]
         source.horizon = max(source.horizon, horizon)
--- a/poplarrun/log/_snapshot_parts.py
+++ b/poplarrun/log/_snapshot_parts.py
@@ -1,4 +1,8 @@
-"""Snapshots in parts of a bounded size, among the records of their own stream."""
+"""Splits snapshots into records of bounded size, and assembles them again.
+
+The parts of a snapshot are appended to the stream whose state it holds, between the stream's
+other records.
+"""
 
 import asyncio
 import hashlib
@@ -9,43 +13,46 @@
 from poplarrun.log._async import AsyncLog
 from poplarrun.log._interface import Appended, AppendRefused, Entry
 
-# The largest record that a snapshot makes, but for its short heading.
+# Snapshot data per record, without the record's other fields.
 MAX_PART_BYTES = 256 * 1024
 MAX_PARTS = 4096
-# Parts go one after the other, so that a large snapshot leaves the log's appends to others.
+# Pause between the parts of a snapshot, so that a large one doesn't crowd out the log's
+# other appends.
 PART_PAUSE_S = 0.1
-APPEND_ATTEMPTS = 3
-# Snapshots that are read at once; a writer that died leaves one that is never whole.
-MAX_OPEN = 4
+MAX_APPEND_ATTEMPTS = 3
+# Incomplete snapshots that are held at once. A writer that dies leaves one that is never
+# completed, so the oldest is dropped.
+MAX_INCOMPLETE = 4
 
 
 class _Part(msgspec.Struct, frozen=True, array_like=True, tag="part"):
-    snapshot: str
-    through: int
-    at: float
+    snapshot_digest: str
+    last_offset: int
+    written_at: float
     number: int
     count: int
     data: bytes
 
 
-# The first bytes of each part: an array of seven that begins with the tag.
-_HEADING = b"\x97\xa4part"
+# Each encoded part begins with these bytes: a MessagePack array of seven elements, of which
+# the first is the tag.
+_ENCODED_PREFIX = b"\x97\xa4part"
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(_Part)
 
 
 @dataclass(frozen=True, slots=True)
 class StreamSnapshot:
-    """A snapshot all of whose parts stand in the stream.
+    """A complete snapshot of the state of a stream.
 
     Attributes
     ----------
     last_offset : int
-        Offset of the last record that it covers.
+        Offset of the last record that the state includes.
     written_at : float
-        When it was written, in seconds since the epoch.
+        Time of writing, in seconds since the epoch.
     data : bytes
-        What was split.
+        The encoded state.
     """
 
     last_offset: int
@@ -54,59 +61,59 @@
 
 
 class SnapshotAssembler:
-    """Puts snapshots together out of a stream's entries.
+    """Assembles snapshots from the entries of a stream.
 
-    A snapshot is a function of the records up to ``through``, so it counts
-    wherever its parts stand and whoever wrote others beside it; a reader must
-    only find every record behind ``through`` still kept.
+    The data of a snapshot depends only on the records up to ``last_offset``, so it is valid
+    wherever its parts are in the stream and whatever other hosts append between them. To
+    start from it, a reader only needs every record after ``last_offset`` to be in the log.
     """
 
     def __init__(self) -> None:
-        self._open: dict[str, dict[int, _Part]] = {}
+        self._incomplete: dict[str, dict[int, _Part]] = {}
 
     def add(self, entry: Entry) -> StreamSnapshot | None:
-        """Take one entry; return the snapshot that it makes whole."""
-        part = _read_part(entry)
+        """Add one entry; return the snapshot of which it was the last missing part."""
+        part = _decode_part(entry)
         if part is None:
             return None
-        parts = self._open.setdefault(part.snapshot, {})
+        parts = self._incomplete.setdefault(part.snapshot_digest, {})
         parts[part.number] = part
         if len(parts) == part.count:
-            del self._open[part.snapshot]
+            del self._incomplete[part.snapshot_digest]
             data = b"".join(parts[number].data for number in range(part.count))
-            is_intact = part.snapshot == _digest_of(part.through, data)
-            return StreamSnapshot(part.through, part.at, data) if is_intact else None
-        if len(self._open) > MAX_OPEN:
-            del self._open[next(iter(self._open))]
+            is_intact = part.snapshot_digest == _compute_digest(part.last_offset, data)
+            return StreamSnapshot(part.last_offset, part.written_at, data) if is_intact else None
+        if len(self._incomplete) > MAX_INCOMPLETE:
+            del self._incomplete[next(iter(self._incomplete))]
         return None
 
 
-def split_snapshot(whole: StreamSnapshot) -> list[bytes]:
-    """Return the records that carry a snapshot.
+def split_snapshot(snapshot: StreamSnapshot) -> list[bytes]:
+    """Return the encoded parts of a snapshot, one per record.
 
-    Its digest names it, so parts of different snapshots are never mixed, and
-    those of two writers of the same one complete each other.
+    Parts are identified by the digest of the snapshot, so parts of different snapshots are
+    never mixed, and if two hosts write the same snapshot, their parts complete each other.
 
     Raises
     ------
     ValueError
-        When it would need more than ``MAX_PARTS``.
+        When the snapshot would need more than ``MAX_PARTS``.
     """
-    count = max(1, -(-len(whole.data) // MAX_PART_BYTES))
+    count = max(1, -(-len(snapshot.data) // MAX_PART_BYTES))
     if count > MAX_PARTS:
-        raise ValueError(f"a snapshot of {len(whole.data)} bytes is too large")
-    name = _digest_of(whole.last_offset, whole.data)
-    cuts = [whole.data[i * MAX_PART_BYTES : (i + 1) * MAX_PART_BYTES] for i in range(count)]
+        raise ValueError(f"a snapshot of {len(snapshot.data)} bytes is too large")
+    digest = _compute_digest(snapshot.last_offset, snapshot.data)
+    pieces = [snapshot.data[i * MAX_PART_BYTES : (i + 1) * MAX_PART_BYTES] for i in range(count)]
     return [
-        _encode(_Part(name, whole.last_offset, whole.written_at, number, count, cut))
-        for number, cut in enumerate(cuts)
+        _encode(_Part(digest, snapshot.last_offset, snapshot.written_at, number, count, piece))
+        for number, piece in enumerate(pieces)
     ]
 
 
 async def append_parts(log: AsyncLog, stream: str, parts: list[bytes]) -> bool:
-    """Append the records of a snapshot; tell whether the log has them all.
+    """Append the parts of a snapshot; return whether the log has all of them.
 
-    A part whose outcome is unknown is appended again: readers take one of each.
+    A part whose outcome is unknown is appended again: readers ignore duplicate parts.
     """
     for number, part in enumerate(parts):
         if number:
@@ -117,7 +124,7 @@
 
 
 async def _append_part(log: AsyncLog, stream: str, part: bytes) -> bool:
-    for _ in range(APPEND_ATTEMPTS):
+    for _ in range(MAX_APPEND_ATTEMPTS):
         match await log.append(stream, part):
             case Appended():
                 return True
@@ -128,17 +135,17 @@
     return False
 
 
-def _digest_of(through: int, data: bytes) -> str:
-    return hashlib.blake2b(data, digest_size=16, salt=through.to_bytes(8)).hexdigest()
+def _compute_digest(last_offset: int, data: bytes) -> str:
+    return hashlib.blake2b(data, digest_size=16, salt=last_offset.to_bytes(8)).hexdigest()
 
 
-def _read_part(entry: Entry) -> _Part | None:
-    """Read a part; None for every other record, and for one that can't be true."""
-    if not entry.data.startswith(_HEADING):
+def _decode_part(entry: Entry) -> _Part | None:
+    """Decode a part; None for any other record, and for a part with impossible values."""
+    if not entry.data.startswith(_ENCODED_PREFIX):
         return None
     try:
         part = _decoder.decode(entry.data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
-    is_sound = 0 <= part.number < part.count <= MAX_PARTS and 0 <= part.through < entry.offset
-    return part if is_sound else None
+    is_valid = 0 <= part.number < part.count <= MAX_PARTS and 0 <= part.last_offset < entry.offset
+    return part if is_valid else None
--- a/poplarrun/log/_stream.py
+++ b/poplarrun/log/_stream.py
@@ -1,4 +1,4 @@
-"""Reading a stream in offset order, and appending until the outcome is known."""
+"""Reads a stream in offset order, and appends records until the outcome is known."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,23 +19,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Records between two offsets are gone: the reader needs a snapshot."""
+    """Records were dropped before they were read: the reader needs a snapshot.
 
-    expected: int
+    Attributes
+    ----------
+    next_offset : int
+        Offset of the first missing record.
+    horizon : int
+        The lowest offset still in the log.
+    """
+
+    next_offset: int
     horizon: int
 
 
 class StreamReader:
-    """Reads one stream from an offset on, each record once, in order.
+    """Reads the records of one stream once each, in order, starting at an offset.
 
     Attributes
     ----------
     next_offset : int
-        The offset of the next record to read. It never falls: a log that was
-        restored at a lower offset shows an end below it, and the reader then
-        waits for the log to grow past it instead of taking old offsets anew.
+        The offset of the next record to read. It never decreases: if the log is restored
+        from a backup and ends at a lower offset, the reader waits until the log has grown
+        past ``next_offset`` instead of reading the same offsets a second time.
     horizon, end : int
-        As the last page told.
+        Retention horizon and end of the stream at the last read.
     """
 
     def __init__(self, log: Log, stream: str, from_offset: int = 0) -> None:
@@ -46,7 +54,7 @@
         self.end = 0
 
     def read_new(self) -> tuple[Entry, ...] | Gap | ReadFailed:
-        """Read the records that came since the last call."""
+        """Read the records appended since the last call, at most ``READ_LIMIT``."""
         match self._log.read(self._stream, self.next_offset, READ_LIMIT):
             case Page(entries=entries, horizon=horizon, end=end):
                 self.horizon, self.end = horizon, end
@@ -62,13 +70,13 @@
 def append_until_known(
     log: Log, stream: str, data: bytes, find: Callable[[], int | None], attempts: int
 ) -> AppendOutcome:
-    """Append a record that carries its own id, retrying while the outcome is unknown.
+    """Append a record that has an id, and retry while the outcome is unknown.
 
-    A lost answer leaves the record maybe in the stream. The fold of the stream
-    drops repeats of an id, so a second append of the same bytes is harmless;
-    ``find`` looks first, to save the repeat where the record is seen to stand.
+    After a lost response the record may be in the stream. Readers ignore records with an
+    id that they have read before, so appending the same bytes twice is harmless. ``find``
+    returns the offset of the record if the stream has it, which saves the second append.
     """
-    outcome: AppendOutcome = AppendRefused("no attempt was allowed")
+    outcome: AppendOutcome = AppendRefused("no append was attempted: attempts is 0")
     for _ in range(attempts):
         outcome = log.append(stream, data)
         match outcome:
--- a/poplarrun/settings/__init__.py
+++ b/poplarrun/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one host: a YAML file, validated."""
+"""The settings of one host: read from a YAML file and validated."""
 
 from poplarrun.settings._settings import (
     CallersTls,
--- a/poplarrun/settings/_settings.py
+++ b/poplarrun/settings/_settings.py
@@ -1,4 +1,4 @@
-"""The border of the host settings: YAML in, a frozen model or problems out."""
+"""Reads a host's settings from YAML into a frozen model, or reports all invalid fields."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -17,13 +17,16 @@
 
 
 class PlatformAddresses(_Settings):
-    """Where the platform's services listen.
+    """Addresses of the platform's services.
 
     Attributes
     ----------
+    log, host_list, ratings, weights : str
+        ``ip:port`` of the log, the host list, the rating service and the weight store.
     ratings_bias : float
-        By how much ratings may be too high at most; below 0 where they are
-        surely too low by that much. Versions are chosen by ratings less this.
+        Upper bound of the amount by which ratings are too high, negative if they are known
+        to be too low by at least that. It is subtracted from ratings when versions are
+        chosen.
     """
 
     log: Address
@@ -34,14 +37,14 @@
 
 
 class LimitSettings(_Settings):
-    """Bounds that protect one host.
+    """Limits that protect one host from overload.
 
     Attributes
     ----------
     body_bytes : int
-        Largest request body that is read.
+        Maximum size of a request body.
     threads : int
-        Threads that carry bytes; each open stream holds one.
+        Threads that serve connections; each open stream occupies one.
     """
 
     body_bytes: Annotated[int, Field(gt=0)] = 4_000_000
@@ -49,15 +52,15 @@
 
 
 class LogSigning(_Settings):
-    """How the hosts' own records in the log are signed.
+    """Keys for signing the records that hosts append to the log.
 
     Attributes
     ----------
     keys : tuple of str
-        Secret keys, the same at every host: the first signs, each of them is
-        accepted. Without any, records are neither signed nor checked.
+        Secret keys, the same at every host. Records are signed with the first and accepted
+        if signed with any of them. If empty, records are neither signed nor verified.
     accept_unsigned : bool
-        Whether unsigned records count; for the time in which keys are introduced.
+        Whether unsigned records are accepted too; used while keys are being introduced.
     """
 
     keys: tuple[OperatorKey, ...] = ()
@@ -65,15 +68,15 @@
 
 
 class StopSettings(_Settings):
-    """How a planned stop goes.
+    """Timing of a graceful shutdown.
 
     Attributes
     ----------
     balancer_time_s : float
-        How long the host still serves new requests while it shows itself not
-        ready: longer than the balancer takes to notice.
+        How long the host reports that it is not ready but still serves new requests. Must
+        be longer than the load balancer takes to notice.
     drain_bound_s : float
-        How long it then waits for open requests, streams included.
+        How long the host then waits for open requests to end, including streams.
     """
 
     balancer_time_s: Annotated[float, Field(ge=0, le=600)] = 2.0
@@ -81,21 +84,27 @@
 
 
 class CallersTls(_Settings):
-    """The certificate that callers, operators and the balancer see."""
+    """The server certificate for callers, operators and the load balancer.
+
+    Attributes
+    ----------
+    certificate, key : Path
+        Certificate chain and private key, as PEM files.
+    """
 
     certificate: Path
     key: Path
 
 
 class PeersTls(_Settings):
-    """Certificates between hosts; both sides must show one that names ``poplarrun-host``.
+    """Certificates for mutual TLS between hosts, issued for the name ``poplarrun-host``.
 
     Attributes
     ----------
     authority : Path
-        What the others' certificates must descend from.
+        Certificate of the authority that must have issued the other hosts' certificates.
     identity : Path
-        This host's certificate and key, in one PEM file.
+        This host's certificate and private key, in one PEM file.
     """
 
     authority: Path
@@ -103,14 +112,23 @@
 
 
 class PlatformTlsSettings(_Settings):
-    """Certificates towards the platform's services and the model engines."""
+    """Certificates for TLS to the platform's services, the model engines or plain services.
+
+    Attributes
+    ----------
+    authority : Path
+        Certificate of the authority that must have issued the servers' certificates.
+    identity : Path, optional
+        This host's client certificate and private key in one PEM file, for servers that
+        ask for one.
+    """
 
     authority: Path
     identity: Path | None = None
 
 
 class TlsSettings(_Settings):
-    """Which ways are encrypted; one that is left out is plain."""
+    """TLS settings by kind of connection; a kind without settings is not encrypted."""
 
     callers: CallersTls | None = None
     peers: PeersTls | None = None
@@ -119,26 +137,25 @@
 
 
 class HostSettings(_Settings):
-    """Everything that a host learns from its settings.
+    """All settings of a host.
 
     Attributes
     ----------
     name : str
-        The host's name, unique among the live ones.
+        The host's name, unique among the live hosts.
     zone, region : str
         Its availability zone and region.
     listen : str
-        ``ip:port`` for callers, operators and the balancer.
+        ``ip:port`` for callers, operators and the load balancer.
     peer_listen : str, optional
         ``ip:port`` for the other hosts.
     seeds : tuple of str
-        Some hosts' ``peer_listen`` addresses; the rest is learnt.
+        ``peer_listen`` addresses of some hosts, from which the others are discovered.
     operator_keys : dict of str to tuple of str
-        Secret keys of the operators by name, and of ``system`` for the hosts
-        themselves; the same at every host. Without any, unsigned
-        publications count.
+        Secret keys of the operators by name, and of ``system`` for the hosts themselves;
+        the same at every host. If empty, unsigned publications are accepted.
     log_signing : LogSigning
-        Keys for all other records.
+        Keys for all records other than publications of the configuration.
     """
 
     name: Name
@@ -157,13 +174,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblems:
-    """All faults of a settings file, one line each."""
+    """All errors found in a settings file, one line each."""
 
     lines: tuple[str, ...]
 
 
 def load_settings(path: Path) -> HostSettings | SettingsProblems:
-    """Read a host's settings file."""
+    """Read and validate a host's settings file."""
     try:
         raw = yaml.safe_load(path.read_text())
     except (OSError, yaml.YAMLError) as error:
