--- a/features/cli.feature
+++ b/features/cli.feature
@@ -15,15 +15,15 @@
       | config show    | Show this publication               |
       | config history | ip:port of the platform's log       |
       | config diff    | Offset of the older publication     |
-      | status         | Show it anew every second           |
-      | explain        | The X-Request-Id of its answer      |
+      | status         | Refresh every second                |
+      | explain        | The X-Request-Id of its response    |
       | ask            | API key of the client account       |
-      | bill           | UTC when it names no zone           |
+      | bill           | in UTC unless it has an offset      |
 
-  Scenario Outline: Bad input is told by its field, without a trace
-    # The operator mistypes an argument or names a host that is gone. The
-    # argument is checked before anything is sent, and a silent host is one
-    # line, not a stack.
+  Scenario Outline: Invalid input is reported by its field, without a traceback
+    # The operator mistypes an argument or names a host that is gone. Arguments must be
+    # validated before anything is sent, and a host that doesn't respond must be reported in
+    # one line, not by a traceback.
     When the command line runs "<command>"
     Then the command exits with <code>
     And the command's error says "<text>"
@@ -40,7 +40,7 @@
       | ask note hello --host 127.0.0.1:1 --key k          | 1    | no answer          |
       | serve --settings no-such-file.yaml                 | 2    | no-such-file.yaml  |
 
-  Scenario: An invalid document exits with 2 and lists every fault
+  Scenario: An invalid document exits with 2 and lists every problem
     Given a document file "bad.yaml" with
       """
       classes:
@@ -52,9 +52,9 @@
     Then the command exits with 2
     And the command's error says "4 problems"
 
-  Scenario: What a document holds is told as it stands
-    # The terminal library takes "[/bold]" for markup: a name with brackets
-    # ended in a trace, or was left out of the line that names it.
+  Scenario: Error messages quote a document verbatim
+    # The terminal library interprets "[/bold]" as markup: a name with brackets ended in a
+    # traceback, or was missing from the message.
     Given a document file "brackets.yaml" with
       """
       classes: {"[/bold]": 3}
@@ -63,18 +63,18 @@
     Then the command exits with 2
     And the command's error says "classes.[/bold]: found '[/bold]'"
 
-  Scenario: An answer that breaks off is told in a line
-    # The host dies while the answer runs. The operator sees which host and
-    # which request, and exit code 1.
+  Scenario: An answer that breaks off is reported in one line
+    # The host dies during the answer. The operator must see which host and which request
+    # were affected, and exit code 1.
     Given a host that breaks off each answer
     When the command line asks it for a "note"
     Then the command exits with 1
     And the command's error says "broke off"
     And the command's error says "request req-1"
 
-  Scenario: Settings errors are told all at once
-    # An unknown key would be a limit that the operator believes in and that
-    # nothing applies, so it stops the start.
+  Scenario: All errors in the settings are reported at once
+    # An unknown key may be a misspelt limit that would silently not apply, so the host must
+    # not start with it.
     Given a settings file with
       """
       name: a1
@@ -91,9 +91,9 @@
     And the command's error says "platform.brokers: Extra inputs"
 
   @fixture.small_fleet
-  Scenario: Publishing waits for every zone and says which host is silent
-    # One host is stopped. Its zone answers through nobody, so the operator
-    # is told so instead of waiting for ever.
+  Scenario: Publishing waits for every zone and reports hosts that don't respond
+    # The only host of a zone is killed. The operator must be told that nobody responds for
+    # the zone, instead of waiting forever.
     When the Thistledown document is published with wait at all hosts
     Then the command exits with 0
     And the command's output says "zone c: in force after"
@@ -103,7 +103,7 @@
     And the status of all hosts is read
     Then the command exits with 4
     And the command's output says "silent"
-    When the others have noticed, and the status is read
+    When the other hosts have detected it, and the status is read
     Then the command exits with 4
     And the command's output says "HOST NOT ALIVE ZONE SEEN AS c1 c silent"
     When the history is read as JSON
@@ -111,9 +111,9 @@
 
   @fixture.small_fleet
   Scenario: Two operators edit the same document
-    # Both show the document and edit it; the slower one publishes on the offset
-    # that was shown to both. The tool tells the difference and what to do next;
-    # nothing of the slower one is in force.
+    # Both edit the same version of the document, and the slower one publishes based on its
+    # offset. The command must print the difference and what to do next, and the slower
+    # operator's document must not take effect.
     When the Thistledown document is published with wait at all hosts
     And "ada" publishes the Anellidoro document based on 0
     Then the command exits with 0
@@ -126,15 +126,15 @@
     And the command's error says "--based-on 1"
 
   @fixture.small_fleet
-  Scenario: Asking, and explaining the answer
+  Scenario: A request is sent and its routing explained
     When the Thistledown document is published with wait at all hosts
     And the command line asks host "a1" for a "note"
     Then the command exits with 0
     And the request is explained as "answered"
     When the command line asks host "a1" for a "note" as JSON
-    Then the JSON answer has a request id, a version and words
+    Then the JSON answer has a request id, a version and a text
     When the bill of "borough-north" is read as JSON
-    Then the JSON bill names its account, lines and total
+    Then the JSON bill has its account, lines and total
     When the command line asks host "a1" for a "no-such-class"
     Then the command exits with 1
     And the command's error says "refused: class_unknown"
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,13 +1,14 @@
-Feature: Where callers lost, by the log lines of hosts
+Feature: Causes of requests without a good answer in time, from the hosts' log lines
 
   Scenario Outline: Each loss has its cause
-    # An engineer on call sees that callers complain, and has log lines only. Each request
-    # without a good answer in time must tell why, so that the most frequent cause shows.
-    Given the log lines of a request that <story>
-    Then its loss is "<cause>"
+    # An engineer on call knows that callers complain, and has nothing but log lines. The
+    # cause must be found for each request without a good answer in time, so that the most
+    # frequent cause can be seen.
+    Given the log lines of a request that <outcome>
+    Then the cause of its loss is "<cause>"
 
     Examples:
-      | story                           | cause                                          |
+      | outcome                         | cause                                          |
       | was refused                     | refused: not_ready, keys are old               |
       | was broken off                  | broken off: broken                             |
       | was left before any send        | left: before any send                          |
@@ -18,10 +19,10 @@
       | was answered well               | none                                           |
       | has no end                      | no line tells its end                          |
 
-  Scenario: The table and the plot tell when and where
+  Scenario: The tables and the plot show causes, zones and times
     Given the log lines of a request that was refused
     When the losses are printed
-    Then the page holds "1 requests, 1 lost"
-    And the page holds "keys are old"
-    And the page holds "zone-a"
-    And the page holds "     0     1  ########################################"
+    Then the output contains "1 requests, 1 lost"
+    And the output contains "keys are old"
+    And the output contains "zone-a"
+    And the output contains "     0     1  ########################################"
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -114,7 +114,9 @@
 
     run_virtual(run())
     parts = [part for part in map(parts_module._decode_part, entries_of(context)) if part]
-    changes = sum(one.snapshot_digest != other.snapshot_digest for one, other in itertools.pairwise(parts))
+    changes = sum(
+        one.snapshot_digest != other.snapshot_digest for one, other in itertools.pairwise(parts)
+    )
     assert changes > 5 and len(whole_snapshots(context)) == 2, changes
 
 
--- a/features/steps/cli.py
+++ b/features/steps/cli.py
@@ -21,7 +21,7 @@
 
 
 def run_cli(context, *arguments):
-    context.done = subprocess.run(
+    context.completed_process = subprocess.run(
         [sys.executable, "-m", "poplarrun", *arguments],
         capture_output=True,
         text=True,
@@ -30,8 +30,8 @@
     )
 
 
-def run_cli_here(context, arguments):
-    """Run the command line in this process, sparing the start of another."""
+def run_cli_in_process(context, arguments):
+    """Run the command line in this process, which is faster than starting another."""
     output, errors = io.StringIO(), io.StringIO()
     argv = mock.patch.object(sys, "argv", ["poplarrun", *arguments])
     with redirect_stdout(output), redirect_stderr(errors), argv:
@@ -40,7 +40,7 @@
             code = 0
         except SystemExit as end:
             code = end.code or 0
-    context.done = subprocess.CompletedProcess(
+    context.completed_process = subprocess.CompletedProcess(
         arguments, code, output.getvalue(), errors.getvalue()
     )
 
@@ -49,7 +49,7 @@
     return ",".join(host.address for host in context.fleet.hosts.values())
 
 
-def text_file(context, name, text):
+def write_temporary_file(context, name, text):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     path = Path(folder.name) / name
@@ -59,12 +59,12 @@
 
 @when('the command line runs "{command}"')
 def step_run(context, command):
-    run_cli_here(context, shlex.split(command))
+    run_cli_in_process(context, shlex.split(command))
 
 
 @given('a document file "{name}" with')
 def step_document_file(context, name):
-    context.document_file = text_file(context, name, context.text)
+    context.document_file = write_temporary_file(context, name, context.text)
 
 
 @when('the command line checks "{name}"')
@@ -74,7 +74,7 @@
 
 @given("a settings file with")
 def step_settings_file(context):
-    context.settings_file = text_file(context, "a1.yaml", context.text)
+    context.settings_file = write_temporary_file(context, "a1.yaml", context.text)
 
 
 @when("the host is started with it")
@@ -106,15 +106,15 @@
     run_cli(context, "status", "--hosts", all_hosts(context))
 
 
-@when("the others have noticed, and the status is read")
-def step_read_noticed(context):
+@when("the other hosts have detected it, and the status is read")
+def step_read_detected(context):
     hosts = all_hosts(context)
 
-    def shows():
-        run_cli_here(context, ["status", "--hosts", hosts])
-        return "HOST NOT ALIVE" in context.done.stdout
+    def is_shown():
+        run_cli_in_process(context, ["status", "--hosts", hosts])
+        return "HOST NOT ALIVE" in context.completed_process.stdout
 
-    wait_until(shows, "the status shows a host that is not alive")
+    wait_until(is_shown, "the status shows a host that is not alive")
 
 
 @when("the status of all hosts is read as JSON")
@@ -138,8 +138,8 @@
     run_cli(context, "ask", work_class, "hello", "--host", address, "--key", "borough-north-key")
 
 
-class BreaksOff(BaseHTTPRequestHandler):
-    """Answers with a stream that ends before its length."""
+class TruncatingHandler(BaseHTTPRequestHandler):
+    """Responds with a stream that ends before its Content-Length."""
 
     def do_POST(self):
         self.send_response(200)
@@ -149,32 +149,32 @@
         self.wfile.write(b'data: {"choices": [{"delta": {"content": "gold "}}]}\n')
 
     def log_message(self, *_):
-        """Write nothing."""
+        """Log nothing."""
 
 
 @given("a host that breaks off each answer")
-def step_breaking_host(context):
-    server = HTTPServer(("127.0.0.1", 0), BreaksOff)
+def step_truncating_host(context):
+    server = HTTPServer(("127.0.0.1", 0), TruncatingHandler)
     context.add_cleanup(server.server_close)
     context.add_cleanup(server.shutdown)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    context.breaking = f"127.0.0.1:{server.server_port}"
+    context.truncating_host = f"127.0.0.1:{server.server_port}"
 
 
 @when('the command line asks it for a "{work_class}"')
-def step_ask_breaking(context, work_class):
-    run_cli(context, "ask", work_class, "hello", "--host", context.breaking, "--key", "k")
+def step_ask_truncating_host(context, work_class):
+    run_cli(context, "ask", work_class, "hello", "--host", context.truncating_host, "--key", "k")
 
 
 @when('the command line asks host "{name}" for a "{work_class}" as JSON')
 def step_ask_json(context, name, work_class):
-    where = ("--host", context.fleet.hosts[name].address, "--key", "borough-north-key")
-    run_cli(context, "ask", work_class, "hello", *where, "--json")
+    options = ("--host", context.fleet.hosts[name].address, "--key", "borough-north-key")
+    run_cli(context, "ask", work_class, "hello", *options, "--json")
 
 
-@then("the JSON answer has a request id, a version and words")
+@then("the JSON answer has a request id, a version and a text")
 def step_json_answer(context):
-    answer = json.loads(context.done.stdout)
+    answer = json.loads(context.completed_process.stdout)
     assert set(answer) == {"request_id", "version", "answer"}, answer
     assert answer["request_id"].startswith("req-") and ":" in answer["version"], answer
     assert answer["answer"], answer
@@ -182,43 +182,52 @@
 
 @when('the bill of "{account}" is read as JSON')
 def step_json_bill(context, account):
-    where = ("--since", "2020-01-01", "--log", context.fleet.log.address)
-    run_cli(context, "bill", "--account", account, *where, "--json")
+    options = ("--since", "2020-01-01", "--log", context.fleet.log.address)
+    run_cli(context, "bill", "--account", account, *options, "--json")
 
 
-@then("the JSON bill names its account, lines and total")
+@then("the JSON bill has its account, lines and total")
 def step_bill_keys(context):
-    assert context.done.returncode == 0, context.done.stderr
+    assert context.completed_process.returncode == 0, context.completed_process.stderr
     keys = "account first_day lines late ends missing_below total noted"
-    assert list(json.loads(context.done.stdout)) == keys.split(), context.done.stdout
+    assert (
+        list(json.loads(context.completed_process.stdout)) == keys.split()
+    ), context.completed_process.stdout
 
 
 @then("the command exits with {code:d}")
 def step_code(context, code):
-    assert context.done.returncode == code, (context.done.stdout, context.done.stderr)
+    assert context.completed_process.returncode == code, (
+        context.completed_process.stdout,
+        context.completed_process.stderr,
+    )
 
 
 @then('the command\'s output says "{text}"')
 def step_output(context, text):
-    assert text in " ".join(context.done.stdout.split()), context.done.stdout
+    assert text in " ".join(
+        context.completed_process.stdout.split()
+    ), context.completed_process.stdout
 
 
 @then('the command\'s error says "{text}"')
 def step_error(context, text):
-    errors = " ".join(context.done.stderr.split())
+    errors = " ".join(context.completed_process.stderr.split())
     assert text in errors, errors
     assert "Traceback" not in errors, errors
 
 
 @then("the JSON status has {count:d} zones at one offset")
 def step_zones(context, count):
-    zones = json.loads(context.done.stdout)["zones"]
+    zones = json.loads(context.completed_process.stdout)["zones"]
     assert len(zones) == count, zones
     assert len({zone["offset"] for zone in zones}) == 1, zones
 
 
 @then('the request is explained as "{outcome}"')
 def step_explained(context, outcome):
-    request_id = re.search(r"request (req-\w+)", context.done.stderr).group(1)
+    request_id = re.search(r"request (req-\w+)", context.completed_process.stderr).group(1)
     run_cli(context, "explain", request_id, "--hosts", all_hosts(context), "--json")
-    assert json.loads(context.done.stdout)["outcome"] == outcome, context.done.stdout
+    assert (
+        json.loads(context.completed_process.stdout)["outcome"] == outcome
+    ), context.completed_process.stdout
--- a/features/steps/explanations.py
+++ b/features/steps/explanations.py
@@ -12,13 +12,13 @@
 
 
 def explain(context, request_id):
-    """Run the command on the host's log, as an engineer does."""
+    """Run ``poplarrun explain`` on the host's log file."""
     path = context.installation.log_path(0)
 
-    def is_told():
-        return build_timeline(request_id, read_log_lines([str(path)])).end is not None
+    def is_end_logged():
+        return build_timeline(request_id, read_log_lines([str(path)])).final_line is not None
 
-    context.installation.wait_for(is_told, f"the end of {request_id} is told")
+    context.installation.wait_for(is_end_logged, f"the end of {request_id} is logged")
     output = io.StringIO()
     with redirect_stdout(output):
         Explain(request_id, logs=[str(path)], json=True)()
@@ -46,30 +46,30 @@
     context.installation.call("/draft/brief", X_Model="*", X_Attempt_Id=request_id)
 
 
-@when('the endpoint of the order "{request_id}" loses its answer')
+@when('the endpoint of the order "{request_id}" loses its response')
 def step_lose(context, request_id):
     set_faults(context, "stock", "LOST")
     answer = context.installation.call("/order/ring", X_Attempt_Id=request_id)
     assert answer.status == 502, answer
 
 
-@then('the story of "{request_id}" ends with "{event}" of kind "{kind}"')
+@then('the timeline of "{request_id}" ends with "{event}" of kind "{kind}"')
 def step_ends(context, request_id, event, kind):
-    context.story = explain(context, request_id)
-    end = context.story["lines"][-1]
+    context.timeline = explain(context, request_id)
+    end = context.timeline["lines"][-1]
     assert (end["event"], end["kind"]) == (event, kind), end
 
 
-@then('the story of "{request_id}" tells that the host learnt "{event}" before')
-def step_learnt(context, request_id, event):
-    assert event in {line["event"] for line in context.story["context"]}, context.story
+@then('the timeline of "{request_id}" shows that the host logged "{event}" before')
+def step_logged_before(context, request_id, event):
+    assert event in {line["event"] for line in context.timeline["context"]}, context.timeline
 
 
-@then('the story of "{request_id}" names {count:d} sends that failed as "{failure}"')
+@then('the timeline of "{request_id}" has {count:d} sends that failed as "{failure}"')
 def step_sends(context, request_id, count, failure):
-    failed = [line for line in context.story["lines"] if line["event"] == "SendFailed"]
+    failed = [line for line in context.timeline["lines"] if line["event"] == "SendFailed"]
     assert [line["failure"] for line in failed] == [failure] * count, failed
-    sent = [line for line in context.story["lines"] if line["event"] == "RequestSent"]
+    sent = [line for line in context.timeline["lines"] if line["event"] == "RequestSent"]
     assert [line["endpoint"] for line in sent] == [line["endpoint"] for line in failed]
 
 
@@ -79,19 +79,20 @@
     for key, request_id in (("counter-key", "good-1"), ("stolen-key", "bad-1")):
         context.installation.call("/order/x", key=key, body=body.encode(), X_Attempt_Id=request_id)
     path = context.installation.log_path(0)
-    told = ("good-1", "bad-1")
+    request_ids = ("good-1", "bad-1")
     context.installation.wait_for(
-        lambda: all(request_id in path.read_text() for request_id in told), "both are told"
+        lambda: all(request_id in path.read_text() for request_id in request_ids),
+        "both requests are logged",
     )
 
 
-@then("no log line holds the body or a key, and each request line has its id")
+@then("no log line contains the body or a key, and each request line has its id")
 def step_no_secrets(context):
     text = context.installation.log_of()
     assert not [secret for secret in context.secrets if secret in text], text
     lines = [json.loads(line) for line in text.splitlines()]
-    told = [line for line in lines if line["message"].startswith("request: ")]
-    assert {line["request"] for line in told} == {"good-1", "bad-1"}, told
+    request_lines = [line for line in lines if line["message"].startswith("request: ")]
+    assert {line["request"] for line in request_lines} == {"good-1", "bad-1"}, request_lines
 
 
 @then('the metrics have the latencies "{names}"')
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -22,7 +22,7 @@
 REFUSED = {"event": "RequestRefused", "kind": "not_ready", "reason": "keys are old", "status": 503}
 BROKEN = {"event": "SendFailed", "failure": "broken"}
 LARGER = {"event": "LargerModelAsked", "confidence": 0.1}
-STORIES = {
+EVENTS_BY_OUTCOME = {
     "was refused": [REFUSED],
     "was broken off": [SENT, BROKEN, {"event": "AnswerBroken", "kind": "endpoint_failed"}],
     "was left before any send": [{"event": "CallerLeft"}],
@@ -35,27 +35,27 @@
 }
 
 
-def make_lines(story):
-    usual = {"asctime": "2026-01-01 10:00:00,000", "message": "host: x", "host": "a1"}
+def make_lines(events):
+    common = {"asctime": "2026-01-01 10:00:00,000", "message": "host: x", "host": "a1"}
     admitted = {"event": "RequestAdmitted", "route": "draft", "service": "engines"}
-    lines = [usual | {"event": "HostStarted", "zone": "zone-a"}]
-    lines += [usual | {"request": "r1", "route": "draft"} | line for line in [admitted, *story]]
+    lines = [common | {"event": "HostStarted", "zone": "zone-a"}]
+    lines += [common | {"request": "r1", "route": "draft"} | line for line in [admitted, *events]]
     return [json.dumps(line) for line in lines]
 
 
-@given("the log lines of a request that {story}")
-def step_lines(context, story):
+@given("the log lines of a request that {outcome}")
+def step_lines(context, outcome):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.path = Path(folder.name) / "host.log"
-    context.path.write_text("\n".join(make_lines(STORIES[story])))
+    context.path.write_text("\n".join(make_lines(EVENTS_BY_OUTCOME[outcome])))
 
 
-@then('its loss is "{cause}"')
+@then('the cause of its loss is "{cause}"')
 def step_loss(context, cause):
-    losses = find_losses(read_log_lines([str(context.path)]))
-    assert losses.asked == {"draft": 1}
-    assert [loss.cause for loss in losses.found] == ([] if cause == "none" else [cause])
+    report = find_losses(read_log_lines([str(context.path)]))
+    assert report.request_counts == {"draft": 1}
+    assert [loss.cause for loss in report.losses] == ([] if cause == "none" else [cause])
 
 
 @when("the losses are printed")
@@ -63,9 +63,9 @@
     output = io.StringIO()
     with redirect_stdout(output):
         ShowLosses([str(context.path)])()
-    context.page = output.getvalue()
+    context.output = output.getvalue()
 
 
-@then('the page holds "{text}"')
-def step_page(context, text):
-    assert text in context.page, context.page
+@then('the output contains "{text}"')
+def step_output_contains(context, text):
+    assert text in context.output, context.output
--- a/poplarrun/cli/__init__.py
+++ b/poplarrun/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface of poplarrun."""
 
 from poplarrun.cli._main import main
 
--- a/poplarrun/cli/_arguments.py
+++ b/poplarrun/cli/_arguments.py
@@ -1,4 +1,4 @@
-"""What all subcommands share: exit codes and the forms of arguments."""
+"""Exit codes and argument types that the subcommands share."""
 
 import re
 from typing import Annotated
@@ -8,67 +8,67 @@
 EXIT_FAILED = 1
 EXIT_INVALID = 2
 EXIT_CONFLICT = 3
-EXIT_SILENT = 4
+EXIT_NO_RESPONSE = 4
 EXIT_INTERRUPTED = 130
 
 EXIT_CODES = """
-Exit codes: 0 done; 1 failed or refused; 2 invalid argument, document or settings; 3 conflict with
-another operator's publication; 4 done, but a host or an availability zone is silent;
+Exit codes: 0 success; 1 failed or refused; 2 invalid argument, document or settings; 3 conflict
+with another operator's publication; 4 done, but a host or an availability zone did not respond;
 130 interrupted.
 """
 
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 TLS_SCHEME = "https://"
-TLS_HELP = "https:// before it where callers speak TLS; SSL_CERT_FILE names the authority's file"
+TLS_HELP = "prefixed with https:// if the host uses TLS; SSL_CERT_FILE names the CA certificate"
 
 
-def read_address(text: str) -> str:
-    """Check one ``ip:port``.
+def parse_address(text: str) -> str:
+    """Validate an ``ip:port`` and return it.
 
     Raises
     ------
     ValueError
-        Telling what was found and what is allowed.
+        When the text is not an IPv4 address with a port, saying what was found.
     """
     port = int(text.rpartition(":")[2]) if _ADDRESS.fullmatch(text) else 0
-    if not 0 < port <= HIGHEST_PORT:
-        raise ValueError(f"found {text!r}, an ip:port such as 10.0.0.1:8080 is needed")
+    if not 0 < port <= MAX_PORT:
+        raise ValueError(f"found {text!r}, expected an ip:port such as 10.0.0.1:8080")
     return text
 
 
-def read_host_address(text: str) -> str:
-    """Check a host's ``ip:port``, with ``https://`` before it where callers speak TLS."""
+def parse_host_address(text: str) -> str:
+    """Validate a host's ``ip:port``, which may be prefixed with ``https://``."""
     scheme = TLS_SCHEME if text.startswith(TLS_SCHEME) else ""
-    return scheme + read_address(text.removeprefix(scheme))
+    return scheme + parse_address(text.removeprefix(scheme))
 
 
-def read_addresses(text: str) -> list[str]:
-    """Check a comma-separated list of hosts' addresses."""
-    return [read_host_address(part.strip()) for part in text.split(",")]
+def parse_host_addresses(text: str) -> list[str]:
+    """Validate and split a comma-separated list of host addresses."""
+    return [parse_host_address(part.strip()) for part in text.split(",")]
 
 
 LogAddress = Annotated[
-    str, cappa.Arg(long="--log", parse=read_address, help="ip:port of the platform's log.")
+    str, cappa.Arg(long="--log", parse=parse_address, help="ip:port of the platform's log.")
 ]
 HostAddresses = Annotated[
     list[str],
     cappa.Arg(
         long="--hosts",
         num_args=1,
-        parse=read_addresses,
-        help=f"ip:port of hosts, with commas; {TLS_HELP}.",
+        parse=parse_host_addresses,
+        help=f"ip:port of hosts, separated by commas; {TLS_HELP}.",
     ),
 ]
 
 
 def count_noun(count: int, noun: str) -> str:
-    """Return ``1 problem``, ``2 problems``."""
+    """Return a count with its noun, such as ``1 problem`` or ``2 problems``."""
     return f"{count} {noun}" if count == 1 else f"{count} {noun}s"
 
 
 HostAddress = Annotated[
-    str, cappa.Arg(long="--host", parse=read_host_address, help=f"ip:port of a host; {TLS_HELP}.")
+    str, cappa.Arg(long="--host", parse=parse_host_address, help=f"ip:port of a host; {TLS_HELP}.")
 ]
 
 AsJson = Annotated[bool, cappa.Arg(long="--json", help="Print JSON, for scripts.")]
--- a/poplarrun/cli/_ask.py
+++ b/poplarrun/cli/_ask.py
@@ -1,4 +1,4 @@
-"""``poplarrun ask``: one request, its answer streamed to the terminal."""
+"""``poplarrun ask``: sends one request and streams its answer to the terminal."""
 
 import sys
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 OK = 200
 DATA_PREFIX = b"data: "
-DONE = b"[DONE]"
+END_OF_STREAM = b"[DONE]"
 TIMEOUT_S = 300.0
 
 
@@ -22,12 +22,12 @@
 class Ask:
     """Send one request and stream the answer."""
 
-    work_class: Annotated[str, cappa.Arg(help="The class of work.")]
+    work_class: Annotated[str, cappa.Arg(help="The work class.")]
     prompt: Annotated[str, cappa.Arg(help="The prompt.")]
     host: HostAddress
     key: Annotated[str, cappa.Arg(long=True, help="API key of the client account.")]
     session: Annotated[
-        str | None, cappa.Arg(long=True, help="Session id; a session keeps its version.")
+        str | None, cappa.Arg(long=True, help="Session id; a session stays on its version.")
     ] = None
     json: AsJson = False
 
@@ -43,13 +43,13 @@
         }
         response = self._send(headers, msgspec.json.encode(body))
         if response.status != OK:
-            raise cappa.Exit(_tell_refusal(response), code=EXIT_FAILED)
-        words = self._read_words(response)
+            raise cappa.Exit(_format_refusal(response), code=EXIT_FAILED)
+        pieces = self._read_pieces(response)
         if self.json:
-            print(_encode_answer(response, "".join(words)))
+            print(_encode_answer(response, "".join(pieces)))
             return
-        for word in words:
-            print(word, end="", flush=True)
+        for piece in pieces:
+            print(piece, end="", flush=True)
         print()
         print(f"request {response.headers.get('X-Request-Id')}", file=sys.stderr)
 
@@ -69,22 +69,26 @@
             raise cappa.Exit(message, code=EXIT_FAILED) from error
         except UnicodeEncodeError as error:
             raise cappa.Exit(
-                "--key, --session: letters of Latin-1 only", code=EXIT_FAILED
+                "--key, --session: only Latin-1 characters are allowed", code=EXIT_FAILED
             ) from error
 
-    def _read_words(self, response: urllib3.BaseHTTPResponse) -> Iterator[str]:
+    def _read_pieces(self, response: urllib3.BaseHTTPResponse) -> Iterator[str]:
         request = f"request {response.headers.get('X-Request-Id')}"
         try:
             yield from _read_stream(response)
-        except BrokenAnswer as broken:
-            raise cappa.Exit(f"broken: {broken}; {request}", code=EXIT_FAILED) from broken
+        except IncompleteAnswer as reason:
+            raise cappa.Exit(
+                f"incomplete answer: {reason}; {request}", code=EXIT_FAILED
+            ) from reason
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError, LookupError) as error:
-            message = f"broken: {self.host} broke off ({type(error).__name__}); {request}"
+            message = (
+                f"incomplete answer: {self.host} broke off ({type(error).__name__}); {request}"
+            )
             raise cappa.Exit(message, code=EXIT_FAILED) from error
 
 
-class BrokenAnswer(Exception):
-    """The host says that the answer broke, or it has no clean end."""
+class IncompleteAnswer(Exception):
+    """The host reported an error within the stream, or the stream has no end marker."""
 
 
 def _read_stream(response: urllib3.BaseHTTPResponse) -> Iterator[str]:
@@ -92,13 +96,13 @@
         if not line.startswith(DATA_PREFIX):
             continue
         data = line[len(DATA_PREFIX) :].strip()
-        if data == DONE:
+        if data == END_OF_STREAM:
             return
         event: dict[str, Any] = msgspec.json.decode(data)
         if "error" in event:
-            raise BrokenAnswer(event["error"]["message"])
+            raise IncompleteAnswer(event["error"]["message"])
         yield event["choices"][0]["delta"].get("content", "")
-    raise BrokenAnswer("the answer has no clean end")
+    raise IncompleteAnswer("the stream ended without its end marker")
 
 
 def _encode_answer(response: urllib3.BaseHTTPResponse, text: str) -> str:
@@ -110,11 +114,11 @@
     return msgspec.json.encode(fields).decode()
 
 
-def _tell_refusal(response: urllib3.BaseHTTPResponse) -> str:
+def _format_refusal(response: urllib3.BaseHTTPResponse) -> str:
     try:
         error = msgspec.json.decode(response.data)["error"]
         text = f"refused: {error['code']}: {error['message']} (not run: {error.get('not_run')})"
     except (urllib3.exceptions.HTTPError, msgspec.DecodeError, LookupError, TypeError):
-        return f"refused with {response.status}; is this a poplarrun host?"
+        return f"refused with status {response.status}; is this a poplarrun host?"
     retry_after = response.headers.get("Retry-After")
-    return text if retry_after is None else f"{text}; come back after {retry_after} s"
+    return text if retry_after is None else f"{text}; retry after {retry_after} s"
--- a/poplarrun/cli/_config.py
+++ b/poplarrun/cli/_config.py
@@ -1,4 +1,4 @@
-"""``poplarrun config``: check, publish and show the operators' document."""
+"""``poplarrun config``: checks, publishes and shows the configuration document."""
 
 import difflib
 import getpass
@@ -16,7 +16,7 @@
     EXIT_CONFLICT,
     EXIT_FAILED,
     EXIT_INVALID,
-    EXIT_SILENT,
+    EXIT_NO_RESPONSE,
     AsJson,
     HostAddresses,
     LogAddress,
@@ -50,14 +50,14 @@
     append_until_known,
 )
 
-APPEND_ATTEMPTS = 5
+MAX_APPEND_ATTEMPTS = 5
 DocumentFile = Annotated[Path, cappa.Arg(help="The operators' document, YAML.")]
-WAIT_BOUND_S = 15.0
-WAIT_POLL_S = 0.1
+WAIT_TIMEOUT_S = 15.0
+POLL_INTERVAL_S = 0.1
 
 
 def read_configuration(log: Log) -> FoldedStream:
-    """Fold the whole configuration stream."""
+    """Read and fold the whole configuration stream; exit if the log fails."""
     match read_stream(log):
         case ReadFailed(reason=reason):
             raise cappa.Exit(f"the log did not answer: {reason}", code=EXIT_FAILED)
@@ -65,8 +65,8 @@
             return folded
 
 
-def read_valid(path: Path) -> str:
-    """Read a document; exit with every fault when it has any."""
+def read_valid_document(path: Path) -> str:
+    """Read and validate a document; exit with a list of all problems if it has any."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -82,58 +82,60 @@
 
 @dataclass
 class Check:
-    """Check a document; list every fault."""
+    """Validate a document and list all its problems."""
 
     file: DocumentFile
 
     def __call__(self) -> None:
-        """Check the file."""
-        read_valid(self.file)
+        """Validate the file."""
+        read_valid_document(self.file)
         print(f"{self.file}: valid")
 
 
 @dataclass
 class Publish:
-    """Publish a document; it is accepted unless another operator was first."""
+    """Publish a document; it is accepted unless another operator published meanwhile."""
 
     file: DocumentFile
     log: LogAddress
     based_on: Annotated[
         int | None,
-        cappa.Arg(long=True, help="Offset that it was edited from; default the accepted one."),
+        cappa.Arg(
+            long=True, help="Offset of the version it was edited from; default: the accepted one."
+        ),
     ] = None
     wait: Annotated[
-        bool, cappa.Arg(long=True, help="Wait until it is in force in every zone, telling each.")
+        bool, cappa.Arg(long=True, help="Wait until it is in force in every zone, and print each.")
     ] = False
     hosts: HostAddresses = field(default_factory=list)
     operator: Annotated[
-        str | None, cappa.Arg(long=True, help="Name for the audit; default the user's.")
+        str | None, cappa.Arg(long=True, help="Operator's name for the audit; default: the user.")
     ] = None
     key_file: Annotated[
         Path | None, cappa.Arg(long=True, help="File with the operator's key; signs the record.")
     ] = None
 
     def __call__(self) -> None:
-        """Publish the file and tell what became of it."""
+        """Publish the file and print whether it was accepted."""
         if self.wait and not self.hosts:
-            raise cappa.Exit("--wait needs --hosts: some hosts to ask", code=EXIT_INVALID)
-        text = read_valid(self.file)
+            raise cappa.Exit("--wait needs --hosts: the hosts to query", code=EXIT_INVALID)
+        text = read_valid_document(self.file)
         log = HttpLog(self.log)
         state = read_configuration(log).state
         based_on = state.offset if self.based_on is None else self.based_on
         operator = self.operator or getpass.getuser()
         record = Publication(uuid.uuid4().hex, based_on, operator, time.time(), text)
         self._append(log, record)
-        offset = self._tell_verdict(log, record)
+        offset = self._report_verdict(log, record)
         if self.wait:
-            wait_in_force(self.hosts, offset)
+            wait_until_in_force(self.hosts, offset)
 
     def _append(self, log: Log, record: Publication) -> None:
         def find() -> int | None:
             return _find_record(log, record.id)
 
         data = self._encode(record)
-        outcome = append_until_known(log, CONFIG_STREAM, data, find, APPEND_ATTEMPTS)
+        outcome = append_until_known(log, CONFIG_STREAM, data, find, MAX_APPEND_ATTEMPTS)
         match outcome:
             case AppendRefused(reason=reason):
                 raise cappa.Exit(f"not published: {reason}", code=EXIT_FAILED)
@@ -152,7 +154,7 @@
             raise cappa.Exit(message, code=EXIT_INVALID) from error
         return sign_record(record, record.operator, key)
 
-    def _tell_verdict(self, log: Log, record: Publication) -> int:
+    def _report_verdict(self, log: Log, record: Publication) -> int:
         folded = read_configuration(log)
         state, history = folded.state, folded.history
         for entry, verdict in history:
@@ -164,16 +166,16 @@
                     print(f"accepted at offset {offset}", flush=True)
                     return offset
                 case Conflict(based_on=based_on, accepted=accepted):
-                    message = _tell_conflict(based_on, accepted, record.document, state.text)
+                    message = _format_conflict(based_on, accepted, record.document, state.text)
                     raise cappa.Exit(message, code=EXIT_CONFLICT)
                 case Invalid() | Ignored() | Refused():
                     raise cappa.Exit(f"refused: {verdict}", code=EXIT_FAILED)
-        raise cappa.Exit("the record is not seen yet; see config history", code=EXIT_FAILED)
+        raise cappa.Exit("the record is not in the log yet; see config history", code=EXIT_FAILED)
 
 
 @dataclass
 class Show:
-    """Show the accepted document, or the one of an offset."""
+    """Show the accepted document, or the one published at an offset."""
 
     log: LogAddress
     offset: Annotated[
@@ -187,22 +189,22 @@
         if self.offset is None:
             print(state.text, end="")
             print(
-                f"offset {state.offset}; publish an edited one with --based-on {state.offset}",
+                f"offset {state.offset}; publish an edited version with --based-on {state.offset}",
                 file=sys.stderr,
             )
             return
-        print(_text_at(history, self.offset), end="")
+        print(_document_at(history, self.offset), end="")
 
 
 @dataclass
 class History:
-    """List the publications and what became of each."""
+    """List all publications with their verdicts."""
 
     log: LogAddress
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print a line for each record."""
+        """Print one line per record."""
         history = read_configuration(HttpLog(self.log)).history
         for entry, verdict in history:
             record = open_record(entry.data)
@@ -216,16 +218,16 @@
 
 @dataclass
 class Diff:
-    """Show the difference between the documents of two offsets."""
+    """Show the difference between the documents at two offsets."""
 
     a: Annotated[int, cappa.Arg(help="Offset of the older publication.")]
     b: Annotated[int, cappa.Arg(help="Offset of the newer publication.")]
     log: LogAddress
 
     def __call__(self) -> None:
-        """Print a unified difference."""
+        """Print a unified diff."""
         history = read_configuration(HttpLog(self.log)).history
-        before, after = _text_at(history, self.a), _text_at(history, self.b)
+        before, after = _document_at(history, self.a), _document_at(history, self.b)
         names = (f"offset {self.a}", f"offset {self.b}")
         lines = difflib.unified_diff(before.splitlines(), after.splitlines(), *names, lineterm="")
         print("\n".join(lines))
@@ -233,46 +235,55 @@
 
 @dataclass
 class Config:
-    """Check, publish and show the operators' document."""
+    """Check, publish and show the configuration document."""
 
     command: cappa.Subcommands[Check | Publish | Show | History | Diff]
 
 
-def wait_in_force(hosts: list[str], offset: int, bound_s: float = WAIT_BOUND_S) -> None:
-    """Tell each zone as the offset takes effect there; exit with 4 when one stays silent."""
-    began = time.monotonic()
-    told: set[str] = set()
+def wait_until_in_force(hosts: list[str], offset: int, timeout_s: float = WAIT_TIMEOUT_S) -> None:
+    """Print each zone as the offset takes effect there.
+
+    Exits with code 4 if, after the timeout, it is not in force in some zone or some host
+    did not respond.
+    """
+    started_at = time.monotonic()
+    done: set[str] = set()
     while True:
         view = fetch_fleet_view(hosts)
         zones = view.zones()
         for zone in zones:
-            if zone.zone not in told and zone.offset is not None and zone.offset >= offset:
-                told.add(zone.zone)
-                took_s = time.monotonic() - began
+            if zone.zone not in done and zone.offset is not None and zone.offset >= offset:
+                done.add(zone.zone)
+                took_s = time.monotonic() - started_at
                 print(f"zone {zone.zone}: in force after {took_s:.2f} s", flush=True)
-        if zones and not view.silent and told >= {zone.zone for zone in zones}:
+        if zones and not view.unavailable and done >= {zone.zone for zone in zones}:
             return
-        if time.monotonic() > began + bound_s:
+        if time.monotonic() > started_at + timeout_s:
             break
-        time.sleep(WAIT_POLL_S)
-    left = [f"zone {zone.zone}: {_tell_left(zone)}" for zone in zones if zone.zone not in told]
-    left += [f"host {silent}" for silent in view.silent]
-    raise cappa.Exit("\n".join(left), code=EXIT_SILENT)
+        time.sleep(POLL_INTERVAL_S)
+    pending = [
+        f"zone {zone.zone}: {_describe_pending_zone(zone)}"
+        for zone in zones
+        if zone.zone not in done
+    ]
+    pending += [f"host {unavailable}" for unavailable in view.unavailable]
+    raise cappa.Exit("\n".join(pending), code=EXIT_NO_RESPONSE)
 
 
-def _tell_conflict(based_on: int, accepted: int, own: str, theirs: str) -> str:
+def _format_conflict(based_on: int, accepted: int, own: str, theirs: str) -> str:
     names = ("yours", f"accepted at offset {accepted}")
     lines = [
-        f"conflict: based on {based_on}, accepted is {accepted}; nothing of yours is in force",
+        f"conflict: based on offset {based_on}, but offset {accepted} has been accepted since; "
+        "your document is not in force",
         *difflib.unified_diff(own.splitlines(), theirs.splitlines(), *names, lineterm=""),
-        f"make your change in the accepted document (config show), publish with --based-on "
+        f"repeat your change in the accepted document (config show) and publish with --based-on "
         f"{accepted}",
     ]
     return "\n".join(lines)
 
 
-def _tell_left(zone: ZoneView) -> str:
-    return "silent" if zone.silent else f"still at offset {zone.offset}"
+def _describe_pending_zone(zone: ZoneView) -> str:
+    return "no response" if zone.silent else f"still at offset {zone.offset}"
 
 
 def _find_record(log: Log, record_id: str) -> int | None:
@@ -284,7 +295,7 @@
     return None
 
 
-def _text_at(history: list[tuple[Entry, Verdict]], offset: int) -> str:
+def _document_at(history: list[tuple[Entry, Verdict]], offset: int) -> str:
     for entry, _verdict in history:
         record = open_record(entry.data)
         if entry.offset == offset and isinstance(record, Publication):
--- a/poplarrun/cli/_http.py
+++ b/poplarrun/cli/_http.py
@@ -1,4 +1,4 @@
-"""HTTP to hosts, for the command line."""
+"""HTTP requests of the command line to hosts."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -13,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silent:
-    """A host that gave no answer that can be read."""
+class HostUnavailable:
+    """A host that gave no usable response."""
 
     address: str
     reason: str
@@ -24,19 +24,19 @@
 
 
 def make_url(address: str, path: str) -> str:
-    """Return the URL of a path at a host; an address may name ``https://`` itself."""
+    """Return the URL of a path at a host, whose address may be prefixed with ``https://``."""
     return f"{address}{path}" if address.startswith(TLS_SCHEME) else f"http://{address}{path}"
 
 
-def get_json(address: str, path: str) -> Any | Silent:
-    """Read a JSON answer of a host."""
+def get_json(address: str, path: str) -> Any | HostUnavailable:
+    """Request a path of a host and return the decoded JSON of the response."""
     try:
         response = urllib3.request("GET", make_url(address, path), timeout=TIMEOUT_S, retries=False)
     except urllib3.exceptions.HTTPError as error:
-        return Silent(address, f"no answer ({type(error).__name__})")
+        return HostUnavailable(address, f"no answer ({type(error).__name__})")
     if response.status != OK:
-        return Silent(address, f"answered {response.status}")
+        return HostUnavailable(address, f"answered {response.status}")
     try:
         return msgspec.json.decode(response.data)
     except msgspec.DecodeError:
-        return Silent(address, "the answer is not JSON; is this a poplarrun host?")
+        return HostUnavailable(address, "the answer is not JSON; is this a poplarrun host?")
--- a/poplarrun/cli/_losses.py
+++ b/poplarrun/cli/_losses.py
@@ -1,7 +1,7 @@
-"""Where callers lost, told by the log lines of several hosts.
+"""``poplarrun losses``: requests without a good answer in time, from hosts' log lines.
 
-Each request that ended other than with a good answer in time counts once, under the first
-cause that applies: refused, broken off, left, failed at its endpoint, late, poor.
+Each such request counts as one loss, under the first cause that applies: refused, broken off,
+left by its caller, failed at its endpoint, late, long pause, poor.
 """
 
 import dataclasses
@@ -14,25 +14,25 @@
 import cappa
 
 from poplarrun.cli._arguments import EXIT_INVALID, AsJson
-from poplarrun.cli._timeline import RESTART, Line, read_log_lines
+from poplarrun.cli._timeline import RESTART_EVENT, LogLine, read_log_lines
 from poplarrun.sizes import EVEN_CONFIDENCE
 
 BAR_WIDTH = 40
-FAILURES = 400
+MIN_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one request's caller lost.
+    """A request whose caller got no good answer in time.
 
     Attributes
     ----------
     cause : str
-        What the caller saw, and what led there.
+        What the caller saw, and what led to it.
     route, zone : str
-        Kind of request, and availability zone of the host; empty where no line tells.
+        Route of the request, and availability zone of the host; empty if not logged.
     second : int
-        When it came, from the first line of all.
+        Second of the request's first line, counted from the earliest line of any request.
     """
 
     request_id: str
@@ -43,44 +43,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Losses:
-    """All requests of some logs.
+class LossReport:
+    """All losses that some logs show.
 
     Attributes
     ----------
-    asked : Counter of str
-        Requests by route.
+    request_counts : Counter of str
+        Requests by route, with or without a loss.
+    losses : tuple of Loss
+        The requests without a good answer in time.
     """
 
-    asked: Counter[str]
-    found: tuple[Loss, ...]
+    request_counts: Counter[str]
+    losses: tuple[Loss, ...]
 
 
-def find_losses(lines: Iterable[Line]) -> Losses:
-    """Read the end of each request, and why it was not a good answer in time."""
+def find_losses(lines: Iterable[LogLine]) -> LossReport:
+    """Find the requests without a good answer in time, and their causes."""
     zones: dict[str, str] = {}
-    by_request: dict[str, list[Line]] = defaultdict(list)
+    by_request: dict[str, list[LogLine]] = defaultdict(list)
     for line in lines:
-        if line.event == RESTART:
+        if line.event == RESTART_EVENT:
             zones[line.host] = str(line.fields.get("zone", ""))
         request_id = line.fields.get("request")
         if request_id:
             by_request[request_id].append(line)
-    starts = [own[0].at for own in by_request.values()]
-    begun_at = min(starts, default=None)
-    asked: Counter[str] = Counter()
-    found = []
+    starts = [own[0].logged_at for own in by_request.values()]
+    first_start = min(starts, default=None)
+    request_counts: Counter[str] = Counter()
+    losses = []
     for request_id, own in by_request.items():
         route = next((str(x.fields["route"]) for x in own if x.fields.get("route")), "")
-        asked[route] += 1
-        cause = _cause_of(own)
-        if cause is not None and begun_at is not None:
-            second = int((own[0].at - begun_at).total_seconds())
-            found.append(Loss(request_id, cause, route, zones.get(own[0].host, ""), second))
-    return Losses(asked, tuple(found))
+        request_counts[route] += 1
+        cause = _find_cause(own)
+        if cause is not None and first_start is not None:
+            second = int((own[0].logged_at - first_start).total_seconds())
+            losses.append(Loss(request_id, cause, route, zones.get(own[0].host, ""), second))
+    return LossReport(request_counts, tuple(losses))
 
 
-def _cause_of(own: list[Line]) -> str | None:
+def _find_cause(own: list[LogLine]) -> str | None:
     end = own[-1]
     failures = [str(line.fields["failure"]) for line in own if line.event == "SendFailed"]
     match end.event:
@@ -89,32 +91,32 @@
         case "AnswerBroken":
             return f"broken off: {failures[-1] if failures else end.fields['kind']}"
         case "CallerLeft":
-            return f"left: {_awaited(own, failures)}"
-        case "RequestAnswered" if end.fields["status"] >= FAILURES:
+            return f"left: {_describe_delay(own, failures)}"
+        case "RequestAnswered" if end.fields["status"] >= MIN_ERROR_STATUS:
             return f"failed at its endpoint: {end.fields['status']}"
         case "RequestAnswered":
-            return _cause_of_answer(own, failures)
+            return _find_cause_of_answer(own, failures)
         case _:
             return "no line tells its end"
 
 
-def _cause_of_answer(own: list[Line], failures: list[str]) -> str | None:
+def _find_cause_of_answer(own: list[LogLine], failures: list[str]) -> str | None:
     fields = own[-1].fields
     first_s = fields.get("first_s")
     if first_s is None:
         return None
     if first_s > fields["target_s"] > 0.0:
-        return f"late: {_awaited(own, failures)}"
+        return f"late: {_describe_delay(own, failures)}"
     if fields["pause_s"] > fields["most_pause_s"] > 0.0:
-        return f"pause: {_awaited(own, failures)}"
+        return f"pause: {_describe_delay(own, failures)}"
     confidence = fields.get("confidence")
     if confidence is not None and confidence < EVEN_CONFIDENCE:
         return "poor: kept although the model doubts it"
     return None
 
 
-def _awaited(own: list[Line], failures: list[str]) -> str:
-    """Tell what took the time of a request."""
+def _describe_delay(own: list[LogLine], failures: list[str]) -> str:
+    """Return what delayed a request."""
     if failures:
         return f"after a send failed ({failures[0]})"
     if any(line.event == "LargerModelAsked" for line in own):
@@ -124,55 +126,55 @@
     return "before any send"
 
 
-def _tabulate(title: str, found: Iterable[Loss], key: Callable[[Loss], str]) -> list[str]:
-    counts = Counter(key(loss) for loss in found)
+def _tabulate(title: str, losses: Iterable[Loss], key: Callable[[Loss], str]) -> list[str]:
+    counts = Counter(key(loss) for loss in losses)
     rows = [f"{title:60}  REQUESTS"]
     rows += [f"{name or '-':60}  {count:8}" for name, count in counts.most_common()]
     return rows
 
 
-def _plot_seconds(found: Iterable[Loss]) -> list[str]:
-    counts = Counter(loss.second for loss in found)
-    most = max(counts.values(), default=1)
+def _plot_by_second(losses: Iterable[Loss]) -> list[str]:
+    counts = Counter(loss.second for loss in losses)
+    max_count = max(counts.values(), default=1)
     rows = ["SECOND  LOST"]
     for second in range(max(counts, default=-1) + 1):
         count = counts[second]
-        rows.append(f"{second:6}  {count:4}  {'#' * round(BAR_WIDTH * count / most)}".rstrip())
+        rows.append(f"{second:6}  {count:4}  {'#' * round(BAR_WIDTH * count / max_count)}".rstrip())
     return rows
 
 
-def render_losses(losses: Losses) -> str:
-    """Write the losses as tables and a plot over time, for people."""
-    found = losses.found
-    rows = [f"{losses.asked.total()} requests, {len(found)} lost"]
-    rows += ["", *_tabulate("CAUSE", found, lambda loss: loss.cause)]
-    rows += ["", *_tabulate("ROUTE, CAUSE", found, lambda loss: f"{loss.route}  {loss.cause}")]
-    rows += ["", *_tabulate("ZONE", found, lambda loss: loss.zone)]
-    rows += ["", *_plot_seconds(found)]
+def render_losses(report: LossReport) -> str:
+    """Return the losses as tables and a plot over time, for people."""
+    losses = report.losses
+    rows = [f"{report.request_counts.total()} requests, {len(losses)} lost"]
+    rows += ["", *_tabulate("CAUSE", losses, lambda loss: loss.cause)]
+    rows += ["", *_tabulate("ROUTE, CAUSE", losses, lambda loss: f"{loss.route}  {loss.cause}")]
+    rows += ["", *_tabulate("ZONE", losses, lambda loss: loss.zone)]
+    rows += ["", *_plot_by_second(losses)]
     return "\n".join(rows)
 
 
 @cappa.command(
     name="losses",
-    help="Where callers got no good answer in time, by cause, route, zone and second.",
+    help="Count requests without a good answer in time by cause, route, zone and second.",
 )
 @dataclass
 class ShowLosses:
-    """Read log lines and print what was lost."""
+    """Read log lines and print the requests without a good answer in time."""
 
     logs: Annotated[
-        list[str], cappa.Arg(num_args=-1, help="Files of log lines, - for standard input.")
+        list[str], cappa.Arg(num_args=-1, help="Log files of the hosts; - for standard input.")
     ]
     as_json: AsJson = False
 
     def __call__(self) -> None:
         """Print the tables, or each loss as a line of JSON."""
         try:
-            losses = find_losses(read_log_lines(self.logs))
+            report = find_losses(read_log_lines(self.logs))
         except OSError as error:
-            raise cappa.Exit(f"logs: {error}", code=EXIT_INVALID) from error
+            raise cappa.Exit(f"cannot read the logs: {error}", code=EXIT_INVALID) from error
         if not self.as_json:
-            print(render_losses(losses))
+            print(render_losses(report))
             return
-        for loss in losses.found:
+        for loss in report.losses:
             print(json.dumps(dataclasses.asdict(loss)))
--- a/poplarrun/cli/_main.py
+++ b/poplarrun/cli/_main.py
@@ -1,4 +1,4 @@
-"""The command ``poplarrun`` and its subcommands."""
+"""The ``poplarrun`` command and its subcommands."""
 
 import os
 import sys
@@ -25,15 +25,15 @@
 
 
 class PlainOutput(cappa.Output):
-    """Writes errors as they are.
+    """Writes error messages without interpreting or wrapping them.
 
-    The library would read brackets in a message as markup, drop them or fail at
-    them, and break lines at 80 columns in a pipe: what a document holds would
-    be told wrongly, or end in a trace.
+    The library would interpret brackets in a message as markup, and either drop them or
+    raise, and it wraps lines at 80 columns when writing to a pipe. Messages that quote a
+    document would be garbled or end in a traceback.
     """
 
     def error(self, message: Any, **context: Any) -> None:
-        """Write a message to the standard error output."""
+        """Write a message to standard error."""
         text = message.message if isinstance(message, cappa.Exit) else message
         if text is None:
             return
@@ -50,7 +50,7 @@
     except KeyboardInterrupt:
         sys.exit(EXIT_INTERRUPTED)
     except BrokenPipeError:
-        # The reader, such as head, has what it wanted. Without this, the
-        # interpreter would fail once more at its last flush.
+        # The reader, such as head, has closed the pipe. Standard output is redirected to
+        # /dev/null, because the interpreter's final flush would raise again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         sys.exit(EXIT_FAILED)
--- a/poplarrun/cli/_serve.py
+++ b/poplarrun/cli/_serve.py
@@ -1,4 +1,4 @@
-"""``poplarrun serve``: the one daemon."""
+"""``poplarrun serve``: runs the daemon of an entry host."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,7 +18,7 @@
     settings: Annotated[Path, cappa.Arg(long=True, help="The host's settings, YAML.")]
 
     def __call__(self) -> None:
-        """Serve until a signal comes."""
+        """Serve until a signal stops the process."""
         match load_settings(self.settings):
             case SettingsProblems(lines=lines):
                 raise cappa.Exit("\n".join(lines), code=EXIT_INVALID)
--- a/poplarrun/cli/_status.py
+++ b/poplarrun/cli/_status.py
@@ -1,4 +1,4 @@
-"""``poplarrun status`` and ``poplarrun explain``."""
+"""``poplarrun status`` shows the fleet; ``poplarrun explain`` shows why a request was routed so."""
 
 import json
 import time
@@ -12,30 +12,30 @@
 from poplarrun.cli._arguments import (
     EXIT_FAILED,
     EXIT_INVALID,
-    EXIT_SILENT,
+    EXIT_NO_RESPONSE,
     TLS_HELP,
     AsJson,
     HostAddresses,
-    read_addresses,
+    parse_host_addresses,
 )
-from poplarrun.cli._http import Silent, get_json
-from poplarrun.cli._timeline import build_timeline, encode_story, read_log_lines, render_story
+from poplarrun.cli._http import HostUnavailable, get_json
+from poplarrun.cli._timeline import build_timeline, encode_timeline, read_log_lines, render_timeline
 from poplarrun.cli._views import FleetView, fetch_fleet_view
 
-WATCH_PERIOD_S = 1.0
-USUAL_STATES = ("alive", "left")
+REFRESH_INTERVAL_S = 1.0
+EXPECTED_PEER_STATES = ("alive", "left")
 CLEAR_SCREEN = "\x1b[2J\x1b[H"
 
 
 @dataclass
 class Status:
-    """Show zones with the offset in force, hosts, endpoints, roll-outs and refusals."""
+    """Show zones with their configuration offset, hosts, endpoints, roll-outs and refusals."""
 
     hosts: HostAddresses
     json: AsJson = False
-    watch: Annotated[
-        bool, cappa.Arg(long=True, help="Show it anew every second until interrupted.")
-    ] = False
+    watch: Annotated[bool, cappa.Arg(long=True, help="Refresh every second until interrupted.")] = (
+        False
+    )
 
     def __call__(self) -> None:
         """Print the status, once or until interrupted."""
@@ -46,76 +46,81 @@
             print(_encode_view(view) if self.json else render_view(view), flush=True)
             if not self.watch:
                 break
-            time.sleep(WATCH_PERIOD_S)
+            time.sleep(REFRESH_INTERVAL_S)
         if not view.hosts:
             raise cappa.Exit("no host answered", code=EXIT_FAILED)
-        if view.silent or any(zone.silent for zone in view.zones()):
-            raise cappa.Exit(code=EXIT_SILENT)
+        if view.unavailable or any(zone.silent for zone in view.zones()):
+            raise cappa.Exit(code=EXIT_NO_RESPONSE)
 
 
 @dataclass
 class Explain:
-    """Show why a request went where it went: ask the hosts, or read their log lines."""
+    """Show how a request was routed and why, from the hosts' memory or their log lines."""
 
     request_id: Annotated[
-        str, cappa.Arg(help="The X-Request-Id of its answer, or the id in the log lines.")
+        str, cappa.Arg(help="The X-Request-Id of its response, or the id in the log lines.")
     ]
     hosts: Annotated[
         list[str],
         cappa.Arg(
             long="--hosts",
             num_args=1,
-            parse=read_addresses,
-            help=f"ip:port of hosts, with commas; {TLS_HELP}.",
+            parse=parse_host_addresses,
+            help=f"ip:port of hosts, separated by commas; {TLS_HELP}.",
         ),
     ] = field(default_factory=list)
     logs: Annotated[
         list[str],
-        cappa.Arg(long="--logs", num_args=-1, help="Files of log lines, - for standard input."),
+        cappa.Arg(long="--logs", num_args=-1, help="Log files of the hosts; - for standard input."),
     ] = field(default_factory=list)
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Read the logs, or ask each host until one knows the request."""
+        """Read the logs, or query each host until one knows the request."""
         if self.logs:
             self._read_logs()
             return
         if not self.hosts:
-            raise cappa.Exit("hosts, logs: one of --hosts and --logs is needed", code=EXIT_INVALID)
+            raise cappa.Exit("either --hosts or --logs is required", code=EXIT_INVALID)
         for address in self.hosts:
-            found = get_json(address, f"/explain?request_id={quote(self.request_id)}")
-            if not isinstance(found, Silent):
-                print(json.dumps(found, indent=2) if self.json else _render_fields(found))
+            explanation = get_json(address, f"/explain?request_id={quote(self.request_id)}")
+            if not isinstance(explanation, HostUnavailable):
+                print(
+                    json.dumps(explanation, indent=2) if self.json else _render_fields(explanation)
+                )
                 return
-        message = f"no host that answers knows {self.request_id}; each keeps its newest 2,000"
+        message = (
+            f"no responding host knows request {self.request_id}; "
+            "each host remembers its newest 2,000 requests"
+        )
         raise cappa.Exit(message, code=EXIT_FAILED)
 
     def _read_logs(self) -> None:
         try:
-            story = build_timeline(self.request_id, read_log_lines(self.logs))
+            timeline = build_timeline(self.request_id, read_log_lines(self.logs))
         except OSError as error:
-            raise cappa.Exit(f"logs: {error}", code=EXIT_INVALID) from error
-        if not story.lines:
-            raise cappa.Exit(f"no line names the request {self.request_id}", code=EXIT_FAILED)
-        print(encode_story(story) if self.json else render_story(story))
+            raise cappa.Exit(f"cannot read the logs: {error}", code=EXIT_INVALID) from error
+        if not timeline.lines:
+            raise cappa.Exit(f"no log line names request {self.request_id}", code=EXIT_FAILED)
+        print(encode_timeline(timeline) if self.json else render_timeline(timeline))
 
 
 def _encode_view(view: FleetView) -> str:
-    whole = {
+    document = {
         "zones": view.zones(),
         "hosts": view.hosts,
-        "silent": view.silent,
+        "silent": view.unavailable,
         "refusals": view.refusals(),
     }
-    return msgspec.json.format(msgspec.json.encode(whole)).decode()
+    return msgspec.json.format(msgspec.json.encode(document)).decode()
 
 
 def render_view(view: FleetView) -> str:
-    """Write the view as tables for people."""
+    """Return the view as tables for people."""
     tables = [_zone_rows(view), _host_rows(view)]
     if view.hosts:
         tables += [
-            _missed_rows(view),
+            _not_alive_rows(view),
             _endpoint_rows(view),
             _order_rows(view),
             _rollout_rows(view),
@@ -140,17 +145,17 @@
         offset, open_requests = str(status.offset), str(status.open_requests)
         waiting = str(status.bills_waiting)
         rows.append([status.host, status.zone, ready, offset, age, open_requests, waiting])
-    for silent in view.silent:
-        rows.append([silent.address, "-", "silent", "-", "-", "-", silent.reason])
+    for host in view.unavailable:
+        rows.append([host.address, "-", "silent", "-", "-", "-", host.reason])
     return rows
 
 
-def _missed_rows(view: FleetView) -> list[list[str]]:
-    """Return the hosts that others don't see alive, as the first host tells."""
+def _not_alive_rows(view: FleetView) -> list[list[str]]:
+    """Return the hosts that are not alive according to the first host that responded."""
     rows = [["HOST NOT ALIVE", "ZONE", "SEEN AS"]]
     for zone in view.hosts[0].zones:
         for host, state in sorted(zone.hosts.items()):
-            if state not in USUAL_STATES:
+            if state not in EXPECTED_PEER_STATES:
                 rows.append([host, zone.zone, state])
     return rows
 
--- a/scripts/unexplained.py
+++ b/scripts/unexplained.py
@@ -26,7 +26,7 @@
             failed.add(request)
     open_ended = [request for request, seen in events.items() if not seen & FINAL_EVENTS]
     unexplained = [
-        request for request in open_ended if build_timeline(request, lines).restart is None
+        request for request in open_ended if build_timeline(request, lines).restart_line is None
     ]
     return len(events), len(failed), unexplained
 
