--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -76,12 +76,12 @@
 
   Scenario: Settings are read again on a signal, and a bad file changes nothing
     When the settings file is spoilt and the host gets SIGHUP
-    Then the log tells "The settings are bad."
+    Then the log tells "The settings file is invalid; the previous settings stay in force."
     And a call of "/lookup/ring" is answered with 200
 
   Scenario: A settings file that changes without a signal is read again
     When the settings file is spoilt without a signal
-    Then the log tells "The settings are bad."
+    Then the log tells "The settings file is invalid; the previous settings stay in force."
     And a call of "/lookup/ring" is answered with 200
 
   Scenario: A good version is rolled out and recorded
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -154,7 +154,7 @@
     config = {**context.installation.config, "version": 99}
     del config["services"]
     context.installation.append("keyed.op", "config", json.dumps(config).encode())
-    text = "A document has no effect."
+    text = "Ignoring a malformed configuration document."
     context.installation.wait_for(lambda: text in context.installation.log_of(), text)
 
 
--- a/features/steps/gateway_faults.py
+++ b/features/steps/gateway_faults.py
@@ -108,7 +108,7 @@
     installation = context.installation
     for lifetime in [r.lifetime for r in installation.runners.values() if r.service == service]:
         installation.remove_runner(lifetime)
-    text = "An endpoint is gone."
+    text = "Endpoints were removed."
     installation.wait_for(lambda: text in installation.log_of(), text)
 
 
