--- a/poplarrun/transport/__init__.py
+++ b/poplarrun/transport/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on the loop: connections to endpoints and stores, and from callers."""
+"""HTTP/1.1 on the event loop: client connections with a pool, and the server for callers."""
 
 from poplarrun.transport._client import (
     ClientConnection,
--- a/poplarrun/transport/_clock.py
+++ b/poplarrun/transport/_clock.py
@@ -1,12 +1,12 @@
-"""The clock of all deadlines."""
+"""The clock by which deadlines and leases are measured."""
 
 import time
 
 
 def seconds_since_boot() -> float:
-    """Return the seconds since the host booted, suspended time included.
+    """Return the seconds since the machine booted, including time while suspended.
 
-    A host that is suspended for seconds would find, by the monotonic clock, that
-    no time has passed, and act on leases, keys and deadlines that are long over.
+    The monotonic clock stops while a machine is suspended. By that clock, a host resumed
+    after some seconds would act on leases, keys and deadlines that have expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/poplarrun/transport/_pool.py
+++ b/poplarrun/transport/_pool.py
@@ -1,22 +1,22 @@
-"""Idle connections, kept for the next request to the same peer."""
+"""A pool of idle client connections, reused for further requests to the same peer."""
 
 from collections import deque
 
 from poplarrun.transport._client import ClientConnection, open_connection
 
-# Idle connections that are kept for each peer. An endpoint bounds the connections
-# of all hosts together, so a host that keeps many shuts others out.
-MOST_IDLE = 8
+# Idle connections per peer. An endpoint limits the total number of connections from all
+# hosts, so a host with many idle ones would keep other hosts from connecting.
+MAX_IDLE_PER_PEER = 8
 
 
 class ConnectionPool:
-    """Connections by peer; a peer is an address in one lifetime."""
+    """Idle connections by peer: an address and the lifetime of the process listening there."""
 
     def __init__(self) -> None:
         self._idle: dict[tuple[str, str], deque[ClientConnection]] = {}
 
     def acquire_idle(self, address: str, lifetime: str = "") -> ClientConnection | None:
-        """Return the idle connection that was used last, if one is still good."""
+        """Remove and return the most recently used idle connection that is reusable."""
         idle = self._idle.get((address, lifetime))
         while idle:
             connection = idle.pop()
@@ -31,30 +31,30 @@
         Raises
         ------
         ConnectFailed
-            When none came about in time.
+            When the connection could not be established in time.
         """
         return await open_connection(address, timeout_s)
 
     def release(self, connection: ClientConnection, lifetime: str = "") -> None:
-        """Keep a connection for the next request, or close it."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         if not connection.is_reusable:
             connection.abort()
             return
         idle = self._idle.setdefault((connection.address, lifetime), deque())
         idle.append(connection)
-        if len(idle) > MOST_IDLE:
+        if len(idle) > MAX_IDLE_PER_PEER:
             idle.popleft().abort()
 
     def close_stale(self) -> None:
-        """Close the idle connections that no request may use any more."""
+        """Close the idle connections that are no longer reusable."""
         for peer in list(self._idle):
-            kept = deque[ClientConnection]()
+            reusable = deque[ClientConnection]()
             for connection in self._idle[peer]:
                 if connection.is_reusable:
-                    kept.append(connection)
+                    reusable.append(connection)
                 else:
                     connection.abort()
-            if kept:
-                self._idle[peer] = kept
+            if reusable:
+                self._idle[peer] = reusable
             else:
                 del self._idle[peer]
--- a/poplarrun/transport/_server.py
+++ b/poplarrun/transport/_server.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 towards callers, on the loop.
+"""An HTTP/1.1 server for callers, on the event loop.
 
-A connection sees what a thread that waits for an endpoint can't: that its caller
-has left, that a body is still arriving, and that the next request came early.
+Unlike a thread that waits for an endpoint, a connection on the event loop notices when its
+caller disconnects, while a body is still arriving, and when the next request comes early.
 """
 
 import asyncio
@@ -12,23 +12,33 @@
 
 import h11
 
-from poplarrun.transport._sockets import CALLER_UNACKED_MS, detect_dead_peers
+from poplarrun.transport._sockets import CALLER_UNACKED_TIMEOUT_MS, detect_dead_peers
 
-# New connections that may wait to be accepted: a burst of callers that finds the
-# queue full would come back only after seconds.
+# Connections that may wait to be accepted. Callers that find the queue full retry to connect
+# only after seconds.
 BACKLOG = 512
-# Bytes that may wait unsent before a caller that reads slowly holds its answer up.
-MOST_UNSENT_BYTES = 64 * 1024
-# A connection with unread bytes is reset when it is closed, and the caller may lose
-# the answer: what still arrives is read and dropped for so long, in seconds.
-LINGER_S = 1.0
-# Room that the framing of a head takes besides its headers.
+# Unsent bytes above which writing an answer waits for the caller to read.
+MAX_UNSENT_BYTES = 64 * 1024
+# Closing a connection with unread bytes resets it, and the caller may lose the response.
+# After a rejected request, bytes are therefore read and discarded for this long.
+LINGER_TIMEOUT_S = 1.0
+# Allowance for the request line and framing, in addition to the headers.
 HEAD_FRAMING_BYTES = 1024
 
 
 @dataclass(slots=True)
 class ServerBounds:
-    """What callers may send and how long they may take; changed in place."""
+    """Limits on the size and the duration of callers' requests; updated in place.
+
+    Attributes
+    ----------
+    header_bytes, body_bytes : int
+        Maximum size of a request's headers and body.
+    header_timeout_s : float
+        Time from a request's first byte to the end of its headers.
+    idle_timeout_s : float
+        Time until the next request begins, and time for a request's body.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -49,18 +59,18 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller; answers its requests one after the other.
+    """One connection of a caller; its requests are processed one after the other.
 
     Attributes
     ----------
     is_shielded : bool
-        Whether the request under way goes on although its caller leaves.
+        Whether the current request continues if its caller disconnects.
     """
 
     def __init__(self, server: "CallerServer") -> None:
         self.is_shielded = False
         self._server = server
-        self._machine = h11.Connection(h11.SERVER, server.bounds.header_bytes + HEAD_FRAMING_BYTES)
+        self._h11 = h11.Connection(h11.SERVER, server.bounds.header_bytes + HEAD_FRAMING_BYTES)
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
@@ -71,41 +81,41 @@
         self._can_write.set()
         self._is_closing = False
         self._is_discarding = False
-        self._has_part = False
+        self._has_partial_request = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over an accepted socket."""
+        """Register the accepted connection and start its idle timer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=MOST_UNSENT_BYTES)
-        detect_dead_peers(transport.get_extra_info("socket"), CALLER_UNACKED_MS)
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+        detect_dead_peers(transport.get_extra_info("socket"), CALLER_UNACKED_TIMEOUT_MS)
         self._set_timer(self._server.bounds.idle_timeout_s)
-        self._server.take(self)
+        self._server.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes, and start the request once it is whole."""
+        """Parse received bytes, and start the request once it is complete."""
         if self._is_discarding:
             return
-        if not self._has_part and self._task is None:
-            self._has_part = True
+        if not self._has_partial_request and self._task is None:
+            self._has_partial_request = True
             self._set_timer(self._server.bounds.header_timeout_s)
         try:
-            self._machine.receive_data(data)
+            self._h11.receive_data(data)
         except h11.RemoteProtocolError:
-            self._transport_abort()
+            self._abort_transport()
             return
         if self._task is None:
             self._read_request()
-        elif self._machine.trailing_data[0] and self._transport is not None:
-            # The next request waits in the socket until this one is answered.
+        elif self._h11.trailing_data[0] and self._transport is not None:
+            # The next request stays in the socket's buffer until this one is answered.
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Close as well: nobody waits for an answer any more."""
+        """Close the connection: a caller that closes its side waits for no answer."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is gone."""
+        """Unregister the connection, and cancel its request unless it is shielded."""
         self._can_write.set()
         self._cancel_timer()
         self._server.connections.pop(self, None)
@@ -113,83 +123,83 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Hold the answer up: the caller reads slowly."""
+        """Suspend the answer, because the caller reads slowly."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Let the answer go on."""
+        """Resume the answer."""
         self._can_write.set()
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte of a request has come since the last answer."""
-        return self._task is None and not self._has_part
+        """Whether no byte of a request has been received since the last response."""
+        return self._task is None and not self._has_partial_request
 
     def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Send a whole answer, in one write."""
-        sized = [*headers, (b"Content-Length", str(len(body)).encode())]
-        head = self._head_bytes(status, sized)
+        """Send a complete response in one write."""
+        all_headers = [*headers, (b"Content-Length", str(len(body)).encode())]
+        head = self._encode_head(status, all_headers)
         if head is None:
             return
-        data = head + (self._machine.send(h11.Data(data=body)) or b"")
-        data += self._machine.send(h11.EndOfMessage()) or b""
+        data = head + (self._h11.send(h11.Data(data=body)) or b"")
+        data += self._h11.send(h11.EndOfMessage()) or b""
         self._write_bytes(data)
         self._close_if_last()
 
     def start_stream(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Send the head of an answer whose length nobody knows yet."""
-        head = self._head_bytes(status, [*headers, (b"Transfer-Encoding", b"chunked")])
+        """Send the head of a response of unknown length."""
+        head = self._encode_head(status, [*headers, (b"Transfer-Encoding", b"chunked")])
         if head is not None:
             self._write_bytes(head)
 
     async def send_chunk(self, data: bytes) -> None:
-        """Send a part of a stream, once the caller has read enough of what came before."""
+        """Send a part of a streamed response, once the caller has read enough of it."""
         await self._can_write.wait()
         self._write(h11.Data(data=data))
 
     def end_response(self) -> None:
-        """End an answer in full."""
+        """Complete a streamed response."""
         self._write(h11.EndOfMessage())
         self._close_if_last()
 
     def abort_response(self) -> None:
-        """End an answer so that the caller sees that it is not whole."""
-        self._transport_abort()
+        """Abort the connection, so that the caller sees that the response is incomplete."""
+        self._abort_transport()
 
     def close(self) -> None:
-        """Close once everything is sent."""
+        """Close the connection after all data is sent."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.close()
 
-    def _head_bytes(self, status: int, headers: list[tuple[bytes, bytes]]) -> bytes | None:
+    def _encode_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> bytes | None:
         if self._transport is None or self._transport.is_closing():
             return None
         if self._server.is_stopping or self._is_closing:
             self._is_closing = True
             headers = [*headers, (b"Connection", b"close")]
         head = h11.Response(status_code=status, headers=headers, reason=b"")
-        return self._machine.send(head) or b""
+        return self._h11.send(head) or b""
 
     def _close_if_last(self) -> None:
-        if self._is_closing or self._machine.our_state is h11.MUST_CLOSE:
+        if self._is_closing or self._h11.our_state is h11.MUST_CLOSE:
             self.close()
 
     def _write(self, event: h11.Event) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        self._write_bytes(self._machine.send(event) or b"")
+        self._write_bytes(self._h11.send(event) or b"")
 
     def _write_bytes(self, data: bytes) -> None:
         if data and self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def _read_request(self) -> None:
-        """Pull events until the request is whole, more bytes are needed, or it is refused."""
+        """Process events until the request is complete or rejected, or more bytes are needed."""
         while True:
             try:
-                event = self._machine.next_event()
+                event = self._h11.next_event()
             except h11.RemoteProtocolError as error:
-                self._refuse(error.error_status_hint, str(error))
+                self._reject_request(error.error_status_hint, str(error))
                 return
             match event:
                 case h11.Request():
@@ -201,10 +211,10 @@
                     self._body.append(bytes(event.data))
                     self._body_bytes += len(event.data)
                     if self._body_bytes > self._server.bounds.body_bytes:
-                        self._refuse(413, "body: is too large")
+                        self._reject_request(413, "body: is too large")
                         return
                 case h11.EndOfMessage():
-                    self._begin()
+                    self._start_request()
                     return
                 case h11.ConnectionClosed():
                     self.close()
@@ -214,58 +224,58 @@
 
     def _check_head(self, head: h11.Request) -> bool:
         self._cancel_timer()
-        # A body may be slow, but not endless: it has the idle timeout to arrive.
+        # The body may arrive slowly, but must be complete within the idle timeout.
         self._set_timer(self._server.bounds.idle_timeout_s)
         names = [name for name, _ in head.headers]
         size = sum(len(name) + len(value) + 4 for name, value in head.headers)
         if size > self._server.bounds.header_bytes:
-            self._refuse(431, "headers: are too large")
+            self._reject_request(431, "headers: are too large")
             return False
         if b"transfer-encoding" in names and b"content-length" in names:
-            # Two framings of one body: hosts that believe different ones would see
-            # another request inside it.
-            self._refuse(400, "body: has two framings")
+            # Request smuggling: servers that follow different ones of the two framings would
+            # see different requests.
+            self._reject_request(400, "body: has two framings")
             return False
         length = dict(head.headers).get(b"content-length", b"0")
         if length.isdigit() and int(length) > self._server.bounds.body_bytes:
-            self._refuse(413, "body: is too large")
+            self._reject_request(413, "body: is too large")
             return False
-        if self._machine.they_are_waiting_for_100_continue:
+        if self._h11.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[], reason=b""))
         return True
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         assert self._head is not None
         self._cancel_timer()
         head, body = self._head, b"".join(self._body)
         self._head, self._body, self._body_bytes = None, [], 0
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._server.handler(self, head, body))
-        self._task.add_done_callback(self._go_on)
+        self._task.add_done_callback(self._finish_request)
 
-    def _go_on(self, task: asyncio.Task[None]) -> None:
-        """Get ready for the next request once the answer is out."""
+    def _finish_request(self, task: asyncio.Task[None]) -> None:
+        """Prepare for the next request after a response was sent."""
         self._task = None
-        self._has_part = False
+        self._has_partial_request = False
         self.is_shielded = False
         if not task.cancelled() and task.exception() is not None:
             self._server.report_crash(task.exception())
-            self._transport_abort()
+            self._abort_transport()
             return
         if self._transport is None or self._transport.is_closing():
             return
-        if self._machine.our_state is not h11.DONE or self._machine.their_state is not h11.DONE:
-            self._transport_abort()
+        if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
+            self._abort_transport()
             return
-        self._machine.start_next_cycle()
+        self._h11.start_next_cycle()
         self._transport.resume_reading()
         self._set_timer(self._server.bounds.idle_timeout_s)
-        if self._machine.trailing_data[0]:
-            self._has_part = True
+        if self._h11.trailing_data[0]:
+            self._has_partial_request = True
             self._read_request()
 
-    def _refuse(self, status: int, text: str) -> None:
-        """Answer a request that can't be read on, and drop the rest of it."""
+    def _reject_request(self, status: int, text: str) -> None:
+        """Reject a request that can't be processed, and discard the rest of it."""
         self._cancel_timer()
         self._is_discarding = True
         self._is_closing = True
@@ -275,24 +285,24 @@
             self._write(h11.Response(status_code=status, headers=headers, reason=b""))
             self._write(h11.Data(data=body))
             self._write(h11.EndOfMessage())
-        self._timer = asyncio.get_running_loop().call_later(LINGER_S, self.close)
+        self._timer = asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, self.close)
 
     def _set_timer(self, seconds: float) -> None:
         self._cancel_timer()
-        self._timer = asyncio.get_running_loop().call_later(seconds, self._time_out)
+        self._timer = asyncio.get_running_loop().call_later(seconds, self._handle_timeout)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _time_out(self) -> None:
-        if self._has_part:
-            self._refuse(408, "request: did not arrive in time")
+    def _handle_timeout(self) -> None:
+        if self._has_partial_request:
+            self._reject_request(408, "request: did not arrive in time")
         else:
             self.close()
 
-    def _transport_abort(self) -> None:
+    def _abort_transport(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
@@ -303,20 +313,20 @@
     Parameters
     ----------
     handler : callable
-        Answers one request.
+        Coroutine function that answers one request.
     report_crash : callable
-        Told of an error that a handler did not expect.
+        Called with the unexpected exception that ended a handler.
 
     Attributes
     ----------
     bounds : ServerBounds
-        In force for all connections from the next request on.
+        Apply to all connections from their next request on.
     is_stopping : bool
-        Whether answers tell callers to close their connections.
-    most_connections : int, optional
-        Connections that are kept at once; None for no bound.
+        Whether responses ask callers to close their connections.
+    max_connections : int, optional
+        Maximum number of open connections; None for no limit.
     connections : dict of CallerConnection to None
-        In the order in which they were accepted.
+        Open connections in the order in which they were accepted.
     """
 
     def __init__(self, handler: Handler, report_crash: Callable[[BaseException | None], None]):
@@ -337,25 +347,25 @@
         )
         self._servers.append(server)
 
-    def take(self, connection: CallerConnection) -> None:
-        """Keep a new connection, in place of an idle one where there are too many.
+    def add_connection(self, connection: CallerConnection) -> None:
+        """Register a new connection; above the maximum, close an idle one or else this one.
 
-        Callers that connect and stay idle would take all sockets of the host, which
-        then could neither accept a caller nor connect to an endpoint.
+        Otherwise, callers that connect and stay idle could use up all sockets of the host,
+        which could then neither accept callers nor connect to endpoints.
         """
-        is_full = self.max_connections is not None
-        if is_full and len(self.connections) >= (self.max_connections or 0):
-            idle = (kept for kept in self.connections if kept.is_idle)
+        is_limited = self.max_connections is not None
+        if is_limited and len(self.connections) >= (self.max_connections or 0):
+            idle = (candidate for candidate in self.connections if candidate.is_idle)
             next(idle, connection).close()
         self.connections[connection] = None
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections that have no request in progress."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Stop accepting new connections."""
         for server in self._servers:
             server.close()
--- a/poplarrun/transport/_sockets.py
+++ b/poplarrun/transport/_sockets.py
@@ -1,21 +1,22 @@
-"""Socket options of every connection."""
+"""Socket options by which the kernel detects dead peers, set on every connection."""
 
 import contextlib
 import socket
 
-# A peer without power answers nothing, and a connection to it would hang for
-# minutes. The kernel's probes find it within IDLE + COUNT * INTERVAL = 3 s, and
-# bytes without acknowledgement end the connection after a time of its own.
+# A peer that lost power sends nothing, and a connection to it would hang for minutes. On an
+# idle connection, the kernel's keep-alive probes detect it within
+# IDLE + COUNT * INTERVAL = 3 s. With unacknowledged data, TCP_USER_TIMEOUT applies instead.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-# That time for endpoints, in milliseconds. A request to a zone that was just cut off
-# would wait for the patience of 2.5 s, which is all the time that most may take. A link
-# that loses 5 packets in 100 loses a packet and its repeats after 0.2 and 0.4 s once in
-# 8,000.
-ENDPOINT_UNACKED_MS = 800
-# The same for callers, who can't go on with an order on another connection.
-CALLER_UNACKED_MS = 2000
+# How long data to an endpoint may be unacknowledged. Without it, a request to a zone that was
+# just cut off would wait for the response timeout of 2.5 s, which is all the time that most
+# requests have. On a link that loses 5% of packets, a packet and its retransmissions after
+# 0.2 and 0.4 s are all lost once in 8,000 times.
+ENDPOINT_UNACKED_TIMEOUT_MS = 800
+# The same for callers. It is longer, because a caller can't continue an order on another
+# connection.
+CALLER_UNACKED_TIMEOUT_MS = 2000
 
 _OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -26,17 +27,17 @@
 )
 
 
-def detect_dead_peers(opened: socket.socket, unacked_ms: int) -> None:
-    """Have the kernel end a connection whose peer has fallen silent.
+def detect_dead_peers(sock: socket.socket, unacked_timeout_ms: int) -> None:
+    """Let the kernel close a connection whose peer no longer responds.
 
     Parameters
     ----------
-    unacked_ms : int
-        How long bytes may wait for their acknowledgement.
+    unacked_timeout_ms : int
+        How long sent data may be unacknowledged.
     """
-    unacked = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
-    for level, option, value in (*_OPTIONS, unacked):
-        # A connection that the peer has reset already takes no options; its end is
-        # told by the next read.
+    user_timeout = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms)
+    for level, option, value in (*_OPTIONS, user_timeout):
+        # Setting options fails on a connection that the peer has already reset; the next
+        # read reports the reset.
         with contextlib.suppress(OSError):
-            opened.setsockopt(level, option, value)
+            sock.setsockopt(level, option, value)
