--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -15,10 +15,19 @@
 from bench.figures import Figure, Slope, report
 from poplarrun import peers
 from poplarrun.logging import NonBlockingHandler, events, write_event
-from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_share
-from poplarrun.placement import Listing, Placement
+from poplarrun.peers import Digest, EndpointLoad, Scope, encode_message, encode_totals
+from poplarrun.placement import EndpointRecord, Placement
 from poplarrun.platform import decode_catalogue
-from poplarrun.routing import Pace, PromptPart, Repeat, Request, Route, Service, Share, Work
+from poplarrun.routing import (
+    InFlightRequest,
+    LatencyTargets,
+    PromptPart,
+    RepeatPolicy,
+    Request,
+    Route,
+    Service,
+    ServiceWeight,
+)
 
 COMMAND = "python -m bench.gateway"
 ENDPOINT_COUNTS = (12, 100, 400, 830)
@@ -27,8 +36,8 @@
 ROUNDS = 400
 REPETITIONS = 5
 ENGINES = Service("engines", 100, 64, 400_000)
-PACE = Pace(10.0, 2.0)
-ROUTE = Route("r", "h", "/", Repeat.STREAM, PACE, 1, (Share("engines", 1.0),), 3)
+PACE = LatencyTargets(10.0, 2.0)
+ROUTE = Route("r", "h", "/", RepeatPolicy.STREAM, PACE, 1, (ServiceWeight("engines", 1.0),), 3)
 # Lines of one good request: admitted, sent, answered.
 LINES_A_REQUEST = 3
 # Requests a second of one host today, and ten times that.
@@ -37,19 +46,19 @@
 FLOOD_S = 10.0
 
 
-def make_listings(count: int) -> list[Listing]:
+def make_listings(count: int) -> list[EndpointRecord]:
     """Return endpoints in three zones."""
     return [
-        Listing(f"i-{n:010x}", "engines", f"10.0.0.1:{n}", "abc"[n % 3], "v1", 64, False)
+        EndpointRecord(f"i-{n:010x}", "engines", f"10.0.0.1:{n}", "abc"[n % 3], "v1", 64, False)
         for n in range(count)
     ]
 
 
-def make_work(number: int) -> Work:
+def make_work(number: int) -> InFlightRequest:
     """Return a request with a beginning that others share."""
     parts = (PromptPart(f"p{number % 90}", 13_000), PromptPart(f"own{number}", 3_700))
-    request = Request(f"r{number}", b"POST", b"/", "h", (), b"", 10.0, parts=parts)
-    return Work(request, ROUTE, None, "engines", 0.0, 10.0)
+    request = Request(f"r{number}", b"POST", b"/", "h", (), b"", 10.0, prompt_parts=parts)
+    return InFlightRequest(request, ROUTE, None, "engines", 0.0, 10.0)
 
 
 def time_us(step: Callable[[int], object]) -> float:
@@ -66,21 +75,21 @@
 def measure_choice(count: int) -> float:
     """Return the time of one choice among so many endpoints, in microseconds."""
     placement = Placement("a", random.Random(1))
-    placement.update(make_listings(count))
+    placement.update_endpoints(make_listings(count))
     return time_us(lambda n: placement.choose(make_work(n), ENGINES, 1.0, "small"))
 
 
 def measure_digest(count: int) -> tuple[float, float]:
     """Return size and encoding time of a digest that names so many endpoints."""
-    loads = [EndpointLoad(listing.lifetime, 9, 420) for listing in make_listings(count)]
-    share = encode_share(peers.Share(1, loads))
+    loads = [EndpointLoad(listing.instance_id, 9, 420) for listing in make_listings(count)]
+    totals = encode_totals(peers.ActivityTotals(1, loads))
     digest = Digest("10.1.0.40:7340", "a", 1e5, 1e5, 0.2, 43, 0.4, 0.3, scope=Scope.HOST)
 
     def encode(_: int) -> bytes:
-        told = msgspec.structs.replace(digest, share=encode_share(peers.Share(1, loads)))
+        told = msgspec.structs.replace(digest, totals=encode_totals(peers.ActivityTotals(1, loads)))
         return encode_message(told)
 
-    size = len(encode_message(msgspec.structs.replace(digest, share=share)))
+    size = len(encode_message(msgspec.structs.replace(digest, totals=totals)))
     return size, time_us(encode)
 
 
--- a/features/steps/bill_snapshots.py
+++ b/features/steps/bill_snapshots.py
@@ -9,14 +9,14 @@
     SHARDS,
     Bill,
     BillFold,
-    BillKeeper,
+    BillReplicator,
     BillSnapshots,
     encode_bills,
     read_statement,
     stream_of,
 )
 from poplarrun.billing._totals import BillTotals
-from poplarrun.hosts import MemoryNetwork, MemoryPeers, Peer
+from poplarrun.hosts import MemoryPeerNetwork, MemoryPeers, Peer
 from poplarrun.log import MemoryLog, SnapshotAssembler, ThreadedLog, call_inline, split_snapshot
 from standins.histories import run_virtual
 
@@ -34,7 +34,7 @@
 
 def make_writer(context, name="a1"):
     """Return a writer that sees no other host, so every shard is its own."""
-    peers = MemoryPeers(MemoryNetwork(), Peer(name, "a", "r", 1))
+    peers = MemoryPeers(MemoryPeerNetwork(), Peer(name, "a", "r", 1))
     return BillSnapshots(
         peers,
         ThreadedLog(context.bill_log, call_inline),
@@ -90,7 +90,7 @@
             append(context, source.choice(context.bills[-LATELY:]))
         if number % (count // 5) == count // 10:
             context.wall += HOURS_S
-            run_virtual(writer.tend())
+            run_virtual(writer.write_due_snapshots())
     fold = BillFold()
     for entry in entries_of(context):
         fold.fold(entry)
@@ -110,7 +110,7 @@
 
     async def run():
         writers = [make_writer(context, name) for name in ("a1", "b1")]
-        await asyncio.gather(add_bills(), *(writer.tend() for writer in writers))
+        await asyncio.gather(add_bills(), *(writer.write_due_snapshots() for writer in writers))
 
     run_virtual(run())
     parts = [part for part in map(parts_module._decode_part, entries_of(context)) if part]
@@ -126,7 +126,7 @@
     for number in range(100):
         append(context, bill_of(number, START + number))
     if before != "none":
-        run_virtual(make_writer(context).tend())
+        run_virtual(make_writer(context).write_due_snapshots())
     totals = BillTotals()
     for entry in entries_of(context):
         totals.fold(entry)
@@ -187,17 +187,17 @@
 async def bill_while_finishers_die(context, names):
     """Cut off a host with a bill, then all that finish it, in the order of their names."""
     loop = asyncio.get_running_loop()
-    network = MemoryNetwork()
+    network = MemoryPeerNetwork()
     log = ThreadedLog(context.bill_log, call_inline)
     peers = [MemoryPeers(network, Peer(name, name[0], "r", 1)) for name in names]
-    keepers = [BillKeeper(p, log, loop.time, loop.time) for p in peers]
+    keepers = [BillReplicator(p, log, loop.time, loop.time) for p in peers]
     # The log takes what each host appends, and its answers are lost; then it is gone.
     context.bill_log.responses_to_lose = 10**6
-    await keepers[0].keep(bill_of(1, START))
+    await keepers[0].replicate(bill_of(1, START))
     for gone in range(1, len(names)):
         network.cut(names[:gone], names[gone:])
         for _ in range(4):
-            await asyncio.gather(*(keeper.tend() for keeper in keepers[gone:]))
+            await asyncio.gather(*(keeper.run_round() for keeper in keepers[gone:]))
             await asyncio.sleep(1.0)
 
 
--- a/poplarrun/admission/__init__.py
+++ b/poplarrun/admission/__init__.py
@@ -1,11 +1,11 @@
-"""Admission: whether work starts now, waits, or is refused before it costs anything."""
+"""Admission control: whether a request starts now, is queued, or is refused at once."""
 
 from poplarrun.admission._admission import (
     Admission,
     Admissions,
     Admitted,
-    Held,
-    PlaceLoad,
+    CandidateLoad,
+    Queued,
     Refused,
     Verdict,
 )
@@ -18,10 +18,10 @@
     "Admissions",
     "Admitted",
     "AimdLimit",
+    "CandidateLoad",
     "FairQueue",
     "GradientLimit",
-    "Held",
-    "PlaceLoad",
+    "Queued",
     "Refused",
     "ServiceLimit",
     "Ticket",
--- /dev/null
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -0,0 +1,433 @@
+"""Admits requests, chooses an endpoint for each attempt and decides on retries.
+
+The state is held in memory, the time is passed in, and no network is used.
+"""
+
+import zlib
+from dataclasses import dataclass
+
+from poplarrun.dispatch._config_view import ConfigView
+from poplarrun.dispatch._failures import (
+    Attempt,
+    EndpointErrorResponse,
+    Failure,
+    NoConnection,
+    NotExecuted,
+    ResponseTimeout,
+    may_have_run,
+)
+from poplarrun.errors import ErrorKind, Refusal
+from poplarrun.placement import EndpointEstimate, EndpointState, Placement
+from poplarrun.retries import WindowedRetryBudget
+from poplarrun.rollouts import UNDER_LOAD, AnswerTimes, Rollouts, VersionChoice, VersionReason
+from poplarrun.routing import InFlightRequest, RepeatPolicy, Request, Service
+from poplarrun.sizes import SizePolicy
+
+# Sends that endpoints rejected without executing don't count as attempts, but each costs
+# the caller time: at most this many are made beyond the route's attempt limit.
+MAX_REJECTED_SENDS = 2
+# Failed connections after which the caller is told to retry later.
+MAX_CONNECT_FAILURES = 4
+# Least time that must remain until the deadline for another send, in seconds: a request
+# that is cancelled at once would only occupy the endpoint.
+MIN_TIME_LEFT_S = 0.03
+# Delay in seconds after which a refused caller should retry: about the time in which a
+# slot becomes free or the caller reaches another host.
+RETRY_DELAY_S = 0.3
+# The same while this host waits for a current configuration.
+STALE_CONFIG_RETRY_DELAY_S = 0.5
+# Fraction of the retry allowance that escalations to a larger model leave for failures.
+FAILURE_RESERVE_FRACTION = 0.5
+# Number of events after which the pace of an unfinished answer is known well enough.
+MIN_EVIDENCE_EVENTS = 6
+# Load of an endpoint, in requests per slot, from which an answer counts as evidence of its
+# version under load: what hosts know of each other's requests is some tenths of a second old.
+MIN_EVIDENCE_LOAD = 0.2
+# Last fraction of the wait for a silent answer. An endpoint that answered other requests
+# within it was up when this answer was due.
+RESPONSIVE_WINDOW_FRACTION = 2.0 / 3.0
+# Urgency that an endpoint is given for the highest rank; each lower rank adds one.
+HIGHEST_RANK_URGENCY = 2
+
+
+@dataclass(frozen=True, slots=True)
+class SendDecision:
+    """The decision to send a request to an endpoint now.
+
+    Attributes
+    ----------
+    urgency : int
+        Priority at the endpoint, from 0, which is served first, to 9.
+    reason : VersionReason
+        Why the endpoint's version was chosen.
+    """
+
+    estimate: EndpointEstimate
+    size: str | None
+    urgency: int
+    reason: VersionReason = VersionReason.NO_ROLLOUT
+
+
+class Dispatcher:
+    """Decides about requests; used on the event loop only, never blocks.
+
+    Parameters
+    ----------
+    retry_ratio : float
+        Retries that each first send allows.
+    retry_allowance : float
+        Retries that this host may make beyond that.
+    retry_window_s : float
+        Length of the window over which operators limit retries, in seconds.
+    """
+
+    def __init__(
+        self,
+        config_view: ConfigView,
+        placement: Placement,
+        rollouts: Rollouts,
+        sizes: SizePolicy,
+        retry_ratio: float,
+        retry_allowance: float,
+        retry_window_s: float,
+    ) -> None:
+        self.config_view = config_view
+        self.placement = placement
+        self.rollouts = rollouts
+        self.sizes = sizes
+        self.retry_ratio = retry_ratio
+        self.retry_allowance = retry_allowance
+        self.retry_window_s = retry_window_s
+        self._budgets: dict[str, WindowedRetryBudget] = {}
+        self._open_attempts: dict[Attempt, InFlightRequest] = {}
+
+    def set_retry_allowance(self, allowance: float) -> None:
+        """Set this host's share of the retry allowance, which depends on the number of hosts."""
+        self.retry_allowance = allowance
+        for budget in self._budgets.values():
+            budget.allowance = allowance
+
+    def admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
+        """Look up a new request's route, account and service, or refuse it."""
+        catalogue = self.config_view.catalogue
+        if catalogue is None:
+            return self._refuse(
+                ErrorKind.NOT_READY, "no configuration yet", STALE_CONFIG_RETRY_DELAY_S
+            )
+        can_deny = self.config_view.can_deny(now)
+        path = request.target.decode("latin-1").split("?", 1)[0]
+        route = catalogue.find_route(request.host, path)
+        if route is None:
+            if not can_deny:
+                return self._refuse(
+                    ErrorKind.NOT_READY, "configuration is old", STALE_CONFIG_RETRY_DELAY_S
+                )
+            return Refusal(ErrorKind.ROUTE_UNKNOWN, "no route for this host and path")
+        account = None
+        if catalogue.accounts is not None and not route.is_public:
+            account = catalogue.find_account(request.api_key)
+            if account is None:
+                if not can_deny:
+                    return self._refuse(
+                        ErrorKind.NOT_READY, "keys are old", STALE_CONFIG_RETRY_DELAY_S
+                    )
+                return Refusal(ErrorKind.UNAUTHENTICATED, "the key is not known")
+            if not self.config_view.can_trust_keys(now):
+                return self._refuse(ErrorKind.NOT_READY, "keys are old", STALE_CONFIG_RETRY_DELAY_S)
+        service = route.choose_service(_hash_to_unit_interval(request.session_id or request.id))
+        timeout_s = min(request.time_left_s, route.latency.timeout_s)
+        work = InFlightRequest(request, route, account, service, now, now + timeout_s)
+        self.sizes.record_request(work)
+        return work
+
+    def recheck(self, work: InFlightRequest, now: float) -> Refusal | None:
+        """Return why a request may no longer be sent; called immediately before the send.
+
+        While a request waits for a connection, its key may be revoked or the host be
+        suspended. Sent without this check, it would run seconds after it had to be refused.
+        """
+        if work.remaining_s(now) < MIN_TIME_LEFT_S:
+            return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
+        if work.account is None:
+            return None
+        catalogue = self.config_view.catalogue
+        # A request that was already sent once continues: its key was valid on arrival, and
+        # the revocation limit applies to later requests. Only a revoked key ends it.
+        is_config_stale = work.sends == 0 and not self.config_view.can_trust_keys(now)
+        if catalogue is None or is_config_stale:
+            return self._give_up(work, ErrorKind.NOT_READY, "keys are old")
+        if catalogue.find_account(work.request.api_key) != work.account:
+            return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
+        return None
+
+    def choose_endpoint(self, work: InFlightRequest, now: float) -> SendDecision | Refusal:
+        """Choose the endpoint of the next attempt, or refuse the request."""
+        refusal = self.recheck(work, now)
+        if refusal is not None:
+            return refusal
+        service = self._find_service(work)
+        if service is None:
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
+        size = work.model_size or self.sizes.first_size(work)
+        versions = self._choose_versions(work, now)
+        is_proving = versions.allowed is not None and any(
+            self.rollouts.is_in_shift(work.service, version, now) for version in versions.allowed
+        )
+        estimate = self.placement.choose(
+            work,
+            service,
+            now,
+            size or "",
+            versions.allowed,
+            versions.excluded,
+            concentrate_load=is_proving,
+        )
+        reason = versions.reason
+        if estimate is None and versions.allowed is not None:
+            # Running on another version is better than refusing the request.
+            estimate = self.placement.choose(
+                work, service, now, size or "", None, versions.excluded
+            )
+            reason = VersionReason.NONE_LEFT
+        if estimate is None:
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
+        return SendDecision(estimate, size, self._compute_urgency(work), reason)
+
+    def record_sent(self, work: InFlightRequest, send: SendDecision, now: float) -> Attempt:
+        """Record that the request's bytes were handed to the socket."""
+        endpoint = send.estimate.endpoint
+        if work.sends == 0:
+            self._retry_budget(work.service).record_attempt(now)
+        work.sends += 1
+        work.model_size = send.size
+        work.tried_endpoints.add(endpoint.record.instance_id)
+        work.session_version = endpoint.record.version
+        endpoint.in_flight += 1
+        endpoint.pending_prefill_s += send.estimate.prefill_s
+        if send.size is not None:
+            endpoint.record_prompt(send.size, work.request.prompt_parts, now)
+        attempt = Attempt(send.estimate, send.size, now)
+        is_past = self.rollouts.is_past_trial(work.service, endpoint.record.version, now)
+        attempt.is_under_load = is_past and send.estimate.load >= MIN_EVIDENCE_LOAD
+        self._open_attempts[attempt] = work
+        self.rollouts.record_send(work, endpoint.record.version, now)
+        return attempt
+
+    def try_escalate(
+        self, work: InFlightRequest, attempt: Attempt, confidence: float, now: float
+    ) -> bool:
+        """Try to replace an answer by a larger model's; return whether that is done.
+
+        Called before the caller has received anything. The discarded answer counts as a
+        run, and the next send spends a retry; part of that budget is reserved for failures.
+        """
+        largest = self.sizes.escalation_size(work)
+        service = self._find_service(work)
+        if largest is None or service is None:
+            return False
+        if work.possible_runs + 1 >= work.route.max_attempts or work.last_event_id is not None:
+            return False
+        budget = self._retry_budget(work.service)
+        if budget.remaining(now) < 1.0 + FAILURE_RESERVE_FRACTION * budget.allowance:
+            return False
+        versions = frozenset((attempt.estimate.endpoint.record.version,))
+        estimate = self.placement.choose(work, service, now, largest, versions, include_tried=True)
+        if estimate is None:
+            return False
+        if not self.sizes.should_escalate(work, confidence, estimate, service, now):
+            return False
+        budget.try_spend(now)
+        self._close_attempt(attempt)
+        attempt.first_event_at = now
+        self._record_evidence(work, attempt, False, attempt.compute_times(now))
+        work.possible_runs += 1
+        work.may_have_run = True
+        work.model_size = largest
+        work.tried_endpoints.clear()
+        return True
+
+    def record_first_event(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
+        """Record the arrival of the first event, or of a plain service's answer."""
+        attempt.first_event_at = now
+        estimate = attempt.estimate
+        estimate.endpoint.last_response_at = now
+        estimate.endpoint.pending_prefill_s = max(
+            0.0, estimate.endpoint.pending_prefill_s - estimate.prefill_s
+        )
+        first_event_s = now - attempt.sent_at
+        estimate.endpoint.record_first_event(estimate.first_event_s, first_event_s, now)
+        if estimate.uncached_tokens:
+            speed = self.placement.speed(work.service, attempt.size or "")
+            speed.record_first_token(estimate.uncached_tokens, first_event_s)
+
+    def record_completed(self, work: InFlightRequest, attempt: Attempt, now: float) -> None:
+        """Record that an answer is complete."""
+        self._close_attempt(attempt)
+        attempt.estimate.endpoint.record_success()
+        self._record_evidence(work, attempt, False, attempt.compute_times(now))
+        self.rollouts.record_end(work, attempt.estimate.endpoint.record.version, now)
+
+    def record_cancelled(self, attempt: Attempt) -> None:
+        """Record that this host cancelled an attempt."""
+        self._close_attempt(attempt)
+
+    def handle_failure(
+        self,
+        work: InFlightRequest,
+        endpoint: EndpointState,
+        attempt: Attempt | None,
+        failure: Failure,
+        now: float,
+    ) -> Refusal | None:
+        """Record a failure; return a refusal if the request can't be retried.
+
+        Parameters
+        ----------
+        attempt : Attempt, optional
+            None if nothing was sent.
+        """
+        if attempt is not None:
+            self._close_attempt(attempt)
+        match failure:
+            case NotExecuted(is_other_instance=True):
+                endpoint.record_failure(now)
+            case NotExecuted():
+                endpoint.record_overloaded(now)
+            case EndpointErrorResponse():
+                if attempt is not None:
+                    self._record_evidence(work, attempt, True, AnswerTimes())
+            case NoConnection():
+                work.connect_failures += 1
+                work.tried_endpoints.add(endpoint.record.instance_id)
+                endpoint.record_failure(now)
+            case ResponseTimeout(waited_s) if attempt is not None and _was_responsive(
+                endpoint, waited_s, now
+            ):
+                self._record_evidence(work, attempt, True, AnswerTimes())
+                endpoint.record_failure(now)
+            case _:
+                if attempt is not None:
+                    self._record_broken(work, attempt)
+                endpoint.record_failure(now)
+        if may_have_run(failure):
+            work.possible_runs += 1
+            work.failures += 1
+            work.may_have_run = True
+        return self._check_retry(work, failure, now)
+
+    def _check_retry(self, work: InFlightRequest, failure: Failure, now: float) -> Refusal | None:
+        kind = ErrorKind.ENDPOINT_FAILED if work.may_have_run else ErrorKind.NO_ENDPOINT
+        if may_have_run(failure) and not work.route.can_repeat:
+            return Refusal(kind, "it may have run")
+        if work.possible_runs >= work.route.max_attempts:
+            return Refusal(kind, f"{work.possible_runs} attempts failed")
+        if work.sends >= work.route.max_attempts + MAX_REJECTED_SENDS:
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
+        if work.connect_failures >= MAX_CONNECT_FAILURES:
+            text = f"{work.connect_failures} connections failed"
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
+        if work.remaining_s(now) < MIN_TIME_LEFT_S:
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
+        if work.sends and not self._retry_budget(work.service).try_spend(now):
+            return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
+        return None
+
+    def _find_service(self, work: InFlightRequest) -> Service | None:
+        catalogue = self.config_view.catalogue
+        return None if catalogue is None else catalogue.services.get(work.service)
+
+    def _choose_versions(self, work: InFlightRequest, now: float) -> VersionChoice:
+        # A stream is resumed on the version that it began on.
+        if work.session_version is not None and work.last_event_id is not None:
+            return VersionChoice(frozenset((work.session_version,)), None, VersionReason.STREAM)
+        return self.rollouts.choose_version(work, now)
+
+    def _compute_urgency(self, work: InFlightRequest) -> int:
+        match work.route.repeat_policy:
+            case RepeatPolicy.STREAM:
+                return HIGHEST_RANK_URGENCY + work.priority
+            case _:
+                return HIGHEST_RANK_URGENCY
+
+    def record_open_evidence(self, now: float) -> None:
+        """Count unfinished answers as evidence once their pace is known or they are far too slow.
+
+        The answers that finish first are the fast ones. If only finished answers counted, a
+        version that takes eight times as long would look good until it had served many more
+        requests than a trial allows.
+        """
+        for attempt, work in list(self._open_attempts.items()):
+            if attempt.is_counted:
+                continue
+            kind = _evidence_kind(work, attempt)
+            latencies = attempt.compute_times(now, is_ended=False)
+            is_slow = self.rollouts.statistics.is_slow(work.service, kind, latencies)
+            if is_slow or attempt.event_count >= MIN_EVIDENCE_EVENTS:
+                self._record_evidence(work, attempt, False, latencies)
+
+    def _record_evidence(
+        self, work: InFlightRequest, attempt: Attempt, is_failure: bool, latencies: AnswerTimes
+    ) -> None:
+        version = attempt.estimate.endpoint.record.version
+        key = (work.service, version, _evidence_kind(work, attempt))
+        if attempt.is_counted:
+            if is_failure:
+                self.rollouts.statistics.record_failure_of_slow_answer(key)
+            return
+        attempt.is_counted = True
+        if attempt.is_under_load:
+            latencies = AnswerTimes()
+        rollout = self.rollouts.find(work.service)
+        is_trial = (
+            rollout is not None and rollout.is_in_progress and version == rollout.order.target
+        )
+        self.rollouts.statistics.record_answer(key, is_failure, latencies, is_trial)
+
+    def _record_broken(self, work: InFlightRequest, attempt: Attempt) -> None:
+        record = attempt.estimate.endpoint.record
+        key = (work.service, record.version, _evidence_kind(work, attempt))
+        self.rollouts.statistics.record_interruption(key, record.instance_id, attempt.is_counted)
+        attempt.is_counted = True
+
+    def _close_attempt(self, attempt: Attempt) -> None:
+        self._open_attempts.pop(attempt, None)
+        endpoint = attempt.estimate.endpoint
+        endpoint.in_flight = max(0, endpoint.in_flight - 1)
+        if attempt.first_event_at is None:
+            endpoint.pending_prefill_s = max(
+                0.0, endpoint.pending_prefill_s - attempt.estimate.prefill_s
+            )
+
+    def _retry_budget(self, service: str) -> WindowedRetryBudget:
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = WindowedRetryBudget(
+                self.retry_ratio, self.retry_allowance, self.retry_window_s
+            )
+            self._budgets[service] = budget
+        return budget
+
+    def _give_up(self, work: InFlightRequest, kind: ErrorKind, text: str) -> Refusal:
+        """Refuse a request; one that may have run is never reported as not run."""
+        if work.may_have_run:
+            return Refusal(ErrorKind.ENDPOINT_FAILED, text)
+        return self._refuse(kind, text, RETRY_DELAY_S)
+
+    @staticmethod
+    def _refuse(kind: ErrorKind, text: str, retry_after_s: float) -> Refusal:
+        return Refusal(kind, text, retry_after_s=retry_after_s)
+
+
+def _evidence_kind(work: InFlightRequest, attempt: Attempt) -> str:
+    if attempt.is_under_load:
+        return UNDER_LOAD
+    return f"{work.route.name}/{attempt.size or ''}"
+
+
+def _was_responsive(endpoint: EndpointState, waited_s: float, now: float) -> bool:
+    """Return whether an endpoint answered other requests late in the wait for this one."""
+    return now - endpoint.last_response_at < RESPONSIVE_WINDOW_FRACTION * waited_s
+
+
+def _hash_to_unit_interval(text: str) -> float:
+    return zlib.crc32(text.encode()) / 2.0**32
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -1,145 +1,151 @@
-"""How a send to an endpoint can fail, and what each way says about "has it run"."""
+"""The ways an attempt can fail, and whether the request may have run in each case."""
 
 from dataclasses import dataclass
 
-from poplarrun.placement import Seat
-from poplarrun.rollouts import Times
+from poplarrun.placement import EndpointEstimate
+from poplarrun.rollouts import AnswerTimes
 
-# Events of which the mean pause tells the pace of an answer.
-FEWEST_PACED = 3
+# Number of events from which the mean interval between them is meaningful.
+MIN_PACE_EVENTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class NoConnection:
-    """No connection came about, so no byte of the request left this host."""
+    """No connection was established, so no byte of the request left this host."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class SaidNotRun:
-    """The endpoint states that it did not run the request.
+class NotExecuted:
+    """The endpoint reported that it did not run the request.
 
     Attributes
     ----------
-    is_other_lifetime : bool
-        Whether another endpoint has the address now.
+    is_other_instance : bool
+        Whether another endpoint instance now has the address.
     """
 
     status: int
-    is_other_lifetime: bool = False
+    is_other_instance: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFailed:
-    """The endpoint ran the request and answered with a failure of its own."""
+class EndpointErrorResponse:
+    """The endpoint ran the request and answered with an error."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionBroke:
-    """The connection ended before the answer was whole; the request may have run."""
+class ConnectionLost:
+    """The connection closed before the answer was complete; the request may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Garbled:
-    """What came is no answer of this endpoint to this request, which may have run."""
+    """The response isn't this endpoint's answer to this request, which may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class TookTooLong:
-    """Nothing came for so long that another endpoint is asked; it may have run."""
+class ResponseTimeout:
+    """The endpoint was silent until its timeout; the request may have run."""
 
     waited_s: float
 
 
-Failure = NoConnection | SaidNotRun | AnswerFailed | ConnectionBroke | Garbled | TookTooLong
+Failure = (
+    NoConnection | NotExecuted | EndpointErrorResponse | ConnectionLost | Garbled | ResponseTimeout
+)
 
 
 def may_have_run(failure: Failure) -> bool:
-    """Tell whether the endpoint may have begun to work on the request."""
-    return not isinstance(failure, NoConnection | SaidNotRun)
+    """Return whether the endpoint may have started to execute the request."""
+    return not isinstance(failure, NoConnection | NotExecuted)
 
 
-def reason_of(failure: Failure) -> str:
-    """Return the label under which a failure is counted."""
+def failure_label(failure: Failure) -> str:
+    """Return the metric label of a failure."""
     match failure:
         case NoConnection():
             return "no_connection"
-        case SaidNotRun(is_other_lifetime=True):
+        case NotExecuted(is_other_instance=True):
             return "other_lifetime"
-        case SaidNotRun(status=status):
+        case NotExecuted(status=status):
             return f"not_run_{status}"
-        case AnswerFailed(status=status):
+        case EndpointErrorResponse(status=status):
             return f"answer_{status}"
-        case ConnectionBroke():
+        case ConnectionLost():
             return "broken"
         case Garbled():
             return "garbled"
-        case TookTooLong():
+        case ResponseTimeout():
             return "too_long"
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One send of a request.
+    """One send of a request to an endpoint.
 
     Attributes
     ----------
     sent_at : float
-        When its bytes were handed to the socket.
-    first_at : float, optional
-        When the first event came, or the answer of a plain service.
-    events : int
-        Events so far.
-    last_at : float, optional
-        When the newest of them came.
-    pause_s : float
-        Longest pause between two of them.
+        When the request's bytes were handed to the socket.
+    first_event_at : float, optional
+        When the first event, or the answer of a plain service, arrived.
+    event_count : int
+        Events received so far.
+    last_event_at : float, optional
+        When the most recent event arrived.
+    max_gap_s : float
+        Longest time between two events.
     confidence : float, optional
-        The model's own, 0 to 1.
-    is_loaded : bool
-        Whether it proves a version under load.
-    is_judged : bool
-        Whether it counts already as evidence of its version.
+        The model's confidence in its answer, 0 to 1.
+    is_under_load : bool
+        Whether the attempt is evidence of how its version performs under load.
+    is_counted : bool
+        Whether the attempt was already counted as evidence about its version.
     """
 
-    seat: Seat
+    estimate: EndpointEstimate
     size: str | None
     sent_at: float
-    first_at: float | None = None
-    events: int = 0
-    last_at: float | None = None
-    pause_s: float = 0.0
+    first_event_at: float | None = None
+    event_count: int = 0
+    last_event_at: float | None = None
+    max_gap_s: float = 0.0
     confidence: float | None = None
-    is_loaded: bool = False
-    is_judged: bool = False
-
-    def note_events(self, count: int, now: float) -> None:
-        """Take in events that came together."""
-        if self.last_at is not None:
-            self.pause_s = max(self.pause_s, now - self.last_at)
-        self.last_at = now
-        self.seat.member.heard_at = now
-        self.events += count
-
-    def times(self, now: float, is_ended: bool = True) -> Times:
-        """Return how long the answer took, or has taken so far.
-
-        Prompts that were known to wait before it say nothing of its version. The first
-        pause after the start of an answer under way says little of its pace.
+    is_under_load: bool = False
+    is_counted: bool = False
+
+    def record_events(self, count: int, now: float) -> None:
+        """Record events that arrived together."""
+        if self.last_event_at is not None:
+            self.max_gap_s = max(self.max_gap_s, now - self.last_event_at)
+        self.last_event_at = now
+        self.estimate.endpoint.last_response_at = now
+        self.event_count += count
+
+    def compute_times(self, now: float, is_ended: bool = True) -> AnswerTimes:
+        """Return the latencies of the answer, final or so far.
+
+        The known queue ahead of the request is subtracted, since it says nothing about
+        the version. There is no pace before ``MIN_PACE_EVENTS`` events, because the first
+        gap of an unfinished answer says little about it. The time since the last event of
+        an unfinished answer counts as one more gap.
         """
-        if self.first_at is None:
-            return Times(None if is_ended else self._without_queue(now))
-        pace_s = None
-        if self.events >= FEWEST_PACED:
-            pace_s = (now - self.first_at) / (self.events - 1 if is_ended else self.events)
-        return Times(self._without_queue(self.first_at), pace_s)
+        if self.first_event_at is None:
+            return AnswerTimes(None if is_ended else self._without_queue(now))
+        event_interval_s = None
+        if self.event_count >= MIN_PACE_EVENTS:
+            event_interval_s = (now - self.first_event_at) / (
+                self.event_count - 1 if is_ended else self.event_count
+            )
+        return AnswerTimes(self._without_queue(self.first_event_at), event_interval_s)
 
     def _without_queue(self, at: float) -> float:
-        return max(0.0, at - self.sent_at - self.seat.queue_s)
+        return max(0.0, at - self.sent_at - self.estimate.queue_s)
--- a/poplarrun/gateway/_sharing.py
+++ b/poplarrun/gateway/_activity.py
@@ -4,15 +4,15 @@
 
 from poplarrun.logging import events, write_event
 from poplarrun.peers import (
+    ActivityTotals,
     Digest,
     EndpointLoad,
-    RolloutNews,
+    ReceivedTotals,
+    RolloutProgress,
     Scope,
-    Share,
-    Shares,
-    TallyNews,
-    Told,
-    decode_share,
+    TotalsTable,
+    VersionTally,
+    decode_totals,
 )
 from poplarrun.placement import Placement
 from poplarrun.rollouts import Rollouts, Tally
@@ -20,7 +20,7 @@
 
 # Under this name the sum of all other hosts stands among the tallies and loads.
 OTHERS = "others"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 # Least pause between two sums over all that other hosts told, in seconds.
 SUM_PAUSE_S = 0.05
 
@@ -53,29 +53,29 @@
         self._zone = zone
         self._placement = placement
         self._rollouts = rollouts
-        self._shares = Shares()
+        self._shares = TotalsTable()
         self._is_news = False
         self._summed_at = float("-inf")
 
-    def own(self) -> Share:
+    def own(self) -> ActivityTotals:
         """Return what this host runs, and saw of the versions in roll-outs."""
-        return Share(1, self._loads(), self._tally_news())
+        return ActivityTotals(1, self._loads(), self._tally_news())
 
-    def note_told(self, share: Share, stamp: float) -> None:
+    def note_told(self, share: ActivityTotals, stamp: float) -> None:
         """Remember what this host told of itself, to take it out of the sums told back."""
-        self._shares.note_own(share, stamp)
+        self._shares.record_own(share, stamp)
 
     def stamp_of(self, host: str) -> float:
         """Return the stamp of the share of a host that counts in the sums."""
         return self._shares.stamp_of(host)
 
-    def sum_up(self, scope: Scope, own: Share, now: float) -> Share:
+    def sum_up(self, scope: Scope, own: ActivityTotals, now: float) -> ActivityTotals:
         """Return the sum that a digest of a scope carries."""
         match scope:
             case Scope.ZONE:
-                return self._shares.zone_sum(own, now)
+                return self._shares.compute_zone_totals(own, now)
             case Scope.FLEET:
-                return self._shares.fleet_sum(own, now)
+                return self._shares.compute_fleet_totals(own, now)
             case _:
                 return own
 
@@ -84,19 +84,19 @@
         self._take_rollouts(digest, now)
         if digest.scope is Scope.NONE:
             return
-        share = decode_share(digest.share)
+        share = decode_totals(digest.totals)
         if share is None:
-            write_event(events.MessageUnreadable(len(digest.share)))
+            write_event(events.MessageUnreadable(len(digest.totals)))
             return
-        told = Told(share, now, digest.stamp)
+        told = ReceivedTotals(share, now, digest.stamp)
         is_near = digest.zone == self._zone
         match digest.scope:
             case Scope.HOST if is_near:
-                self._shares.take_near(digest.address, told)
+                self._shares.apply_host_totals(digest.address, told)
             case Scope.ZONE if not is_near:
-                self._shares.take_zone(digest.zone, digest.address, told)
+                self._shares.apply_zone_totals(digest.zone, digest.address, told)
             case Scope.FLEET if is_near:
-                self._shares.take_fleet(digest.address, told, digest.counted)
+                self._shares.apply_fleet_totals(digest.address, told, digest.included_stamp)
         self._is_news = True
         if now - self._summed_at >= SUM_PAUSE_S:
             self.apply(now)
@@ -107,11 +107,12 @@
             return
         self._is_news = False
         self._summed_at = now
-        others = self._shares.others(now)
+        others = self._shares.estimate_others(now)
         loads = {
-            load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS) for load in others.loads
+            load.lifetime: (load.in_flight, load.pending_ms / MILLISECONDS_PER_S)
+            for load in others.loads
         }
-        self._placement.take_others(OTHERS, loads)
+        self._placement.apply_peer_load(OTHERS, loads)
         tallies = {
             (news.service, news.version, news.kind): Tally(
                 news.ended,
@@ -123,26 +124,28 @@
             )
             for news in others.tallies
         }
-        self._rollouts.evidence.take(OTHERS, tallies)
+        self._rollouts.statistics.apply_host_tallies(OTHERS, tallies)
 
     def rollout_states(self) -> list[RolloutState]:
         """Return how far the roll-outs under way are."""
         return [
-            RolloutState(rollout.order.offset, rollout.recorded, rollout.shifted_at is not None)
+            RolloutState(
+                rollout.order.offset, rollout.recorded_phase, rollout.shift_decided_at is not None
+            )
             for rollout in self._rollouts.active()
         ]
 
-    def rollout_news(self, now: float) -> list[RolloutNews]:
+    def rollout_news(self, now: float) -> list[RolloutProgress]:
         """Return what this host knows of the roll-outs under way."""
         return [
-            RolloutNews(
+            RolloutProgress(
                 rollout.order.service,
                 rollout.order.target,
                 rollout.order.duration_s,
                 rollout.order.offset,
-                now - rollout.begun_at,
-                rollout.recorded,
-                None if rollout.shifted_at is None else now - rollout.shifted_at,
+                now - rollout.started_at,
+                rollout.recorded_phase,
+                None if rollout.shift_decided_at is None else now - rollout.shift_decided_at,
             )
             for rollout in self._rollouts.recent(now)
         ]
@@ -150,32 +153,34 @@
     def _loads(self) -> list[EndpointLoad]:
         return [
             EndpointLoad(
-                member.listing.lifetime, member.in_flight, int(member.pending_s * MILLISECONDS)
+                member.record.instance_id,
+                member.in_flight,
+                int(member.pending_prefill_s * MILLISECONDS_PER_S),
             )
-            for member in self._placement.members()
+            for member in self._placement.endpoints()
             if member.in_flight
         ]
 
-    def _tally_news(self) -> list[TallyNews]:
+    def _tally_news(self) -> list[VersionTally]:
         active = {rollout.order.service for rollout in self._rollouts.active()}
         return [
-            TallyNews(
+            VersionTally(
                 *key,
-                tally.ended,
+                tally.answers,
                 tally.failures,
                 tally.slow,
-                tally.paced,
-                round(tally.log_pace, 2),
-                sorted(tally.broken),
+                tally.paced_answers,
+                round(tally.log_pace_sum, 2),
+                sorted(tally.interrupting_endpoints),
             )
-            for key, tally in self._rollouts.evidence.own.items()
+            for key, tally in self._rollouts.statistics.local.items()
             if key[0] in active
         ]
 
     def _take_rollouts(self, digest: Digest, now: float) -> None:
         for news in digest.rollouts:
             order = RolloutOrder(news.service, news.target, news.duration_s, news.offset)
-            if self._rollouts.take_order(order, now, news.age_s):
+            if self._rollouts.apply_order(order, now, news.age_s):
                 write_event(
                     events.RolloutOrdered(
                         order.service, order.target, order.duration_s, digest.address, news.age_s
@@ -185,12 +190,12 @@
             if rollout is None or rollout.order.offset != news.offset:
                 continue
             shifted_age_s = news.shifted_age_s
-            if shifted_age_s is not None and rollout.shift(now - shifted_age_s):
+            if shifted_age_s is not None and rollout.record_shift(now - shifted_age_s):
                 write_event(
                     events.RolloutShifted(
-                        order.service, order.target, digest.address, now - rollout.begun_at
+                        order.service, order.target, digest.address, now - rollout.started_at
                     )
                 )
             if news.phase is not None:
                 status = RolloutStatus(news.service, news.target, news.phase)
-                self._rollouts.take_status(status)
+                self._rollouts.apply_status(status)
--- a/poplarrun/gateway/_followers.py
+++ b/poplarrun/gateway/_followers.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from poplarrun.dispatch import Knowledge
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.dispatch import ConfigView
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.logging import events, write_event
-from poplarrun.peers import USUAL_TIMES
-from poplarrun.placement import LAPSE_GRACE_S, Directory, DirectoryEvent, Placement
+from poplarrun.peers import DEFAULT_READ_TIMEOUTS
+from poplarrun.placement import LAPSE_GRACE_S, DirectoryEvent, EndpointDirectory, Placement
 from poplarrun.platform import (
     CONFIG_KEY,
     ENDPOINT_TOPIC,
@@ -17,10 +17,10 @@
     ROLLOUT_PREFIX,
     STATUS_TOPIC,
     Entry,
-    Forgotten,
-    Malformed,
-    Newest,
+    LatestRecords,
+    MalformedDocument,
     NoAnswer,
+    OffsetExpired,
     Records,
     Refused,
     StoreClient,
@@ -60,7 +60,7 @@
     """
 
     answered_at: float = 0.0
-    outage_s: float = USUAL_TIMES.outage_s
+    outage_s: float = DEFAULT_READ_TIMEOUTS.outage_timeout_s
     lost_at: float = math.inf
     back_at: float = -math.inf
     steady_since: float = math.inf
@@ -120,10 +120,10 @@
     def __init__(
         self,
         store: StoreClient,
-        knowledge: Knowledge,
+        knowledge: ConfigView,
         rollouts: Rollouts,
         changed: Callable[[], None],
-        reading: SharedReading,
+        reading: SharedReader,
     ) -> None:
         self.offset: int | None = None
         self.raw_config = b""
@@ -133,12 +133,12 @@
         self._knowledge = knowledge
         self._rollouts = rollouts
         self._changed = changed
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self.reading.wait(lambda: self._knowledge.true_at)
+            await self.reading.wait(lambda: self._knowledge.confirmed_at)
             if await self._step():
                 self.tell_zone()
             else:
@@ -148,15 +148,15 @@
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case Newest(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = end
-            case Records(entries=entries, end=end, true_at=true_at):
+            case Records(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_all(entries, now)
                 self.offset = entries[-1].offset + 1 if entries else self.offset
                 if self.offset is not None and self.offset < end:
                     return True
-            case Forgotten():
+            case OffsetExpired():
                 write_event(events.HistoryDropped("documents"))
                 self.offset = None
                 return True
@@ -169,12 +169,12 @@
         if self._health.note_answer(now):
             write_event(events.StoreBack("documents", self.offset or 0))
         if self._knowledge.catalogue is not None:
-            self._knowledge.confirm(true_at)
+            self._knowledge.confirm(current_as_of)
         return True
 
-    async def _read(self) -> Newest | Records | Forgotten | Refused | NoAnswer:
+    async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
         if self.offset is None:
-            return await self._store.newest(OPERATOR_TOPIC)
+            return await self._store.read_latest(OPERATOR_TOPIC)
         return await self._store.read(OPERATOR_TOPIC, self.offset, self.reading.held_s)
 
     def note_proof(self, true_at: float) -> None:
@@ -194,13 +194,13 @@
                 self.take_config(entry.value)
             elif entry.key.startswith(ROLLOUT_PREFIX):
                 order = decode_order(entry.value, entry.offset)
-                if self._rollouts.take_order(order, now):
+                if self._rollouts.apply_order(order, now):
                     write_event(
                         events.RolloutOrdered(
                             order.service, order.target, order.duration_s, "store", 0.0
                         )
                     )
-        except Malformed as error:
+        except MalformedDocument as error:
             write_event(events.DocumentIgnored(entry.key, str(error)))
 
     def take_config(self, value: bytes, source: str = "store") -> None:
@@ -212,7 +212,7 @@
             When it can't be decoded.
         """
         catalogue = decode_catalogue(value)
-        if self._knowledge.take(catalogue):
+        if self._knowledge.apply_catalogue(catalogue):
             self.raw_config = value
             write_event(events.ConfigInForce(catalogue.version, source))
             self._changed()
@@ -224,25 +224,25 @@
     def __init__(
         self,
         store: StoreClient,
-        directory: Directory,
+        directory: EndpointDirectory,
         placement: Placement,
-        reading: SharedReading,
+        reading: SharedReader,
     ) -> None:
         self.is_known = False
         self.is_served = False
-        self.true_at = float("-inf")
+        self.current_as_of = float("-inf")
         self.reading = reading
         self.tell_zone: Callable[[], None] = _tell_nobody
         self.tell_changes: Callable[[tuple[Entry, ...], bool], None] = _tell_no_changes
         self._store = store
         self._directory = directory
         self._placement = placement
-        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_s)
+        self._health = StoreHealth(seconds_since_boot(), reading.times.outage_timeout_s)
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self.reading.wait(lambda: self.true_at)
+            await self.reading.wait(lambda: self.current_as_of)
             is_good = await self._step()
             self._expire(seconds_since_boot())
             if is_good:
@@ -253,15 +253,15 @@
         answer = await self._read()
         now = seconds_since_boot()
         match answer:
-            case Newest(entries=entries, end=end, true_at=true_at):
+            case LatestRecords(entries=entries, end_offset=end, current_as_of=current_as_of):
                 self._take_newest(entries, now)
-                self._directory.offset = end
+                self._directory.next_offset = end
                 self.is_known = True
                 self.is_served = True
-            case Records(entries=entries, true_at=true_at):
+            case Records(entries=entries, current_as_of=current_as_of):
                 self._note_answer(now)
                 self._take_records(entries, now)
-            case Forgotten():
+            case OffsetExpired():
                 write_event(events.HistoryDropped("endpoints"))
                 self.is_known = False
                 return await self._step()
@@ -272,8 +272,8 @@
                 return False
         self.reading.has_failed = False
         self._note_answer(now)
-        self.true_at = max(self.true_at, true_at)
-        self._placement.update(self._directory.listings())
+        self.current_as_of = max(self.current_as_of, current_as_of)
+        self._placement.update_endpoints(self._directory.records())
         return True
 
     def _take_records(self, entries: tuple[Entry, ...], now: float) -> None:
@@ -282,17 +282,17 @@
             self._take(entry, now, is_lapse)
         if entries:
             # A peer may have told of some of them while the read was under way.
-            self._directory.offset = max(self._directory.offset, entries[-1].offset + 1)
+            self._directory.next_offset = max(self._directory.next_offset, entries[-1].offset + 1)
             self.tell_changes(entries, is_lapse)
 
     def note_proof(self, end: int, true_at: float) -> None:
         """Take in that a peer had read all that the store had at a time."""
         if not self.is_known:
             return
-        if end > self._directory.offset:
+        if end > self._directory.next_offset:
             self.reading.hurry()
-        elif end == self._directory.offset:
-            self.true_at = max(self.true_at, true_at)
+        elif end == self._directory.next_offset:
+            self.current_as_of = max(self.current_as_of, true_at)
             self._health.note_proof(true_at)
 
     def steady_s(self, now: float) -> float:
@@ -311,17 +311,17 @@
         """Take in records that a peer has read; after a gap this host reads for itself."""
         if not self.is_known or not entries:
             return
-        if entries[0].offset > self._directory.offset:
+        if entries[0].offset > self._directory.next_offset:
             self.reading.hurry()
             return
-        fresh = [entry for entry in entries if entry.offset >= self._directory.offset]
+        fresh = [entry for entry in entries if entry.offset >= self._directory.next_offset]
         if not fresh:
             return
         now = seconds_since_boot()
         for entry in fresh:
             self._take(entry, now, is_lapse)
-        self._directory.offset = fresh[-1].offset + 1
-        self._placement.update(self._directory.listings())
+        self._directory.next_offset = fresh[-1].offset + 1
+        self._placement.update_endpoints(self._directory.records())
 
     def take_from_peer(self) -> None:
         """Put what a peer told of the endpoints into force.
@@ -329,29 +329,29 @@
         The place in the log stays: records that a peer has read are read again.
         """
         self.is_served = True
-        self._placement.update(self._directory.listings())
+        self._placement.update_endpoints(self._directory.records())
 
-    async def _read(self) -> Newest | Records | Forgotten | Refused | NoAnswer:
+    async def _read(self) -> LatestRecords | Records | OffsetExpired | Refused | NoAnswer:
         if not self.is_known:
-            return await self._store.newest(ENDPOINT_TOPIC)
-        offset, held_s = self._directory.offset, self.reading.held_s
+            return await self._store.read_latest(ENDPOINT_TOPIC)
+        offset, held_s = self._directory.next_offset, self.reading.held_s
         return await self._store.read(ENDPOINT_TOPIC, offset, held_s)
 
     def _note_answer(self, now: float) -> None:
         if self._health.note_answer(now):
-            write_event(events.StoreBack("endpoints", self._directory.offset))
+            write_event(events.StoreBack("endpoints", self._directory.next_offset))
 
     def _take_newest(self, entries: tuple[Entry, ...], now: float) -> None:
         listed = {entry.key for entry in entries}
         is_lapse = self._is_lapse(now)
         for entry in entries:
             self._take(entry, now, is_lapse)
-        for listing in self._directory.listings():
-            if listing.lifetime not in listed:
-                self._remove(listing.lifetime, now, is_lapse)
+        for listing in self._directory.records():
+            if listing.instance_id not in listed:
+                self._remove(listing.instance_id, now, is_lapse)
 
     def _is_lapse(self, now: float) -> bool:
-        """Tell whether records that are gone may have lapsed with an outage of the store."""
+        """Return whether records that are gone may have lapsed with an outage of the store."""
         return self._health.is_out or now - self._health.back_at < LAPSE_S
 
     def _take(self, entry: Entry, now: float, is_lapse: bool) -> None:
@@ -366,7 +366,7 @@
         if event not in (DirectoryEvent.NOTHING, DirectoryEvent.CHANGED):
             write_event(
                 events.EndpointChanged(
-                    listing.lifetime,
+                    listing.instance_id,
                     event.value,
                     listing.service,
                     listing.address,
@@ -387,7 +387,7 @@
         gone = self._directory.expire(now, grace_s)
         if gone:
             write_event(events.EndpointsGone(gone, "lapsed"))
-            self._placement.update(self._directory.listings())
+            self._placement.update_endpoints(self._directory.records())
 
 
 class StatusFollower:
@@ -400,17 +400,17 @@
 
     async def read(self) -> bool:
         """Read to the end of the records; False when the store does not answer."""
-        answer = await self._store.newest(STATUS_TOPIC)
-        if not isinstance(answer, Newest):
+        answer = await self._store.read_latest(STATUS_TOPIC)
+        if not isinstance(answer, LatestRecords):
             return False
         for entry in answer.entries:
             if entry.value is None or not entry.key.startswith(ROLLOUT_PREFIX):
                 continue
             try:
                 status = decode_status(entry.key[len(ROLLOUT_PREFIX) :], entry.value)
-            except Malformed as error:
+            except MalformedDocument as error:
                 write_event(events.DocumentIgnored(entry.key, str(error)))
                 continue
-            self._rollouts.take_status(status)
-        self.offset = answer.end
+            self._rollouts.apply_status(status)
+        self.offset = answer.end_offset
         return True
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -8,30 +8,30 @@
 from pathlib import Path
 from typing import Any
 
-from poplarrun.dispatch import Dispatch, Knowledge
+from poplarrun.dispatch import ConfigView, Dispatcher
 from poplarrun.errors import ErrorKind, Refusal
-from poplarrun.gateway._capacity import find_capacity
-from poplarrun.gateway._exchange import Exchange, respond_refusal
+from poplarrun.gateway._capacity import compute_capacity
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
+from poplarrun.gateway._forwarder import RequestForwarder, respond_refusal
 from poplarrun.gateway._peering import Peering
-from poplarrun.gateway._reading import SharedReading
+from poplarrun.gateway._reading import SharedReader
 from poplarrun.gateway._records import RequestRecorder
-from poplarrun.gateway._steward import Steward
+from poplarrun.gateway._rollout_controller import RolloutController
 from poplarrun.links import NngLinks
 from poplarrun.logging import NonBlockingHandler, events, write_event
 from poplarrun.metrics import Metrics
-from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook, ReadTimes
-from poplarrun.placement import Directory, Placement
+from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable, ReadTimeouts
+from poplarrun.placement import EndpointDirectory, Placement
 from poplarrun.platform import (
     BadRequest,
-    BadSettings,
+    InvalidSettings,
     NodeSettings,
     StoreClient,
     decode_request,
     load_node_settings,
 )
 from poplarrun.rollouts import Rollouts
-from poplarrun.routing import Request, Work
+from poplarrun.routing import InFlightRequest, Request
 from poplarrun.sizes import SizePolicy
 from poplarrun.transport import (
     CallerConnection,
@@ -43,7 +43,7 @@
 
 # Part of the operators' bound on second sends that is used, and the hosts among
 # which the allowance is divided until it is known how many there are.
-RETRY_PART = 0.85
+RETRY_FRACTION = 0.85
 FIRST_HOSTS = 8
 # While it stops, a host still takes new connections for so long, in seconds: the
 # balancer asks once a second and takes a host out after two misses.
@@ -54,13 +54,13 @@
 STOP_POLL_S = 0.05
 
 
-def part_of_allowance(whole: float, peers: int) -> float:
+def host_retry_allowance(whole: float, peers: int) -> float:
     """Return one host's part of the second sends that all hosts may make besides.
 
     A host that hears fewer peers than there are would take too much: it never counts
     on fewer than ``FIRST_HOSTS``. Below one no second send could ever be made.
     """
-    return max(1.0, RETRY_PART * whole / max(FIRST_HOSTS, peers + 1))
+    return max(1.0, RETRY_FRACTION * whole / max(FIRST_HOSTS, peers + 1))
 
 
 class GatewayHost:
@@ -78,41 +78,44 @@
         self.settings = settings
         self.metrics = Metrics()
         self.metrics.attach_line_counts(handler.line_counts)
-        self._store = StoreClient(settings.store, self._record_call)
-        self._knowledge = Knowledge(settings.key_bound_s)
-        self._directory = Directory()
+        self._store = StoreClient(settings.store_address, self._record_call)
+        self._knowledge = ConfigView(settings.key_revocation_s)
+        self._directory = EndpointDirectory()
         self._placement = Placement(settings.zone, random.Random())
-        self._rollouts = Rollouts(settings.session_s, settings.exposure)
-        self._dispatch = Dispatch(
+        self._rollouts = Rollouts(settings.session_s, settings.max_exposure_fraction)
+        self._dispatch = Dispatcher(
             self._knowledge,
             self._placement,
             self._rollouts,
             SizePolicy(),
-            RETRY_PART * settings.retry_earned,
-            part_of_allowance(settings.retry_allowance, 0),
+            RETRY_FRACTION * settings.retries_per_request,
+            host_retry_allowance(settings.retry_allowance, 0),
             settings.retry_window_s,
         )
         self._pool = ConnectionPool()
         self._recorder = RequestRecorder(self.metrics)
         self._callers = CallerServer(self._serve, self._report_crash)
         self._observers = CallerServer(self._observe, self._report_crash)
-        self._capacity = find_capacity(settings.memory_mb, settings.most_sockets)
-        self._callers.max_connections = self._capacity.callers
-        book = PeerBook(settings.peers, settings.zone)
-        times = ReadTimes.within(settings.change_bound_s)
+        self._capacity = compute_capacity(settings.memory_mb, settings.max_sockets)
+        self._callers.max_connections = self._capacity.max_caller_connections
+        peer_table = PeerTable(settings.peer_address, settings.zone)
+        times = ReadTimeouts.for_bound(settings.change_propagation_s)
         self._documents = DocumentFollower(
             self._store,
             self._knowledge,
             self._rollouts,
             self._apply_limits,
-            SharedReading(DOCUMENTS, book, times),
+            SharedReader(DOCUMENTS, peer_table, times),
         )
         self._listings = ListingFollower(
-            self._store, self._directory, self._placement, SharedReading(ENDPOINTS, book, times)
+            self._store,
+            self._directory,
+            self._placement,
+            SharedReader(ENDPOINTS, peer_table, times),
         )
         self._peering = Peering(
-            book,
-            NngLinks(settings.peers),
+            peer_table,
+            NngLinks(settings.peer_address),
             self._store,
             self._knowledge,
             self._documents,
@@ -121,11 +124,11 @@
             self._placement,
             self._rollouts,
         )
-        self._steward = Steward(
+        self._rollout_controller = RolloutController(
             self._store,
             self._rollouts,
-            self._peering.turn,
-            self._dispatch.judge_open,
+            self._peering.job_rank,
+            self._dispatch.record_open_evidence,
         )
         self._open = 0
         self._is_closed = False
@@ -148,24 +151,26 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._start(self._documents.run())
         self._start(self._listings.run())
-        self._start(self._steward.run())
+        self._start(self._rollout_controller.run())
         self._start(self._peering.run(self.settings.seeds))
         self._start(self._peering.announce())
         self._start(self._keep_house())
-        await self._callers.listen(self.settings.callers)
-        await self._observers.listen(self.settings.readiness)
+        await self._callers.listen(self.settings.caller_address)
+        await self._observers.listen(self.settings.readiness_address)
         await self._listen_for_metrics()
         settings = self.settings
-        write_event(events.HostStarted(settings.zone, settings.callers, settings.peers))
+        write_event(
+            events.HostStarted(settings.zone, settings.caller_address, settings.peer_address)
+        )
         await self._leaving.wait()
         await self._stop()
 
     async def _listen_for_metrics(self) -> None:
         try:
-            await self._observers.listen(self.settings.metrics)
+            await self._observers.listen(self.settings.metrics_address)
         except OSError as error:
             # Callers are served without metrics rather than not at all.
-            write_event(events.MetricsUnavailable(self.settings.metrics, str(error)))
+            write_event(events.MetricsUnavailable(self.settings.metrics_address, str(error)))
 
     async def _stop(self) -> None:
         """Let the balancer turn callers away, then finish what is open."""
@@ -176,7 +181,7 @@
         await asyncio.sleep(BALANCER_S)
         self._is_closed = True
         self._callers.close_idle()
-        stop_at = begun_at + self.settings.stop_s - STOP_MARGIN_S
+        stop_at = begun_at + self.settings.stop_grace_s - STOP_MARGIN_S
         while self._open and seconds_since_boot() < stop_at:
             await asyncio.sleep(STOP_POLL_S)
             self._callers.close_idle()
@@ -187,7 +192,7 @@
         """Answer one request of a caller."""
         request = decode_request(head.method, head.target, head.headers, body)
         if isinstance(request, BadRequest):
-            respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.text))
+            respond_refusal(caller, Refusal(ErrorKind.INVALID_REQUEST, request.message))
             return
         now = seconds_since_boot()
         self._note_belief(now)
@@ -200,12 +205,14 @@
         self._open += 1
         try:
             sessions = self._peering.sessions
-            await Exchange(self._dispatch, self._pool, caller, work, self._recorder, sessions).run()
+            await RequestForwarder(
+                self._dispatch, self._pool, caller, work, self._recorder, sessions
+            ).run()
         finally:
             self._open -= 1
 
-    def _admit(self, request: Request, now: float) -> Work | Refusal:
-        if self._open >= self._capacity.requests:
+    def _admit(self, request: Request, now: float) -> InFlightRequest | Refusal:
+        if self._open >= self._capacity.max_open_requests:
             return Refusal(ErrorKind.QUEUE_FULL, "host is full")
         if self._is_closed:
             # A stream that begins now would be cut off in the middle when the host is
@@ -248,7 +255,9 @@
             self._pool.close_stale()
             self._tell_readiness()
             peers = self._peering.count_alive()
-            self._dispatch.divide_allowance(part_of_allowance(self.settings.retry_allowance, peers))
+            self._dispatch.set_retry_allowance(
+                host_retry_allowance(self.settings.retry_allowance, peers)
+            )
             left_out = self._handler.collect_dropped_counts()
             if left_out:
                 write_event(events.LinesLeftOut(left_out))
@@ -281,17 +290,17 @@
     def _reload(self) -> None:
         """Read the settings again; a bad file changes nothing."""
         loaded = load_node_settings(self._path)
-        if isinstance(loaded, BadSettings):
-            write_event(events.SettingsBad(list(loaded.lines)))
+        if isinstance(loaded, InvalidSettings):
+            write_event(events.SettingsBad(list(loaded.problems)))
             return
         write_event(events.SettingsRead(loaded != self.settings))
         self.settings = loaded
-        self._knowledge.key_bound_s = loaded.key_bound_s
-        self._rollouts.session_s = loaded.session_s
-        self._rollouts.exposure = loaded.exposure
-        self._capacity = find_capacity(loaded.memory_mb, loaded.most_sockets)
-        self._callers.max_connections = self._capacity.callers
-        self._store.address = loaded.store
+        self._knowledge.revocation_limit_s = loaded.key_revocation_s
+        self._rollouts.session_timeout_s = loaded.session_s
+        self._rollouts.exposure_limit = loaded.max_exposure_fraction
+        self._capacity = compute_capacity(loaded.memory_mb, loaded.max_sockets)
+        self._callers.max_connections = self._capacity.max_caller_connections
+        self._store.address = loaded.store_address
 
     def _report_crash(self, error: BaseException | None) -> None:
         write_event(events.RequestCrashed("".join(traceback.format_exception(error))))
--- a/poplarrun/gateway/_reading.py
+++ b/poplarrun/gateway/_reading.py
@@ -4,11 +4,11 @@
 import contextlib
 from collections.abc import Callable
 
-from poplarrun.peers import USUAL_TIMES, PeerBook, ReadDuty, ReadTimes
+from poplarrun.peers import DEFAULT_READ_TIMEOUTS, PeerTable, ReadSchedule, ReadTimeouts
 from poplarrun.transport import seconds_since_boot
 
 
-class SharedReading:
+class SharedReader:
     """The turn of one host in the reading of one topic.
 
     Parameters
@@ -24,12 +24,14 @@
         Whether the last read did.
     """
 
-    def __init__(self, topic: str, book: PeerBook, times: ReadTimes = USUAL_TIMES) -> None:
+    def __init__(
+        self, topic: str, peer_table: PeerTable, times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
+    ) -> None:
         self.has_failed = False
         self.times = times
         self._topic = topic
-        self._book = book
-        self._duty = ReadDuty(times)
+        self._peer_table = peer_table
+        self._duty = ReadSchedule(times)
         self._wake = asyncio.Event()
 
     @property
@@ -40,7 +42,7 @@
         one is answered at once: callers with keys are served again sooner, and a store
         that still says nothing is asked again sooner.
         """
-        return self.times.held_s if self._place() == 0 and not self.has_failed else 0.0
+        return self.times.long_poll_s if self._place() == 0 and not self.has_failed else 0.0
 
     def hurry(self) -> None:
         """Read at once: a peer has more than this host."""
@@ -63,4 +65,4 @@
         self._duty.is_behind = False
 
     def _place(self) -> int:
-        return self._book.near_place(self._topic, seconds_since_boot())
+        return self._peer_table.reader_rank(self._topic, seconds_since_boot())
--- /dev/null
+++ b/poplarrun/placement/_endpoint_state.py
@@ -0,0 +1,123 @@
+"""One endpoint as this host sees it: its load, health and cached prompt prefixes."""
+
+import math
+from collections import OrderedDict
+from dataclasses import dataclass, field
+
+from poplarrun.placement._endpoint_directory import EndpointRecord
+from poplarrun.rendezvous import hash_name
+from poplarrun.routing import PromptPart
+
+# Time for which a failed endpoint gets no requests, in seconds; it doubles with each
+# further failure. Most crashed endpoints are removed from the list within a few seconds.
+INITIAL_BACKOFF_DELAY_S = 0.5
+MAX_BACKOFF_DELAY_S = 4.0
+# Time for which an endpoint that reported to be overloaded gets no requests, in seconds.
+OVERLOADED_DELAY_S = 0.15
+# Number of prompt parts remembered for each endpoint, and for how long, in seconds.
+MAX_PROMPT_PARTS = 4000
+PROMPT_PART_TTL_S = 45.0
+# Weight of a new measurement in the moving average of an endpoint's slowdown.
+SLOWDOWN_WEIGHT = 0.2
+MAX_SLOWDOWN = 30.0
+MIN_SLOWDOWN = 0.6
+# Time in seconds without a measurement in which the estimated slowdown halves.
+SLOWDOWN_HALF_LIFE_S = 8.0
+
+
+@dataclass(eq=False)
+class EndpointState:
+    """An endpoint's latest record and what this host observed of it.
+
+    Attributes
+    ----------
+    in_flight : int
+        Requests of this host that run there.
+    peer_in_flight : float
+        Requests of the other hosts that run there, as last reported.
+    pending_prefill_s : float
+        Prefill time of this host's prompts without a first event yet, in seconds.
+    peer_pending_prefill_s : float
+        The same for the other hosts, as last reported.
+    slowdown : float
+        Ratio of the measured to the expected time to the first event.
+    last_response_at : float
+        When a part of an answer last arrived.
+    """
+
+    record: EndpointRecord
+    in_flight: int = 0
+    peer_in_flight: float = 0.0
+    pending_prefill_s: float = 0.0
+    peer_pending_prefill_s: float = 0.0
+    slowdown: float = 1.0
+    slowdown_at: float = -math.inf
+    failures: int = 0
+    paused_until: float = -math.inf
+    last_response_at: float = -math.inf
+    _prompt_parts: OrderedDict[tuple[str, str], float] = field(default_factory=OrderedDict)
+
+    def __post_init__(self) -> None:
+        self.salt = hash_name(self.record.instance_id)
+
+    @property
+    def load(self) -> float:
+        """Requests per slot."""
+        return (self.in_flight + self.peer_in_flight) / self.record.slots
+
+    @property
+    def queue_s(self) -> float:
+        """Prefill time of the prompts that wait there, in seconds."""
+        return self.pending_prefill_s + self.peer_pending_prefill_s
+
+    def current_slowdown(self, now: float) -> float:
+        """Return the slowdown, which decays towards 1 with the age of the last measurement."""
+        decay: float = 0.5 ** (max(0.0, now - self.slowdown_at) / SLOWDOWN_HALF_LIFE_S)
+        return 1.0 + (self.slowdown - 1.0) * decay
+
+    def record_first_event(self, expected_s: float, first_event_s: float, now: float) -> None:
+        """Record the time to a first event."""
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, first_event_s / max(0.02, expected_s)))
+        previous = self.current_slowdown(now)
+        self.slowdown = previous + SLOWDOWN_WEIGHT * (ratio - previous)
+        self.slowdown_at = now
+
+    def record_success(self) -> None:
+        """Record a complete answer, which ends any backoff."""
+        self.failures = 0
+        self.paused_until = -math.inf
+
+    def is_paused(self, now: float) -> bool:
+        """Return whether the endpoint should get no requests at a time."""
+        return now < self.paused_until
+
+    def record_failure(self, now: float) -> None:
+        """Start an exponential backoff; failures during a backoff don't extend it."""
+        if self.is_paused(now):
+            return
+        delay_s = min(MAX_BACKOFF_DELAY_S, INITIAL_BACKOFF_DELAY_S * 2.0 ** min(self.failures, 6))
+        self.failures += 1
+        self.paused_until = now + delay_s
+
+    def record_overloaded(self, now: float) -> None:
+        """Send no requests for a moment, because the endpoint reported to be overloaded."""
+        self.paused_until = max(self.paused_until, now + OVERLOADED_DELAY_S)
+
+    def record_prompt(self, size: str, parts: tuple[PromptPart, ...], now: float) -> None:
+        """Record that the endpoint has a prompt in its cache."""
+        for part in parts:
+            key = (size, part.key)
+            self._prompt_parts[key] = now
+            self._prompt_parts.move_to_end(key)
+        while len(self._prompt_parts) > MAX_PROMPT_PARTS:
+            self._prompt_parts.popitem(last=False)
+
+    def count_cached_tokens(self, size: str, parts: tuple[PromptPart, ...], now: float) -> int:
+        """Return the length in tokens of the prompt's prefix that the endpoint has cached."""
+        cached_tokens = 0
+        for part in parts:
+            read_at = self._prompt_parts.get((size, part.key))
+            if read_at is None or now - read_at > PROMPT_PART_TTL_S:
+                break
+            cached_tokens += part.tokens
+        return cached_tokens
--- a/poplarrun/retries/_decisions.py
+++ b/poplarrun/retries/_decisions.py
@@ -1,4 +1,4 @@
-"""The decision whether a failed attempt is followed by another."""
+"""Decides whether a failed attempt is retried, and after which delay."""
 
 import random
 from dataclasses import dataclass
@@ -7,51 +7,51 @@
 from poplarrun.retries._budgets import RetryBudget
 
 MAX_ATTEMPTS = 3
-# A stream that broke may go on in each way once: at the same engine, at another
-# one with the KV cache, anew.
+# A broken stream may be continued once in each way: on the same engine, on another one
+# with its KV cache, and from the beginning.
 MAX_STREAM_ATTEMPTS = 4
-FIRST_BACKOFF_S = 0.02
-LONGEST_BACKOFF_S = 1.0
+INITIAL_BACKOFF_DELAY_S = 0.02
+MAX_BACKOFF_DELAY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """An attempt that broke.
+    """A failed attempt.
 
     Attributes
     ----------
     attempts : int
-        Attempts so far, this one included.
-    started : bool
-        Whether the endpoint may have begun.
-    repeatable : bool
-        Whether running the work twice is harmless.
+        Attempts so far, including this one.
+    may_have_started : bool
+        Whether the endpoint may have started to run the request.
+    is_idempotent : bool
+        Whether running the request twice is harmless.
     time_left_s : float
         Seconds until the request's deadline.
-    needed_s : float
-        Seconds that another attempt is expected to take at the least.
-    most_attempts : int
-        Bound on the attempts.
+    min_needed_s : float
+        Minimum duration that is expected of another attempt, in seconds.
+    max_attempts : int
+        Maximum number of attempts.
     """
 
     attempts: int
-    started: bool
-    repeatable: bool
+    may_have_started: bool
+    is_idempotent: bool
     time_left_s: float
-    needed_s: float = 0.0
-    most_attempts: int = MAX_ATTEMPTS
+    min_needed_s: float = 0.0
+    max_attempts: int = MAX_ATTEMPTS
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """Send again, after a pause."""
+    """Retry after a delay."""
 
     delay_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Answer the caller now; nothing is sent again."""
+    """Answer the caller with an error now; there is no retry."""
 
     kind: ErrorKind
     reason: str
@@ -61,22 +61,26 @@
 
 
 def decide_retry(
-    failed: FailedAttempt, budget: RetryBudget, source: random.Random
+    attempt: FailedAttempt, budget: RetryBudget, random_source: random.Random
 ) -> RetryDecision:
-    """Decide on another attempt; spends from the budget when there is one.
+    """Decide on a retry, which is spent from the budget.
 
-    A pause that ends past the deadline is not begun: the caller hears at once.
+    If the delay would end past the deadline, the caller gets the error at once.
     """
-    if failed.started and not failed.repeatable:
+    if attempt.may_have_started and not attempt.is_idempotent:
         return GiveUp(ErrorKind.OPERATION_OUTCOME_UNKNOWN, "it may have run")
-    if failed.attempts >= failed.most_attempts:
-        kind = ErrorKind.ENDPOINT_FAILED if failed.started else ErrorKind.NO_ENDPOINT
-        return GiveUp(kind, f"{failed.attempts} attempts failed")
-    ceiling_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (failed.attempts - 1))
-    delay_s = source.uniform(0.0, ceiling_s)
-    if delay_s + failed.needed_s >= failed.time_left_s:
-        kind = ErrorKind.ENDPOINT_FAILED if failed.started else ErrorKind.DEADLINE_UNREACHABLE
+    if attempt.attempts >= attempt.max_attempts:
+        kind = ErrorKind.ENDPOINT_FAILED if attempt.may_have_started else ErrorKind.NO_ENDPOINT
+        return GiveUp(kind, f"{attempt.attempts} attempts failed")
+    max_delay_s = min(MAX_BACKOFF_DELAY_S, INITIAL_BACKOFF_DELAY_S * 2.0 ** (attempt.attempts - 1))
+    delay_s = random_source.uniform(0.0, max_delay_s)
+    if delay_s + attempt.min_needed_s >= attempt.time_left_s:
+        kind = (
+            ErrorKind.ENDPOINT_FAILED
+            if attempt.may_have_started
+            else ErrorKind.DEADLINE_UNREACHABLE
+        )
         return GiveUp(kind, "no time is left for another attempt")
-    if not budget.take():
+    if not budget.try_spend():
         return GiveUp(ErrorKind.RETRY_BUDGET_EXHAUSTED, "too many attempts fail")
     return RetryAfter(delay_s)
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -6,7 +6,7 @@
 
 import cherrypy
 
-from poplarrun.claims import KnownOutcome, OutcomeKind, Ran, fingerprint_of
+from poplarrun.claims import KnownOutcome, OutcomeKind, Ran, compute_fingerprint
 from poplarrun.clients import Engine, ServiceCaller, ServiceResponse, Usage, hash_blocks
 from poplarrun.errors import ErrorKind, Refusal, response_for
 from poplarrun.router import BeginChat, BeginOperation, FindOperation
@@ -20,7 +20,7 @@
     render_outcome,
 )
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece, new_request_id
-from poplarrun.server._crossing import Crossing
+from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import ListClasses
 from poplarrun.server._operations import OperationRun
 
@@ -73,7 +73,7 @@
     """``/v1``: chat completions, models and plain services."""
 
     def __init__(
-        self, crossing: Crossing, engine: Engine, services: ServiceCaller, body_bytes: int
+        self, crossing: LoopBridge, engine: Engine, services: ServiceCaller, body_bytes: int
     ) -> None:
         self._crossing = crossing
         self._engine = engine
@@ -161,7 +161,7 @@
             refusal = Refusal(ErrorKind.INVALID_REQUEST, message, IDEMPOTENCY_HEADER)
             self._crossing.ask(refusal)
             return send_refusal(refusal)
-        fingerprint = fingerprint_of(service, operation, data) if key else b""
+        fingerprint = compute_fingerprint(service, operation, data) if key else b""
         request = BeginOperation(new_request_id(), read_key(), service, operation, key, fingerprint)
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
         content_type = cherrypy.request.headers.get("Content-Type", JSON)
@@ -190,7 +190,7 @@
 def _send_replay(key: str, ran: Ran) -> bytes:
     """Give the recorded answer again; an outcome where the answer was too large to keep."""
     cherrypy.response.headers[REPLAY_HEADER] = "true"
-    if ran.is_kept:
+    if ran.has_full_body:
         return _send_answer(ran.status, ran.content_type, ran.body)
     return send_json(render_outcome(key, KnownOutcome(OutcomeKind.RAN, ran)), ran.status)
 
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any
 
-from poplarrun.billing import Bill, KeptBy
+from poplarrun.billing import Bill, BillDurability
 from poplarrun.clients import Usage
 from poplarrun.config import Configuration, Verdict
 from poplarrun.contracts import VersionId
@@ -19,7 +19,7 @@
 from poplarrun.server._chats import BrokenAnswer, ChatRun, Piece
 from poplarrun.server._host import EntryHost
 from poplarrun.settings import HostSettings, PlatformAddresses
-from poplarrun.versions import Choice, ChoiceRequest, Chosen, Escalation
+from poplarrun.versions import Choice, ChoiceRequest, ChosenVersion, Escalation
 from standins.histories._chat_config import CLASS
 from standins.histories._chat_engines import Engines, SimEngine
 from standins.histories._chat_events import (
@@ -84,8 +84,8 @@
         super().__init__(settings, log, EngineList(), SimEngine(place.engines), now, peers)
         # A run repeats only if every source has a seed.
         source = random.Random(f"router {peers.me}")
-        self.router.context.source = source
-        self.router.chats._dispatch._random = source
+        self.router.context.random_source = source
+        self.router.chats._dispatcher._random = source
         self.router.context.versions.choose = _Choices(self, source).choose
         self._note_grants()
         self._note_openings(peers)
@@ -97,12 +97,12 @@
             (self._endpoint_tasks.follow_host_list, 2.0),
             (self._endpoint_tasks.poll_loads, 1.0),
             (self._endpoint_tasks.share_loads, 1.0),
-            (self.billing.tend, 1.0),
+            (self.billing.run_round, 1.0),
         ):
             self._tasks.repeat(step, partial(asyncio.sleep, period_s))
         self._tasks.repeat(self._follow_config, self.config.wait)
         self._tasks.repeat(self._version_tasks.follow_rollouts, partial(asyncio.sleep, 2.0))
-        self._tasks.repeat(self._release_held, self._held.pause)
+        self._tasks.repeat(self._release_held, self._held.wait)
 
     async def answer(self, message: Any) -> Any:
         """Answer one message of a worker."""
@@ -132,17 +132,17 @@
 
     def _note_finished(self) -> None:
         """Write down the bills that this host finishes for one that it takes for dead."""
-        finish = self.billing._finish
+        finish = self.billing._adopt_orphans
 
         def note(orphans: Any) -> None:
             self._place.history.finished_by_peers.update(bill.id for bill in orphans.bills)
             finish(orphans)
 
-        self.billing._finish = note  # type: ignore[method-assign]
+        self.billing._adopt_orphans = note  # type: ignore[method-assign]
 
     def _note_openings(self, peers: ChatPeers) -> None:
         """Write down the homes that are out of a host's sight when it opens a session."""
-        keeper = self.router.sessions.keeper
+        keeper = self.router.sessions.sessions
         open_session = keeper.open
 
         async def note(account: str, session: str, proposal: VersionId) -> VersionId:
@@ -163,10 +163,10 @@
 
     async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
         for bill in bills:
-            if await self.billing.keep(bill) is KeptBy.HOST_ALONE:
+            if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
                 self._place.history.kept_alone.add(bill.id)
             hosts = self._place.hosts.values()
-            holders = tuple(h.process for h in hosts if h.product.billing.holds(bill.id))
+            holders = tuple(h.process for h in hosts if h.product.billing.has_bill(bill.id))
             self._place.world.keeps.append(Keep(bill.id, now(), holders))
         return answer
 
@@ -183,19 +183,21 @@
         """Choose by the product's code, among some of the versions where it can."""
         document = self._host.router.context.configuration.document
         some = [v.id for v in document.versions.values() if self._source.random() < 0.5]
-        choice = self._choose(replace(request, without=request.without | frozenset(some)))
-        if not isinstance(choice, Chosen):
+        choice = self._choose(
+            replace(request, excluded_versions=request.excluded_versions | frozenset(some))
+        )
+        if not isinstance(choice, ChosenVersion):
             choice = self._choose(request)
         others = document.allowed_versions(request.account)
-        if isinstance(choice, Chosen):
+        if isinstance(choice, ChosenVersion):
             choice = replace(choice, escalation=None)
-            if not request.in_session and self._source.random() < CASCADES:
+            if not request.opens_session and self._source.random() < CASCADES:
                 second = self._source.choice(others)
                 choice = replace(choice, escalation=Escalation(second, ANY_SCORE))
         return choice
 
 
-class _Crossing:
+class _LoopBridge:
     """The way of one worker into its host's loop."""
 
     def __init__(self, host: "SimChatHost", worker: Worker) -> None:
@@ -209,7 +211,7 @@
             self.reach("granted")
         return answer
 
-    def tell(self, message: object) -> None:
+    def post(self, message: object) -> None:
         """Hand a message to the loop."""
         self._worker.wait_for(lambda: self._host.product.answer(message))
 
@@ -243,7 +245,7 @@
 
     def _work(self, call: ChatCall, worker: Worker) -> tuple[ChatAnswer, str | None]:
         """Do what the callers' border does with a chat; runs on the worker's thread."""
-        crossing = _Crossing(self, worker)
+        crossing = _LoopBridge(self, worker)
         crossing.reach("before begin")
         request = BeginChat(
             call.request_id,
@@ -266,7 +268,7 @@
 
 
 def _read(
-    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _Crossing, worker: Worker
+    call: ChatCall, run: ChatRun, pieces: Iterator[Piece], crossing: _LoopBridge, worker: Worker
 ) -> ChatAnswer:
     """Read a chat to its end, or go away before it."""
     shown: list[str] = []
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -14,26 +14,26 @@
 from typing import Any, TypeVar, cast
 from unittest.mock import patch
 
-from poplarrun.dispatch import Dispatch, Knowledge, Send
+from poplarrun.dispatch import ConfigView, Dispatcher, SendDecision
 from poplarrun.gateway._followers import DocumentFollower, ListingFollower
 from poplarrun.gateway._peering import Peering
-from poplarrun.gateway._reading import SharedReading
-from poplarrun.links import MemoryLinks, MemoryNetwork
-from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerBook
-from poplarrun.placement import Directory, Listing, Placement
+from poplarrun.gateway._reading import SharedReader
+from poplarrun.links import MemoryLinkNetwork, MemoryLinks
+from poplarrun.peers import DOCUMENTS, ENDPOINTS, PeerTable
+from poplarrun.placement import EndpointDirectory, EndpointRecord, Placement
 from poplarrun.platform import StoreClient
 from poplarrun.rollouts import Rollouts
 from poplarrun.routing import (
     Catalogue,
-    Pace,
-    Repeat,
+    InFlightRequest,
+    LatencyTargets,
+    ModelSize,
+    RepeatPolicy,
     Request,
     RolloutOrder,
     Route,
     Service,
-    Share,
-    Size,
-    Work,
+    ServiceWeight,
 )
 from poplarrun.sizes import SizePolicy
 from standins.virtual_time import run_virtual
@@ -50,21 +50,21 @@
 FIRST_S = 0.15
 # Pause between two looks of a host at a roll-out, in seconds.
 JUDGE_PERIOD_S = 0.25
-PACE = Pace(timeout_s=12.0, target_s=2.0, gap_s=1.2)
+PACE = LatencyTargets(timeout_s=12.0, target_s=2.0, event_gap_s=1.2)
 ROUTE = Route(
     "draft",
     "shop",
     "/",
-    Repeat.STREAM,
+    RepeatPolicy.STREAM,
     PACE,
     1,
-    (Share(SERVICE, 1.0),),
+    (ServiceWeight(SERVICE, 1.0),),
     3,
     is_public=True,
     is_resumable=True,
     sizes=("small",),
 )
-ENGINES = Service(SERVICE, PLACES, PLACES, 600_000, (Size("small", 1.0),))
+ENGINES = Service(SERVICE, PLACES, PLACES, 600_000, (ModelSize("small", 1.0),))
 CATALOGUE = Catalogue(1, {"shop": (ROUTE,)}, {SERVICE: ENGINES}, None)
 
 
@@ -88,27 +88,29 @@
 class RolloutHost:
     """The decisions of one host, and its conversation with the others."""
 
-    def __init__(self, network: MemoryNetwork, address: str, zone: str, seed: int) -> None:
+    def __init__(self, network: MemoryLinkNetwork, address: str, zone: str, seed: int) -> None:
         self.address = address
         self.zone = zone
-        self.knowledge = Knowledge(None)
+        self.knowledge = ConfigView(None)
         self.placement = Placement(zone, random.Random(seed))
         self.rollouts = Rollouts(SESSION_S)
-        self.dispatch = Dispatch(
+        self.dispatch = Dispatcher(
             self.knowledge, self.placement, self.rollouts, SizePolicy(), 0.8, 100.0, 10.0
         )
-        self.knowledge.take(CATALOGUE)
-        self.placement.update(list(_list_endpoints(OLD)))
-        book = PeerBook(address, zone)
+        self.knowledge.apply_catalogue(CATALOGUE)
+        self.placement.update_endpoints(list(_list_endpoints(OLD)))
+        peer_table = PeerTable(address, zone)
         # Nobody reads the store here: orders are handed to the hosts that would read them.
         store = cast(StoreClient, None)
-        directory = Directory()
+        directory = EndpointDirectory()
         documents = DocumentFollower(
-            store, self.knowledge, self.rollouts, lambda: None, SharedReading(DOCUMENTS, book)
+            store, self.knowledge, self.rollouts, lambda: None, SharedReader(DOCUMENTS, peer_table)
+        )
+        listings = ListingFollower(
+            store, directory, self.placement, SharedReader(ENDPOINTS, peer_table)
         )
-        listings = ListingFollower(store, directory, self.placement, SharedReading(ENDPOINTS, book))
         self.peering = Peering(
-            book,
+            peer_table,
             MemoryLinks(network, address, zone),
             store,
             self.knowledge,
@@ -121,7 +123,7 @@
 
     def list_new_version(self) -> None:
         """List endpoints of the new version beside the old ones."""
-        self.placement.update([*_list_endpoints(OLD), *_list_endpoints(NEW)])
+        self.placement.update_endpoints([*_list_endpoints(OLD), *_list_endpoints(NEW)])
 
     async def judge(self, begin_after_s: float) -> None:
         """Judge the roll-out for ever, as each host does; nothing is recorded."""
@@ -129,24 +131,24 @@
         await asyncio.sleep(begin_after_s)
         while True:
             for rollout in self.rollouts.active():
-                self.rollouts.judge(rollout, clock())
+                self.rollouts.compute_verdict(rollout, clock())
             await asyncio.sleep(JUDGE_PERIOD_S)
 
     async def serve(self, session: str, number: int, took_s: float) -> Run:
         """Answer one request; return what ran."""
         clock = asyncio.get_running_loop().time
         work = self.dispatch.admit(_make_request(session, number), clock())
-        assert isinstance(work, Work), work
-        await self.peering.sessions.learn(work)
-        step = self.dispatch.choose(work, clock())
-        assert isinstance(step, Send), step
+        assert isinstance(work, InFlightRequest), work
+        await self.peering.sessions.resolve(work)
+        step = self.dispatch.choose_endpoint(work, clock())
+        assert isinstance(step, SendDecision), step
         sent_at = clock()
-        attempt = self.dispatch.note_sent(work, step, sent_at)
+        attempt = self.dispatch.record_sent(work, step, sent_at)
         await asyncio.sleep(FIRST_S)
-        self.dispatch.note_first(work, attempt, clock())
+        self.dispatch.record_first_event(work, attempt, clock())
         await asyncio.sleep(took_s - FIRST_S)
-        self.dispatch.note_end(work, attempt, clock())
-        version = step.seat.member.listing.version
+        self.dispatch.record_completed(work, attempt, clock())
+        version = step.estimate.endpoint.record.version
         return Run(session, self.address, version, sent_at, clock())
 
 
@@ -163,7 +165,7 @@
 
     def __init__(self, seed: int, hosts: int, zones: str = "abc") -> None:
         self.random = random.Random(seed)
-        self._network = MemoryNetwork(self.random)
+        self._network = MemoryLinkNetwork(self.random)
         self.hosts = [
             RolloutHost(self._network, f"{zone}{place}", zone, self.random.getrandbits(32))
             for place in range(hosts // len(zones))
@@ -188,14 +190,14 @@
         now = asyncio.get_running_loop().time()
         order = RolloutOrder(SERVICE, NEW, duration_s, 7)
         for host in self.hosts[:3]:
-            host.rollouts.take_order(order, now)
+            host.rollouts.apply_order(order, now)
         return order
 
     async def start_anew(self, order: RolloutOrder) -> RolloutHost:
         """Start a host that reads an order from the store; return it once callers may come."""
         clock = asyncio.get_running_loop().time
         host = RolloutHost(self._network, "a99", "a", self.random.getrandbits(32))
-        host.rollouts.take_order(order, clock())
+        host.rollouts.apply_order(order, clock())
         self._start(host.peering.run(self._seeds))
         await asyncio.sleep(0)
         while not host.peering.is_informed(clock()):
@@ -271,11 +273,11 @@
     return asyncio.get_running_loop().time()
 
 
-def _list_endpoints(version: str) -> Iterator[Listing]:
+def _list_endpoints(version: str) -> Iterator[EndpointRecord]:
     for number in range(ENDPOINTS_OF_EACH):
         zone = "abc"[number % 3]
         name = f"{version}-{number}"
-        yield Listing(name, SERVICE, f"{name}:1", zone, version, PLACES, False)
+        yield EndpointRecord(name, SERVICE, f"{name}:1", zone, version, PLACES, False)
 
 
 def _make_request(session: str, number: int) -> Request:
@@ -288,7 +290,7 @@
         b"",
         12.0,
         prompt_tokens=10,
-        most_tokens=100,
+        max_tokens=100,
         model="*",
-        session=session,
+        session_id=session,
     )
