--- a/poplarrun/__main__.py
+++ b/poplarrun/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: ``python -m poplarrun``."""
+"""Runs the command line interface: ``python -m poplarrun``."""
 
 from poplarrun.cli import main
 
--- a/poplarrun/clients/__init__.py
+++ b/poplarrun/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to the outside systems, one small module each."""
+"""Clients of the systems outside poplarrun, one module for each."""
 
 from poplarrun.clients._engines import (
     WORDS_PER_BLOCK,
--- a/poplarrun/clients/_engines.py
+++ b/poplarrun/clients/_engines.py
@@ -1,4 +1,4 @@
-"""Model engines: streams of chunks with positions, load reports, orders."""
+"""Client of model engines: generates answers as streams, reads load and cache events."""
 
 import hashlib
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 CANCEL_TIMEOUT_S = 1.0
 MOVE_TIMEOUT_S = 2.0
 OK = 200
-# An engine answers these before it starts any work.
+# Statuses that an engine returns before it starts to generate.
 NOT_STARTED_STATUSES = frozenset({404, 409, 429, 503})
 JSON_HEADERS = {"Content-Type": "application/json"}
 WORDS_PER_BLOCK = 16
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """One generation asked of an engine.
+    """A request to an engine to generate an answer.
 
     Attributes
     ----------
     request_id : str
-        The id by which the engine resumes and cancels the stream.
+        The id by which the stream can be resumed and cancelled.
     version : VersionId
-        What must generate the answer.
+        The model version that must generate the answer.
     prompt : str
         The whole prompt text.
     max_tokens : int
-        Upper bound of the answer's tokens.
+        Maximum number of tokens in the answer.
     priority : int
-        The class's importance.
+        Importance of the request's work class.
     from_position : int
-        Position of the first chunk to send; above 0 it resumes.
+        Position of the first chunk to send; above 0 when a stream is resumed.
     """
 
     request_id: str
@@ -53,14 +53,14 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, tag="chunk"):
-    """A piece of an answer; ``position`` counts tokens from the answer's start."""
+    """A piece of an answer; ``position`` is its offset in the answer, in tokens."""
 
     position: int
     text: str
 
 
 class Usage(msgspec.Struct, frozen=True, tag="usage"):
-    """The end of a whole answer, with what it took, in tokens.
+    """The end of a complete answer, with the token counts of the request.
 
     Attributes
     ----------
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFailed:
-    """A call that broke.
+    """A failed call of an engine.
 
     Attributes
     ----------
     started : bool
-        False only when the engine is known not to have begun.
+        Whether the engine may have started to generate; False only if it is known not to.
     reason : str
-        Counter label.
+        Label of the counter.
     """
 
     started: bool
@@ -94,20 +94,20 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What an engine says of its load, some time after it was true.
+    """The load that an engine reports, with a delay.
 
     Attributes
     ----------
     versions : list of str
         Loaded versions, ``model:version``.
     running, waiting : int
-        Requests in the batch and before it.
+        Requests in the current batch, and requests queued for it.
     capacity : int
-        Requests that the batch holds.
+        Maximum number of requests in a batch.
     tokens_per_s : float
-        Tokens a second for one request at this load.
+        Tokens per second generated for one request at this load.
     age_s : float
-        Age of the figures, in seconds.
+        Age of the figures.
     """
 
     versions: list[str]
@@ -119,18 +119,18 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A block that an engine's prefix cache took in or dropped.
+    """A block that was added to or evicted from an engine's prefix cache.
 
     Attributes
     ----------
     number : int
-        Counts the engine's events; a jump shows lost ones.
+        Sequence number of the engine's events; a gap shows that events were lost.
     kind : str
         ``stored`` or ``removed``.
     version : str
-        ``model:version`` whose cache it is.
+        The ``model:version`` to which the cache belongs.
     block : int
-        Hash of the prompt from its beginning to the block's end.
+        Hash of the prompt from its beginning to the end of the block.
     """
 
     number: int
@@ -145,29 +145,29 @@
     def generate(
         self, address: str, call: EngineCall, timeout_s: float
     ) -> Iterator[list[GenerationEvent]]:
-        """Generate an answer, all that has arrived at a time.
+        """Generate an answer; each item holds all events received since the one before.
 
-        The last of all is a ``Usage`` or an ``EngineFailed``.
+        The last event is a ``Usage`` or an ``EngineFailed``.
         """
 
     def cancel(self, address: str, request_id: str) -> None:
-        """Ask the engine to stop a stream; a lost ask costs tokens, nothing else."""
+        """Cancel a stream. If the request is lost, the engine generates unused tokens."""
 
     def move_cache(self, source: str, target: str, request_id: str) -> bool:
-        """Move a stream's KV cache to another engine; tell whether that has it now."""
+        """Copy a stream's KV cache to another engine; return whether that has it now."""
 
     def fetch_load(self, address: str) -> LoadReport | EngineFailed:
-        """Read the engine's load."""
+        """Fetch the engine's load."""
 
     def list_cache_events(self, address: str, after: int) -> list[CacheEvent] | EngineFailed:
-        """Read the engine's cache events with a number above ``after``, in their order."""
+        """Fetch the engine's cache events with a number above ``after``, in order."""
 
 
 def hash_blocks(prompt: str) -> tuple[int, ...]:
-    """Return the hashes by which the engines name the blocks of a prompt.
+    """Return the hashes by which engines identify the blocks of a prompt.
 
-    Each hash covers the prompt from its beginning to the end of the block. A
-    rest that doesn't fill a block is never cached and has none.
+    Each hash covers the prompt from its beginning to the end of the block. Words after the
+    last full block are never cached and have no hash.
     """
     words = prompt.split()
     digest = hashlib.sha256()
@@ -187,19 +187,21 @@
     from_position: int
 
 
-_events_decoder: msgspec.json.Decoder[list[CacheEvent]] = msgspec.json.Decoder(list[CacheEvent])
-_answer_decoder: msgspec.json.Decoder[Chunk | Usage] = msgspec.json.Decoder(Chunk | Usage)
+_cache_events_decoder: msgspec.json.Decoder[list[CacheEvent]] = msgspec.json.Decoder(
+    list[CacheEvent]
+)
+_event_decoder: msgspec.json.Decoder[Chunk | Usage] = msgspec.json.Decoder(Chunk | Usage)
 
 
 class HttpEngine:
-    """An ``Engine`` over HTTP, answers as one JSON object a line."""
+    """An ``Engine`` over HTTP, whose answers are streams of JSON lines."""
 
     def generate(
         self, address: str, call: EngineCall, timeout_s: float
     ) -> Iterator[list[GenerationEvent]]:
-        """Generate an answer, all that has arrived at a time.
+        """Generate an answer; each item holds all events received since the one before.
 
-        The last of all is a ``Usage`` or an ``EngineFailed``.
+        The last event is a ``Usage`` or an ``EngineFailed``.
         """
         body = _GenerateBody(
             call.request_id,
@@ -232,10 +234,10 @@
             started = response.status not in NOT_STARTED_STATUSES
             yield [EngineFailed(started, f"status_{response.status}")]
             return
-        yield from _read_answers(response)
+        yield from _read_events(response)
 
     def cancel(self, address: str, request_id: str) -> None:
-        """Ask the engine to stop a stream; a lost ask costs tokens, nothing else."""
+        """Cancel a stream. If the request is lost, the engine generates unused tokens."""
         try:
             get_pool_manager().request(
                 "DELETE", f"{base_url(address)}/v1/generate/{request_id}", timeout=CANCEL_TIMEOUT_S
@@ -244,23 +246,23 @@
             return
 
     def move_cache(self, source: str, target: str, request_id: str) -> bool:
-        """Move a stream's KV cache to another engine; tell whether that has it now."""
+        """Copy a stream's KV cache to another engine; return whether that has it now."""
         path = f"/v1/kv/{request_id}"
         try:
-            taken = get_pool_manager().request(
+            exported = get_pool_manager().request(
                 "GET", f"http://{source}{path}", timeout=MOVE_TIMEOUT_S
             )
-            if taken.status != OK:
+            if exported.status != OK:
                 return False
-            given = get_pool_manager().request(
-                "PUT", f"http://{target}{path}", body=taken.data, timeout=MOVE_TIMEOUT_S
+            imported = get_pool_manager().request(
+                "PUT", f"http://{target}{path}", body=exported.data, timeout=MOVE_TIMEOUT_S
             )
         except urllib3.exceptions.HTTPError:
             return False
-        return given.status == OK
+        return imported.status == OK
 
     def fetch_load(self, address: str) -> LoadReport | EngineFailed:
-        """Read the engine's load."""
+        """Fetch the engine's load."""
         try:
             response = get_pool_manager().request(
                 "GET", f"{base_url(address)}/v1/load", timeout=REPORT_TIMEOUT_S
@@ -272,46 +274,46 @@
             return EngineFailed(started=False, reason=type(error).__name__)
 
     def list_cache_events(self, address: str, after: int) -> list[CacheEvent] | EngineFailed:
-        """Read the engine's cache events with a number above ``after``, in their order."""
+        """Fetch the engine's cache events with a number above ``after``, in order."""
         try:
             response = get_pool_manager().request(
                 "GET",
                 f"{base_url(address)}/v1/cache-events?after={after}",
                 timeout=REPORT_TIMEOUT_S,
             )
-            return _events_decoder.decode(response.data)
+            return _cache_events_decoder.decode(response.data)
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as error:
             return EngineFailed(started=False, reason=type(error).__name__)
 
 
-def _read_answers(response: urllib3.BaseHTTPResponse) -> Iterator[list[GenerationEvent]]:
+def _read_events(response: urllib3.BaseHTTPResponse) -> Iterator[list[GenerationEvent]]:
     body = StreamedBody(response)
-    rest = b""
+    remainder = b""
     finished = False
     try:
-        while not finished and (arrived := body.read()):
-            lines, end, rest = (rest + arrived).rpartition(b"\n")
+        while not finished and (received := body.read()):
+            lines, end, remainder = (remainder + received).rpartition(b"\n")
             if not end:
                 continue
-            answers: list[GenerationEvent] = [*_answer_decoder.decode_lines(lines)]
+            answers: list[GenerationEvent] = [*_event_decoder.decode_lines(lines)]
             finished = any(isinstance(answer, Usage) for answer in answers)
             if answers:
                 yield answers
     except (urllib3.exceptions.HTTPError, msgspec.DecodeError, OSError):
         finished = False
     finally:
-        # A connection with an unread rest must not serve the next call: its
-        # caller would read another request's chunks. The caller of this one
-        # has its whole answer before the end of the stream is waited for.
+        # A connection with unread bytes must not be reused: the next call would read chunks
+        # of this one. The end of the body is read after the last events were yielded, so
+        # that the caller doesn't wait for it.
         if finished:
-            _read_end(body)
+            _read_to_end(body)
         body.release()
     if not finished:
         yield [EngineFailed(started=True, reason="broken")]
 
 
-def _read_end(body: StreamedBody) -> None:
-    """Read the end of the stream, which holds nothing more."""
+def _read_to_end(body: StreamedBody) -> None:
+    """Read up to the end of the body, which contains no more events."""
     try:
         body.read()
     except (urllib3.exceptions.HTTPError, OSError):
--- a/poplarrun/clients/_hostlist.py
+++ b/poplarrun/clients/_hostlist.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving hosts."""
+"""Client of the platform's host list, which lags behind the hosts' actual state."""
 
 import enum
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 from poplarrun.clients._http import base_url, get_pool_manager
 
-TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 2.0
 OK = 200
 
 
@@ -22,7 +22,7 @@
 
 
 class HostState(enum.Enum):
-    """What the platform says of a host; a dead one is simply gone from the list."""
+    """The state of a host according to the platform; dead hosts are not listed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -30,22 +30,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """One line of the host list.
+    """One entry of the host list.
 
     Attributes
     ----------
     name : str
-        The platform's name of the host.
+        The platform's name for the host.
     kind : HostKind
         What runs there.
     zone : str
-        Its availability zone.
+        The host's availability zone.
     address : str
-        ``ip:port`` of what runs there.
+        ``ip:port`` at which it listens.
     state : HostState
         Live or leaving.
     service : str, optional
-        Name of the plain service that runs there.
+        Name of the plain service that runs there, if any.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUnavailable:
-    """The host list gave no answer."""
+    """The host list could not be read."""
 
     reason: str
 
@@ -92,7 +92,7 @@
     def read(self) -> tuple[ListedHost, ...] | ListUnavailable:
         """Read the whole list."""
         try:
-            response = get_pool_manager().request("GET", self._url, timeout=TIMEOUT_S)
+            response = get_pool_manager().request("GET", self._url, timeout=READ_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             return ListUnavailable(type(error).__name__)
         if response.status != OK:
--- a/poplarrun/clients/_http.py
+++ b/poplarrun/clients/_http.py
@@ -1,4 +1,4 @@
-"""One urllib3 pool manager for all adapters of a process."""
+"""The urllib3 pool manager that all clients of the process share."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,20 +6,21 @@
 
 import urllib3
 
-CONNECTIONS_PER_ADDRESS = 64
-ADDRESSES = 2000
+MAX_CONNECTIONS_PER_ADDRESS = 64
+MAX_POOLS = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformTls:
-    """Certificates for the way to the platform and to model engines.
+    """Certificates for TLS to the platform, model engines or plain services.
 
     Attributes
     ----------
     authority : Path
-        Certificates that the servers' must descend from.
+        Certificates of the authorities that must have issued the servers' certificates.
     identity : Path, optional
-        This host's certificate and key in one PEM file, where the servers ask.
+        This host's client certificate and private key in one PEM file, for servers that
+        ask for one.
     """
 
     authority: Path
@@ -36,7 +37,11 @@
             "cert_file": identity,
         }
     return urllib3.PoolManager(
-        num_pools=ADDRESSES, maxsize=CONNECTIONS_PER_ADDRESS, block=False, retries=False, **options
+        num_pools=MAX_POOLS,
+        maxsize=MAX_CONNECTIONS_PER_ADDRESS,
+        block=False,
+        retries=False,
+        **options,
     )
 
 
@@ -45,37 +50,37 @@
 
 
 def use_tls(tls: PlatformTls) -> None:
-    """Make every call from now on over TLS; called again, it takes new certificates up."""
+    """Use TLS for all further calls; called again, it loads renewed certificates."""
     global _manager, _scheme
     old, _manager, _scheme = _manager, _make_manager(tls), "https"
     old.clear()
 
 
 def use_plain_http() -> None:
-    """Make every call from now on without TLS."""
+    """Use plain HTTP for all further calls."""
     global _manager, _scheme
     _manager, _scheme = _make_manager(None), "http"
 
 
 def base_url(address: str) -> str:
-    """Return the beginning of an address's URLs."""
+    """Return the scheme and authority of the URLs at an ``ip:port``."""
     return f"{_scheme}://{address}"
 
 
 def get_pool_manager() -> urllib3.PoolManager:
-    """Return the pool manager; it repeats nothing on its own.
+    """Return the shared pool manager, which never retries.
 
-    Library retries stay off: a repeat that the retry budget does not see
-    would add load in an outage, and could run an operation twice.
+    The library's retries are off: retries outside of the retry budget would add load during
+    an outage, and could execute an operation twice.
     """
     return _manager
 
 
 def pool_for_address(address: str) -> urllib3.HTTPConnectionPool:
-    """Return the pool of one ``ip:port``, for calls that are made very often.
+    """Return the connection pool of one ``ip:port``, for very frequent calls.
 
-    The pool manager parses the whole URL on each call, which is a tenth or more
-    of what a small call costs.
+    It saves the pool manager's parsing of the whole URL on each call, which is a tenth or
+    more of the cost of a small call.
     """
     host, _, port = address.rpartition(":")
     return _manager.connection_from_host(host, int(port), scheme=_scheme)
--- a/poplarrun/clients/_log.py
+++ b/poplarrun/clients/_log.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP."""
+"""Client of the platform's log service over HTTP."""
 
 import base64
 
@@ -22,7 +22,7 @@
 CREATED = 201
 OK = 200
 CLIENT_ERRORS = range(400, 500)
-# The log says so before it takes a record: 503 means that nothing was appended.
+# The log service checks this before it stores a record: 503 means that none was appended.
 UNAVAILABLE = 503
 
 
@@ -68,7 +68,7 @@
         return AppendUnknown(f"the log answered {response.status}")
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
-        """Read at most ``limit`` records of a stream from an offset on."""
+        """Read at most ``limit`` records of a stream, starting at an offset."""
         try:
             response = get_pool_manager().request(
                 "GET",
--- a/poplarrun/clients/_orders.py
+++ b/poplarrun/clients/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to model engines, and the weight store that they load from."""
+"""Clients for ordering engines which versions to load, and for the store of their weights."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,28 +9,29 @@
 
 from poplarrun.clients._http import base_url, get_pool_manager
 
-TIMEOUT_S = 1.0
-# The store hands out big files; a slow one still counts as answering.
-STORE_TIMEOUT_S = 30.0
+REQUEST_TIMEOUT_S = 1.0
+# Longer than other timeouts, because weights are large files: a slow transfer must not count
+# as a failed one.
+WEIGHT_TRANSFER_TIMEOUT_S = 30.0
 OK = 200
-UNKNOWN = 404
+NOT_FOUND = 404
 CONFLICT = 409
 HOLD = "hold"
 
 
 class EngineModels(msgspec.Struct, frozen=True):
-    """What an engine says of the versions in its memory.
+    """The versions that an engine reports to have in memory.
 
     Attributes
     ----------
     room : int
-        Versions that fit into its memory.
+        Number of versions that fit into its memory.
     loaded, loading : list of str
-        Versions ``model:version`` that it holds, and those on their way.
+        Versions ``model:version`` that are loaded, and those being loaded.
     wanted : list of str
-        Versions of the last order that it took.
+        Versions of the last order that the engine accepted.
     fence : int
-        Fencing number of that order; -1 before the first since its start.
+        Fencing token of that order; -1 before the first order since the engine's start.
     """
 
     room: int
@@ -41,14 +42,14 @@
 
 
 class ModelsOrder(msgspec.Struct, frozen=True):
-    """The whole set of versions that an engine is to hold; repeating it changes nothing.
+    """An idempotent order with the complete set of versions that an engine must have loaded.
 
     Attributes
     ----------
     fence : int
-        Fencing number of the sender's lease.
+        Fencing token of the sender's lease.
     versions : list of str
-        Each ``model:version``, sorted.
+        Each as ``model:version``, sorted.
     """
 
     fence: int
@@ -58,53 +59,53 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The engine took the order."""
+    """The engine accepted the order."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderFenced:
-    """The engine has had an order with a higher fencing number."""
+    """The engine rejected the order: it had accepted one with a higher fencing token."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrdersUnsupported:
-    """The engine tells of no room: nothing is ordered of it."""
+    """The engine has no interface for orders, so none are sent to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """No answer; an order may have taken effect."""
+    """No usable response came; an order may have been accepted nevertheless."""
 
     reason: str
 
 
 class Orders(Protocol):
-    """Orders to engines, by address. Calls block and never raise."""
+    """Sends orders to engines, by address. Calls block and never raise."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Read what an engine holds."""
+        """Fetch the versions that an engine has in memory."""
 
     def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
-        """Send an order."""
+        """Send an order to an engine."""
 
 
 class WeightStore(Protocol):
-    """The rate-limited store of weights. Calls block and never raise."""
+    """The rate-limited store of model weights. Calls block and never raise."""
 
     def fetch(self, version: str, engine: str) -> str:
-        """Have a version's weights handed to an engine; return why not, or ''."""
+        """Transfer a version's weights to an engine; return '' or the reason of a failure."""
 
 
 class HttpOrders:
     """``Orders`` over HTTP."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Read what an engine holds."""
+        """Fetch the versions that an engine has in memory."""
         try:
             response = get_pool_manager().request(
-                "GET", f"{base_url(address)}/v1/models", timeout=TIMEOUT_S
+                "GET", f"{base_url(address)}/v1/models", timeout=REQUEST_TIMEOUT_S
             )
-            if response.status == UNKNOWN:
+            if response.status == NOT_FOUND:
                 return OrdersUnsupported()
             if response.status != OK:
                 return OrderFailed(f"status_{response.status}")
@@ -113,14 +114,14 @@
             return OrderFailed(type(error).__name__)
 
     def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
-        """Send an order."""
+        """Send an order to an engine."""
         try:
             response = get_pool_manager().request(
                 "POST",
                 f"{base_url(address)}/v1/orders",
                 body=msgspec.json.encode(order),
                 headers={"Content-Type": "application/json"},
-                timeout=TIMEOUT_S,
+                timeout=REQUEST_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError as error:
             return OrderFailed(type(error).__name__)
@@ -138,10 +139,10 @@
         self._base = f"{base_url(address)}/v1/weights"
 
     def fetch(self, version: str, engine: str) -> str:
-        """Have a version's weights handed to an engine; return why not, or ''."""
+        """Transfer a version's weights to an engine; return '' or the reason of a failure."""
         path = f"{self._base}/{version}?engine={engine}"
         try:
-            response = get_pool_manager().request("GET", path, timeout=STORE_TIMEOUT_S)
+            response = get_pool_manager().request("GET", path, timeout=WEIGHT_TRANSFER_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             return type(error).__name__
         return "" if response.status == OK else f"status_{response.status}"
@@ -149,16 +150,30 @@
 
 @dataclass
 class MemoryEngine:
-    """An engine in memory that takes orders.
+    """An in-memory engine that accepts orders.
 
     Attributes
     ----------
     room : int
-        Versions that fit.
+        Number of versions that fit into its memory.
+    loaded : set of str
+        Loaded versions.
     checks_fencing : bool
-        Whether an old fencing number is refused.
+        Whether orders with a lower fencing token than the last one's are rejected.
     load_s : float
-        Time that a load takes, in seconds.
+        Time to load a version.
+    fence : int
+        Fencing token of the last accepted order.
+    is_silent : bool
+        Whether requests to it fail.
+    loading : dict of str to float
+        Versions being loaded, and the times at which they will be loaded.
+    wanted : list of str
+        Versions of the last accepted order.
+    accepted_orders : list of ModelsOrder
+        All accepted orders.
+    started_loads : list of str
+        The version of each load that was started.
     """
 
     room: int
@@ -175,13 +190,13 @@
         self.started_loads: list[str] = []
 
     def restart(self) -> None:
-        """Forget everything, as a process that starts anew."""
+        """Lose all state, as a restarted process does."""
         self.loaded.clear()
         self.loading.clear()
         self.wanted, self.fence = [], -1
 
-    def take(self, order: ModelsOrder, now: float) -> OrderAccepted | OrderFenced:
-        """Take an order, or refuse its fencing number."""
+    def handle_order(self, order: ModelsOrder, now: float) -> OrderAccepted | OrderFenced:
+        """Accept an order, or reject its fencing token."""
         if self.checks_fencing and order.fence < self.fence:
             return OrderFenced()
         self.fence, self.wanted = order.fence, order.versions
@@ -195,44 +210,46 @@
         return OrderAccepted()
 
     def report(self, now: float) -> EngineModels:
-        """Return what it holds now."""
+        """Return the versions that are loaded and being loaded now."""
         for version, ready_at in list(self.loading.items()):
             if ready_at <= now:
                 del self.loading[version]
                 self.loaded.add(version)
-        held, loading = sorted(self.loaded), sorted(self.loading)
-        return EngineModels(self.room, held, loading, sorted(self.wanted), self.fence)
+        loaded, loading = sorted(self.loaded), sorted(self.loading)
+        return EngineModels(self.room, loaded, loading, sorted(self.wanted), self.fence)
 
 
 class MemoryOrders:
-    """``Orders`` to engines in memory, by address."""
+    """``Orders`` to in-memory engines, by address."""
 
     def __init__(self, engines: dict[str, MemoryEngine], clock: Callable[[], float]) -> None:
         self.engines = engines
         self._clock = clock
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Read what an engine holds."""
+        """Fetch the versions that an engine has in memory."""
         engine = self.engines.get(address)
         if engine is None:
             return OrdersUnsupported()
         return OrderFailed("silent") if engine.is_silent else engine.report(self._clock())
 
     def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
-        """Send an order."""
+        """Send an order to an engine."""
         engine = self.engines[address]
-        return OrderFailed("silent") if engine.is_silent else engine.take(order, self._clock())
+        return (
+            OrderFailed("silent") if engine.is_silent else engine.handle_order(order, self._clock())
+        )
 
 
 class MemoryWeightStore:
-    """A ``WeightStore`` in memory that can refuse.
+    """An in-memory ``WeightStore`` that can refuse transfers.
 
     Attributes
     ----------
     refusal : str
-        Why it hands nothing out; empty when it does.
+        The reason for which it refuses transfers; empty if it doesn't.
     fetched : list of (str, str)
-        Versions and engines of what it handed out.
+        Version and engine of each transfer.
     """
 
     def __init__(self) -> None:
@@ -240,7 +257,7 @@
         self.fetched: list[tuple[str, str]] = []
 
     def fetch(self, version: str, engine: str) -> str:
-        """Have a version's weights handed to an engine; return why not, or ''."""
+        """Transfer a version's weights to an engine; return '' or the reason of a failure."""
         if not self.refusal:
             self.fetched.append((version, engine))
         return self.refusal
--- a/poplarrun/clients/_ratings.py
+++ b/poplarrun/clients/_ratings.py
@@ -1,4 +1,4 @@
-"""The rating service: answers go in, ratings come out late."""
+"""Client of the rating service, which rates submitted answers with a delay."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,12 +8,12 @@
 
 from poplarrun.clients._http import base_url, get_pool_manager
 
-TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 OK = 200
 
 
 class AnswerRating(msgspec.Struct, frozen=True):
-    """A rating of an answer, 0 (useless) to 1."""
+    """The rating of an answer, from 0 (useless) to 1."""
 
     request_id: str
     quality: float
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RatingsUnavailable:
-    """The rating service gave no answer."""
+    """The rating service gave no usable response."""
 
     reason: str
 
@@ -30,10 +30,10 @@
     """The rating service. Calls block and never raise."""
 
     def submit(self, request_id: str, answer: str) -> bool:
-        """Hand in an answer to be rated; false when it was not taken."""
+        """Submit an answer for rating; return whether it was accepted."""
 
     def collect(self, request_ids: list[str]) -> list[AnswerRating] | RatingsUnavailable:
-        """Read the ratings that are ready among the requests asked for."""
+        """Fetch the ratings that are available for some requests."""
 
 
 class _SubmitBody(msgspec.Struct):
@@ -52,12 +52,12 @@
         self._base = f"{base_url(address)}/v1"
 
     def submit(self, request_id: str, answer: str) -> bool:
-        """Hand in an answer to be rated; false when it was not taken."""
+        """Submit an answer for rating; return whether it was accepted."""
         status, _ = self._post("answers", _SubmitBody(request_id, answer))
         return status == OK
 
     def collect(self, request_ids: list[str]) -> list[AnswerRating] | RatingsUnavailable:
-        """Read the ratings that are ready among the requests asked for."""
+        """Fetch the ratings that are available for some requests."""
         status, data = self._post("ratings", _CollectBody(request_ids))
         if status != OK:
             return RatingsUnavailable(f"status {status}")
@@ -73,7 +73,7 @@
                 f"{self._base}/{path}",
                 body=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
-                timeout=TIMEOUT_S,
+                timeout=REQUEST_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError:
             return 0, b""
--- a/poplarrun/clients/_services.py
+++ b/poplarrun/clients/_services.py
@@ -1,4 +1,8 @@
-"""Plain services: one call, handed over in one step, whose outcome is ran or unknown."""
+"""Client of plain services, in steps that allow a call to be abandoned before it is sent.
+
+A call is prepared without sending a byte, and its first bytes are then sent by the event loop
+itself. After that, the call was executed or its outcome is unknown.
+"""
 
 import contextlib
 import ssl
@@ -10,13 +14,14 @@
 from poplarrun.clients._http import PlatformTls
 
 CONNECT_TIMEOUT_S = 0.5
-# What the loop hands to the socket itself: a new connection's buffer holds it.
-FIRST_PIECE_BYTES = 16_384
+# Bytes that the event loop sends without blocking: the send buffer of a new connection has
+# room for them.
+MAX_FIRST_SEND_BYTES = 16_384
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """One call of an operation of a plain service."""
+    """A call of an operation of a plain service."""
 
     request_id: str
     operation: str
@@ -26,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """The service ran the call and answered."""
+    """The service executed the call and responded."""
 
     status: int
     body: bytes
@@ -35,31 +40,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceNotSent:
-    """No byte of the call went out."""
+    """No byte of the call was sent."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceOutcomeUnknown:
-    """Bytes went out and no whole answer came: it may have run."""
+    """The call was sent, but no complete response came: it may have been executed."""
 
     reason: str
 
 
 class PreparedCall(Protocol):
-    """A call whose connection is open and of which no byte was sent."""
+    """A call whose connection is open and of which no byte has been sent."""
 
     def start_sending(self) -> bool:
-        """Send the first bytes; False when none went. Never blocks, never raises.
+        """Send the first bytes; return False if none was sent. Never blocks, never raises.
 
-        The loop calls this in the step that decides that the call may run.
-        Were the bytes sent by another thread, the process could be stopped
-        between the two, and the call would run long after it was refused.
+        The event loop calls this in the same step in which it decides that the call may be
+        executed. If another thread sent the bytes, the process could be suspended between
+        the two, and the call would be executed long after it was refused.
         """
 
     def finish(self, timeout_s: float) -> ServiceResponse | ServiceOutcomeUnknown:
-        """Send the rest and wait for the answer. Blocks, never raises."""
+        """Send the remaining bytes and wait for the response. Blocks, never raises."""
 
     def close(self) -> None:
         """Close the connection; without ``start_sending`` nothing was sent."""
@@ -69,52 +74,54 @@
     """Plain services, by address. Calls block and never raise."""
 
     def prepare(self, address: str, call: ServiceCall) -> PreparedCall | ServiceNotSent:
-        """Connect, and make the bytes of the call without sending any."""
+        """Connect, and encode the call without sending any byte of it."""
 
 
-class _HeldConnection(urllib3.connection.HTTPConnection):
-    """A connection that keeps the bytes it would send."""
+class _BufferingConnection(urllib3.connection.HTTPConnection):
+    """A connection that buffers the bytes it would send."""
 
-    held = b""
+    buffered = b""
 
     def send(self, data: Any) -> None:
-        self.held += bytes(data)
+        self.buffered += bytes(data)
 
 
-class _HeldTlsConnection(urllib3.connection.HTTPSConnection):
-    """The same over TLS; the handshake is over before any byte is held."""
+class _BufferingTlsConnection(urllib3.connection.HTTPSConnection):
+    """The same over TLS; the handshake is complete before any byte is buffered."""
 
-    held = b""
+    buffered = b""
 
     def send(self, data: Any) -> None:
-        self.held += bytes(data)
+        self.buffered += bytes(data)
 
 
 class HttpPreparedCall:
     """A ``PreparedCall`` over HTTP."""
 
-    def __init__(self, connection: _HeldConnection | _HeldTlsConnection) -> None:
+    def __init__(self, connection: _BufferingConnection | _BufferingTlsConnection) -> None:
         self._connection = connection
         self._sent = 0
 
     def start_sending(self) -> bool:
-        """Send the first bytes; False when none went. Never blocks, never raises.
+        """Send the first bytes; return False if none was sent. Never blocks, never raises.
 
-        Over TLS the first piece is one record at most. If the socket takes only
-        a part of it, ``send`` fails, and the service can't read any of it.
+        Over TLS, the first bytes fit into one record. If the socket accepts only a part of
+        the record, ``send`` raises, and the service can't decrypt any of it.
         """
         try:
             self._connection.sock.setblocking(False)
-            self._sent = self._connection.sock.send(self._connection.held[:FIRST_PIECE_BYTES])
+            self._sent = self._connection.sock.send(
+                self._connection.buffered[:MAX_FIRST_SEND_BYTES]
+            )
         except OSError:
             return False
         return self._sent > 0
 
     def finish(self, timeout_s: float) -> ServiceResponse | ServiceOutcomeUnknown:
-        """Send the rest and wait for the answer. Blocks, never raises."""
+        """Send the remaining bytes and wait for the response. Blocks, never raises."""
         try:
             self._connection.sock.settimeout(max(0.001, timeout_s))
-            self._connection.sock.sendall(self._connection.held[self._sent :])
+            self._connection.sock.sendall(self._connection.buffered[self._sent :])
             response = self._connection.getresponse()
         except (urllib3.exceptions.HTTPError, OSError) as error:
             return ServiceOutcomeUnknown(type(error).__name__)
@@ -133,14 +140,14 @@
     Parameters
     ----------
     tls : PlatformTls, optional
-        Certificates for the way to the services; without it plain HTTP. Read once.
+        Certificates for TLS to the services, read once; plain HTTP without them.
     """
 
     def __init__(self, tls: PlatformTls | None = None) -> None:
         self._context = None if tls is None else _make_context(tls)
 
     def prepare(self, address: str, call: ServiceCall) -> PreparedCall | ServiceNotSent:
-        """Connect, and make the bytes of the call without sending any."""
+        """Connect, and encode the call without sending any byte of it."""
         connection = self._make_connection(address)
         try:
             connection.connect()
@@ -155,11 +162,11 @@
             return ServiceNotSent("connect")
         return HttpPreparedCall(connection)
 
-    def _make_connection(self, address: str) -> _HeldConnection | _HeldTlsConnection:
+    def _make_connection(self, address: str) -> _BufferingConnection | _BufferingTlsConnection:
         host, _, port = address.rpartition(":")
         if self._context is None:
-            return _HeldConnection(host, int(port), timeout=CONNECT_TIMEOUT_S)
-        return _HeldTlsConnection(
+            return _BufferingConnection(host, int(port), timeout=CONNECT_TIMEOUT_S)
+        return _BufferingTlsConnection(
             host, int(port), timeout=CONNECT_TIMEOUT_S, ssl_context=self._context
         )
 
