--- a/features/placement.feature
+++ b/features/placement.feature
@@ -56,6 +56,6 @@
     # Spread over many endpoints a part of the traffic loads none of them. A version that
     # fails under load would pass, and then get all callers.
     Given 5 hosts that know the same 12 idle endpoints of a version
-    Then all of them prove it at the same endpoint
+    Then all of them send its load to the same endpoint
     When that endpoint is full
-    Then they choose as usual
+    Then none of them chooses that endpoint
--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -14,14 +14,14 @@
   Scenario: A version is judged by answers that have not ended yet
     # Guards against judging by ended answers alone: those are the fast ones, while the slow ones
     # take eight times as long and are still open when the version would get more traffic.
-    Given a dispatch whose endpoints usually begin after 0.1 s
+    Given a dispatcher whose endpoints usually begin after 0.1 s
     When 6 of 12 answers of the version on trial have not begun after 0.9 s
     Then the new version is judged bad although none of its answers failed
 
   Scenario: A crash of one endpoint does not make its version bad
     # One endpoint of the new version crashes while it answers six callers, whose answers are
     # resumed elsewhere. Guards against counting the crash six times.
-    Given a dispatch whose endpoints usually begin after 0.1 s
+    Given a dispatcher whose endpoints usually begin after 0.1 s
     When 40 answers of the version on trial end well and 6 break off at the same moment
     Then the version on trial is judged good, with 1 bad answer
 
@@ -103,7 +103,7 @@
   Scenario: A slow answer that fails in the end counts as failed
     # Answers count as slow before they end when nothing comes for long. Guards against leaving
     # their later failures uncounted: a good version may have slow answers, but not failed ones.
-    Given a dispatch whose endpoints usually begin after 0.1 s
+    Given a dispatcher whose endpoints usually begin after 0.1 s
     When 6 of 40 answers of the version on trial have not begun after 3.0 s
     And these 6 answers fail in the end
     Then the version on trial has 6 bad and 6 slow answers of 40
@@ -117,7 +117,7 @@
 
   Scenario: Many answers that time out at one endpoint don't count as a crash
     # Guards against a version that is slow under load, whose timed-out answers count as one crash.
-    Given a dispatch whose endpoints usually begin after 0.1 s
+    Given a dispatcher whose endpoints usually begin after 0.1 s
     When 40 answers of the loaded version come in time, and 12 between them time out after 2.5 s
     Then the new version is judged bad during the shift
 
@@ -128,6 +128,6 @@
 
   Scenario: An endpoint that stops answering does not make its version bad
     # Guards against rolling back a good version because one of its endpoints crashed.
-    Given a dispatch whose endpoints usually begin after 0.1 s
+    Given a dispatcher whose endpoints usually begin after 0.1 s
     When 40 answers of the loaded version come in time, and then 9 time out after 2.5 s
     Then the new version is judged good during the shift
--- a/features/steps/proving.py
+++ b/features/steps/proving.py
@@ -17,12 +17,12 @@
 
 
 @when("{count:d} answers of the new version come under load, of which {failed:d} fail")
-def step_loaded(context, count, failed):
+def step_under_load(context, count, failed):
     context.statistics.local[(SERVICE, "v2", UNDER_LOAD)] = Tally(count, failed)
 
 
 @when('{hosts:d} hosts report that "{endpoint}" broke off answers of the new version')
-def step_broken(context, hosts, endpoint):
+def step_broken_off(context, hosts, endpoint):
     for number in range(hosts):
         tally = Tally(1, interrupting_endpoints={endpoint})
         context.statistics.apply_host_tallies(
@@ -55,29 +55,29 @@
         context.placements.append(placement)
 
 
-def choose_everywhere(context, is_proving):
+def choose_at_all_hosts(context, concentrate_load):
     work = make_work()
     chosen = [
-        placement.choose(work, ENGINES, 100.0, "small", concentrate_load=is_proving)
+        placement.choose(work, ENGINES, 100.0, "small", concentrate_load=concentrate_load)
         for placement in context.placements
     ]
-    return {seat.endpoint.record.instance_id for seat in chosen}
+    return {estimate.endpoint.record.instance_id for estimate in chosen}
 
 
-@then("all of them prove it at the same endpoint")
-def step_same(context):
-    names = choose_everywhere(context, True)
-    assert len(names) == 1, names
-    (context.proving,) = names
+@then("all of them send its load to the same endpoint")
+def step_same_endpoint(context):
+    instance_ids = choose_at_all_hosts(context, True)
+    assert len(instance_ids) == 1, instance_ids
+    (context.loaded_endpoint,) = instance_ids
 
 
 @when("that endpoint is full")
 def step_full(context):
     for placement in context.placements:
-        placement.find(context.proving).in_flight = ENGINES.slots
+        placement.find(context.loaded_endpoint).in_flight = ENGINES.slots
 
 
-@then("they choose as usual")
-def step_as_usual(context):
-    names = choose_everywhere(context, True)
-    assert context.proving not in names, names
+@then("none of them chooses that endpoint")
+def step_avoid_full(context):
+    instance_ids = choose_at_all_hosts(context, True)
+    assert context.loaded_endpoint not in instance_ids, instance_ids
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -35,35 +35,37 @@
 
 
 def count_trial_sessions(context, count):
-    works = [make_work(session=f"new-{number}") for number in range(count)]
-    return sum(context.rollouts.choose_version(work, 101.0).allowed is not None for work in works)
+    requests = [make_work(session=f"new-{number}") for number in range(count)]
+    return sum(
+        context.rollouts.choose_version(work, 101.0).allowed is not None for work in requests
+    )
 
 
 def send_to(context, name, number, sent_at, first_at=None):
     """Send a request to an endpoint; return it and its attempt."""
-    dispatch = context.dispatch
-    work = dispatch.admit(make_request(number=number), sent_at)
-    seat = EndpointEstimate(dispatch.placement.find(name), 0.0, 0.1, 0)
-    attempt = dispatch.record_sent(work, SendDecision(seat, "small", 3), sent_at)
+    dispatcher = context.dispatcher
+    work = dispatcher.admit(make_request(number=number), sent_at)
+    estimate = EndpointEstimate(dispatcher.placement.find(name), 0.0, 0.1, 0)
+    attempt = dispatcher.record_sent(work, SendDecision(estimate, "small", 3), sent_at)
     if first_at is not None:
-        dispatch.record_first_event(work, attempt, first_at)
-        dispatch.record_completed(work, attempt, first_at)
+        dispatcher.record_first_event(work, attempt, first_at)
+        dispatcher.record_completed(work, attempt, first_at)
     return work, attempt
 
 
 def begin_shift(context):
-    """Order a roll-out and begin its shift; return the dispatch."""
-    dispatch = context.dispatch
-    dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
-    dispatch.rollouts.find("engines").record_shift(111.5)
-    return dispatch
+    """Order a roll-out and begin its shift; return the dispatcher."""
+    dispatcher = context.dispatcher
+    dispatcher.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    dispatcher.rollouts.find("engines").record_shift(111.5)
+    return dispatcher
 
 
-def time_out_answers(dispatch, pending, until):
+def time_out_answers(dispatcher, pending, until):
     """Let the pending answers whose timeout has passed fail, the oldest first."""
     while pending and pending[0][0] <= until:
         at, work, attempt, failure = pending.pop(0)
-        dispatch.handle_failure(work, attempt.estimate.endpoint, attempt, failure, at)
+        dispatcher.handle_failure(work, attempt.estimate.endpoint, attempt, failure, at)
 
 
 @given('{good:d} good answers of the new version on "{one}" and {bad:d} bad of {all:d} on "{two}"')
@@ -94,32 +96,32 @@
         context.statistics.record_answer(("engines", "v2", "a"), False, times, True)
 
 
-@given("a dispatch whose endpoints usually begin after {usual:f} s")
+@given("a dispatcher whose endpoints usually begin after {usual:f} s")
 def step_usual(context, usual):
-    knowledge = ConfigView(None)
-    knowledge.apply_catalogue(make_catalogue())
-    knowledge.confirm(100.0)
-    context.dispatch = make_dispatch(knowledge)
-    context.dispatch.placement.update_endpoints([make_listing("old"), make_listing("new", "v2")])
+    config_view = ConfigView(None)
+    config_view.apply_catalogue(make_catalogue())
+    config_view.confirm(100.0)
+    context.dispatcher = make_dispatch(config_view)
+    context.dispatcher.placement.update_endpoints([make_listing("old"), make_listing("new", "v2")])
     for number in range(40):
         send_to(context, "old", number, 100.0, 100.0 + usual)
 
 
 @when("{slow:d} of {count:d} answers of the version on trial have not begun after {late:f} s")
 def step_not_begun(context, slow, count, late):
-    context.dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    context.dispatcher.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
     context.late = []
     for number in range(count):
         first_at = None if number < slow else 102.1
         sent = send_to(context, "new", 100 + number, 102.0, first_at)
         if first_at is None:
             context.late.append(sent)
-    context.dispatch.record_open_evidence(102.0 + late)
+    context.dispatcher.record_open_evidence(102.0 + late)
 
 
 @then("the new version is judged bad although none of its answers failed")
 def step_judged_open(context):
-    statistics = context.dispatch.rollouts.statistics
+    statistics = context.dispatcher.rollouts.statistics
     assert statistics.merge_version_tallies("engines", "v2").bad == 0
     assert statistics.is_bad("engines", "v2"), statistics.local
 
@@ -128,18 +130,18 @@
     "{good:d} answers of the version on trial end well and {broken:d} break off at the same moment"
 )
 def step_crash(context, good, broken):
-    dispatch = context.dispatch
-    dispatch.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
+    dispatcher = context.dispatcher
+    dispatcher.rollouts.apply_order(RolloutOrder("engines", "v2", 20.0, 7), 101.0)
     for number in range(good):
         send_to(context, "new", number, 102.0, 102.1)
     for work, attempt in [send_to(context, "new", 100 + n, 103.0) for n in range(broken)]:
         member = attempt.estimate.endpoint
-        dispatch.handle_failure(work, member, attempt, ConnectionLost("reset"), 103.5)
+        dispatcher.handle_failure(work, member, attempt, ConnectionLost("reset"), 103.5)
 
 
 @then("the version on trial is judged good, with {bad:d} bad answer")
 def step_crash_judged(context, bad):
-    statistics = context.dispatch.rollouts.statistics
+    statistics = context.dispatcher.rollouts.statistics
     assert not statistics.is_bad("engines", "v2"), statistics.local
     assert statistics.merge_version_tallies("engines", "v2").bad == bad, statistics.local
 
@@ -284,12 +286,12 @@
     assert len(context.late) == count
     for work, attempt in context.late:
         member = attempt.estimate.endpoint
-        context.dispatch.handle_failure(work, member, attempt, ErrorResponse(500), 106.0)
+        context.dispatcher.handle_failure(work, member, attempt, ErrorResponse(500), 106.0)
 
 
 @then("the version on trial has {bad:d} bad and {slow:d} slow answers of {ended:d}")
 def step_bad_and_slow(context, bad, slow, ended):
-    tally = context.dispatch.rollouts.statistics.merge_version_tallies("engines", "v2")
+    tally = context.dispatcher.rollouts.statistics.merge_version_tallies("engines", "v2")
     assert (tally.bad, tally.slow, tally.answers) == (bad, slow, ended), tally
 
 
@@ -328,16 +330,16 @@
     " and {silent:d} between them time out after {timeout:f} s"
 )
 def step_silent(context, good, silent, timeout):
-    dispatch = begin_shift(context)
+    dispatcher = begin_shift(context)
     pending = []
     for number in range(good):
         sent_at = 113.0 + number / 20.0
-        time_out_answers(dispatch, pending, sent_at)
+        time_out_answers(dispatcher, pending, sent_at)
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
         if number * silent // good != (number + 1) * silent // good:
             work, attempt = send_to(context, "new", 200 + number, sent_at)
             pending.append((sent_at + timeout, work, attempt, ResponseTimeout(timeout)))
-    time_out_answers(dispatch, pending, math.inf)
+    time_out_answers(dispatcher, pending, math.inf)
 
 
 @when(
@@ -345,7 +347,7 @@
     " and then {silent:d} time out after {timeout:f} s"
 )
 def step_endpoint_stops(context, good, silent, timeout):
-    dispatch = begin_shift(context)
+    dispatcher = begin_shift(context)
     for number in range(good):
         sent_at = 113.0 + number / 20.0
         send_to(context, "new", 100 + number, sent_at, sent_at + 0.1)
@@ -355,12 +357,12 @@
         sent_at = dark_at - 0.1 + number / 20.0
         work, attempt = send_to(context, "new", 200 + number, sent_at)
         pending.append((sent_at + timeout, work, attempt, ResponseTimeout(timeout)))
-    time_out_answers(dispatch, pending, math.inf)
+    time_out_answers(dispatcher, pending, math.inf)
 
 
 @then("the new version is judged {judgement:w} during the shift")
 def step_judged_shift(context, judgement):
-    statistics = context.dispatch.rollouts.statistics
+    statistics = context.dispatcher.rollouts.statistics
     is_bad = statistics.is_bad("engines", "v2", ComparisonStage.SHIFT)
     assert is_bad == (judgement == "bad"), statistics.local
 
--- a/poplarrun/contracts/_validation.py
+++ b/poplarrun/contracts/_validation.py
@@ -168,23 +168,23 @@
         return DocumentProblem(path, repr(last), "unknown field")
     if detail["type"] == "missing":
         return DocumentProblem(path, "nothing", "this field is required")
-    found = detail["input"]
-    shown = repr(found) if not isinstance(found, dict | list) else type(found).__name__
-    return DocumentProblem(path, shown, detail["msg"])
+    value = detail["input"]
+    found_text = repr(value) if not isinstance(value, dict | list) else type(value).__name__
+    return DocumentProblem(path, found_text, detail["msg"])
 
 
 def _find_shared_keys(model: _DocumentModel) -> tuple[DocumentProblem, ...]:
     """Find API keys that two client accounts share; a request with one would have two payers."""
     problems = []
-    owner_by_hash: dict[str, str] = {}
+    account_by_hash: dict[str, str] = {}
     for name, account in model.accounts.items():
         for index, key_hash in enumerate(account.keys):
-            owner = owner_by_hash.setdefault(key_hash, name)
-            if owner != name:
+            first_account = account_by_hash.setdefault(key_hash, name)
+            if first_account != name:
                 path = f"accounts.{name}.keys.{index}"
                 problems.append(
                     DocumentProblem(
-                        path, f"a key of {owner}", "a key belongs to one client account"
+                        path, f"a key of {first_account}", "a key belongs to one client account"
                     )
                 )
     return tuple(problems)
--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -52,7 +52,7 @@
     NO_ROLLOUT = "no_rollout"
     RECORDED = "recorded"
     FAILED_BEFORE = "failed_before"
-    HELD = "held"
+    PINNED = "held"
     SETTLING = "settling"
     HASH = "hash"
     STREAM = "stream"
@@ -267,7 +267,7 @@
             if rollout.is_settling(now):
                 return VersionChoice(None, target, VersionReason.SETTLING)
             if self.sessions.is_pinned(PinnedSession(key, rollout.order.offset)):
-                return VersionChoice(None, target, VersionReason.HELD)
+                return VersionChoice(None, target, VersionReason.PINNED)
         return VersionChoice(frozenset((target,)), None, VersionReason.HASH)
 
     def find_session_to_query(self, work: InFlightRequest, now: float) -> PinnedSession | None:
--- a/poplarrun/versions/_evidence.py
+++ b/poplarrun/versions/_evidence.py
@@ -170,11 +170,11 @@
         )
 
 
-def _combine_judged(some: list[int], others: list[int], sign: int) -> list[int]:
-    if not others:
-        return some
-    known = some or [0] * len(others)
-    return [a + sign * b for a, b in zip(known, others, strict=True)]
+def _combine_judged(left: list[int], right: list[int], sign: int) -> list[int]:
+    if not right:
+        return left
+    base = left or [0] * len(right)
+    return [a + sign * b for a, b in zip(base, right, strict=True)]
 
 
 class EvidenceSummary(msgspec.Struct, array_like=True):
@@ -270,8 +270,8 @@
         self.awaited = max(0.0, self.awaited + delta.sampled - sum(delta.ratings))
         self.whole_ms += delta.whole_ms
         if delta.judged:
-            known = self.judged or [0.0] * len(delta.judged)
-            self.judged = [a + b for a, b in zip(known, delta.judged, strict=True)]
+            base = self.judged or [0.0] * len(delta.judged)
+            self.judged = [a + b for a, b in zip(base, delta.judged, strict=True)]
         for index, count in enumerate(delta.ratings):
             if count:
                 self.ratings[index] += count
