--- a/features/histories.feature
+++ b/features/histories.feature
@@ -44,7 +44,8 @@
 
   Scenario: A seed reproduces its run
     # A violation that can't be reproduced can't be debugged. Seed 10 has stops and
-    # refusing services, whose retry delays once came from an unseeded random source.
+    # refusing services: with retry delays from an unseeded random source its runs would
+    # differ.
     When the schedules of seeds 2, 8 and 10 run twice each
     Then both runs of each have the same history
 
