--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -3,7 +3,7 @@
 import urllib3
 from behave import given, then, when
 
-from features.steps.whole_path import EXAMPLES, KEYS, messages
+from features.steps.whole_path import EXAMPLES, KEYS, make_messages
 from standins.fleet import wait_until
 
 LOAD_TIMEOUT_S = 60
@@ -29,7 +29,7 @@
     fleet = context.fleet
     status = fleet.hosts[host].status
     wait_until(lambda: status()["offset"] >= context.offset, "the document is in force")
-    ask = {"model": "note", "messages": messages()}
+    ask = {"model": "note", "messages": make_messages()}
 
     def refused():
         context.response = urllib3.request(
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -34,7 +34,7 @@
 
 
 def drains(context):
-    return [holder.tasks.holder.summarize().revision for holder in context.world.holders("a")]
+    return [holder.tasks.controller.summarize().revision for holder in context.world.holders("a")]
 
 
 def loads(context):
--- a/features/steps/planned_stop.py
+++ b/features/steps/planned_stop.py
@@ -17,7 +17,7 @@
 
 
 class Callers:
-    """Callers behind a small balancer that looks at /readyz."""
+    """Callers behind a small balancer that polls /readyz."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -121,17 +121,17 @@
 
 
 @then("every exit code was 0")
-def step_codes(context):
+def step_exit_codes(context):
     assert context.exit_codes == [0] * len(context.fleet.hosts), context.exit_codes
 
 
 @then("its exit code is {code:d}")
-def step_code(context, code):
+def step_exit_code(context, code):
     assert context.exit_code == code
 
 
-@then("its log names the open request")
-def step_names(context):
+@then("its log contains the id of the open request")
+def step_log_contains(context):
     lines = [json.loads(line) for line in context.stopped_host.log_file.read_text().splitlines()]
     (line,) = [line for line in lines if "still open" in line["message"]]
     assert line["request_ids"] == [context.request_id]
@@ -143,16 +143,16 @@
     assert next(context.callers.answers) > 100
 
 
-@then("the hosts know each other again")
-def step_know(context):
+@then("all hosts are alive in each other's status again")
+def step_all_alive(context):
     names = sorted(context.fleet.hosts)
 
-    def know():
-        found = [host.status() for host in context.fleet.hosts.values()]
-        seen = [
+    def all_alive():
+        statuses = [host.status() for host in context.fleet.hosts.values()]
+        alive_hosts = [
             sorted(n for z in status["zones"] for n, s in z["hosts"].items() if s == "alive")
-            for status in found
+            for status in statuses
         ]
-        return all(one == names for one in seen)
+        return all(one == names for one in alive_hosts)
 
-    wait_until(know, "the hosts know each other")
+    wait_until(all_alive, "all hosts are alive in each other's status")
--- a/features/steps/whole_path.py
+++ b/features/steps/whole_path.py
@@ -8,12 +8,12 @@
 KEYS = {"borough-north": "borough-north-key", "trust-office": "trust-office-key"}
 
 
-def client(context, host, key):
+def make_client(context, host, key):
     base_url = f"http://{context.fleet.hosts[host].address}/v1"
     return openai.OpenAI(api_key=key, base_url=base_url, max_retries=0)
 
 
-def messages():
+def make_messages():
     return [{"role": "user", "content": "Tell of lending in the north"}]
 
 
@@ -38,24 +38,26 @@
 
 
 @when('a client of "{account}" asks host "{host}" for a "{work_class}"')
-def step_ask(context, account, host, work_class):
-    context.completion = client(context, host, KEYS[account]).chat.completions.create(
-        model=work_class, messages=messages()
+def step_ask_answer(context, account, host, work_class):
+    context.completion = make_client(context, host, KEYS[account]).chat.completions.create(
+        model=work_class, messages=make_messages()
     )
 
 
 @when('a client of "{account}" streams a "{work_class}" from host "{host}"')
 def step_stream(context, account, work_class, host):
-    stream = client(context, host, KEYS[account]).chat.completions.create(
-        model=work_class, messages=messages(), stream=True
+    stream = make_client(context, host, KEYS[account]).chat.completions.create(
+        model=work_class, messages=make_messages(), stream=True
     )
     context.chunks = list(stream)
 
 
 @when('a client with key "{key}" asks host "{host}" for a "{work_class}"')
-def step_ask_key(context, key, host, work_class):
+def step_ask_with_key(context, key, host, work_class):
     try:
-        client(context, host, key).chat.completions.create(model=work_class, messages=messages())
+        make_client(context, host, key).chat.completions.create(
+            model=work_class, messages=make_messages()
+        )
         context.error = None
     except openai.APIStatusError as error:
         context.error = error
@@ -73,25 +75,25 @@
 
 
 @then("the answer has {count:d} words and a usage")
-def step_answer(context, count):
+def step_answer_words(context, count):
     assert len(context.completion.choices[0].message.content.split()) == count
     assert context.completion.usage.completion_tokens == count
 
 
 @then("the stream has {count:d} words and a clean end")
-def step_streamed(context, count):
+def step_stream_words(context, count):
     text = "".join(chunk.choices[0].delta.content or "" for chunk in context.chunks)
     assert len(text.split()) == count, text
     assert context.chunks[-1].choices[0].finish_reason == "stop"
 
 
 @then('the client raises "{name}" with code "{code}" and not_run "{not_run}"')
-def step_error(context, name, code, not_run):
+def step_client_error(context, name, code, not_run):
     assert type(context.error).__name__ == name, context.error
     assert context.error.code == code
     assert context.error.body["not_run"] == not_run
 
 
 @then("the call answers {status:d}")
-def step_status(context, status):
+def step_call_status(context, status):
     assert context.response.status == status, context.response.data
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -22,9 +22,9 @@
       | trust-office-key | long-report | PermissionDeniedError | class_not_allowed |
       | trust-office-key | no-such     | NotFoundError         | class_unknown     |
 
-  Scenario: An engine breaks in mid-answer
-    # The engine drops the stream after 10 tokens. The host resumes it at the
-    # position reached, so the caller sees one whole answer and no break.
+  Scenario: A stream breaks in the middle of the answer
+    # The engine closes the stream after 10 tokens. The host resumes it at that position, so
+    # that the caller gets one complete answer without an error.
     Given engine "engine-a" breaks its next stream after 10 tokens
     And engine "engine-b" breaks its next stream after 10 tokens
     And engine "engine-c" breaks its next stream after 10 tokens
@@ -32,15 +32,15 @@
     Then the stream has 40 words and a clean end
 
 
-  Scenario: An engine dies and its host list lags
-    # The list still shows the dead engine; the first failed call takes it out.
+  Scenario: An engine dies and the host list is outdated
+    # The list still contains the dead engine; the first failed call excludes it.
     Given engine "engine-a" is killed
     When a client of "borough-north" asks host "a1" for a "note"
     Then the answer has 40 words and a usage
 
-  Scenario: An idempotent lookup goes on at another endpoint
-    # The service in two zones is dead. A lookup may be sent again, so the
-    # caller sees only the answer of the third.
+  Scenario: An idempotent call is retried at another endpoint
+    # The service is dead in two zones. The call may be sent again, so that the caller only gets
+    # the answer from the third.
     Given service endpoint "loan-records-a" is killed
     And service endpoint "loan-records-b" is killed
     When "borough-north" calls "loan-records/lookup" at host "a1"
--- a/poplarrun/dispatch/_failures.py
+++ b/poplarrun/dispatch/_failures.py
@@ -1,4 +1,7 @@
-"""The ways an attempt can fail, and whether the request may have run in each case."""
+"""The ways an attempt can fail, and whether the request may have run in each case.
+
+The event log contains the ``repr`` of a failure, as the detail of ``SendFailed``.
+"""
 
 from dataclasses import dataclass
 
--- a/poplarrun/server/__init__.py
+++ b/poplarrun/server/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: HTTP to callers and operators, and the crossing into the loop."""
+"""The daemon of an entry host: its HTTP server, its event loop, and the bridge between them."""
 
 from poplarrun.server._daemon import Daemon, run_daemon
 from poplarrun.server._host import EntryHost
--- a/poplarrun/server/_bodies.py
+++ b/poplarrun/server/_bodies.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible bodies: requests in, answers and errors out."""
+"""Decodes OpenAI-compatible request bodies, and encodes answers and errors."""
 
 import time
 from typing import Annotated, Any, Literal
@@ -33,7 +33,7 @@
 
 
 class ChatBody(BaseModel):
-    """The part of a chat completion request that poplarrun acts on."""
+    """The fields of a chat completion request that poplarrun uses."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -46,27 +46,27 @@
 
     @property
     def prompt(self) -> str:
-        """The whole prompt as one text."""
+        """The messages of the prompt, joined to one text."""
         return "\n".join(f"{message.role}: {message.text}" for message in self.messages)
 
     @property
     def max_answer_tokens(self) -> int:
-        """Upper bound of the answer, in tokens."""
+        """Maximum length of the answer, in tokens."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_MAX_TOKENS
 
 
 def read_chat_body(data: bytes) -> ChatBody | Refusal:
-    """Read a chat completion request; every fault is named by its field."""
+    """Decode a chat completion request; the refusal names each invalid field."""
     try:
         return ChatBody.model_validate_json(data)
     except ValidationError as error:
         details = error.errors(include_url=False)
-        lines = [f"{_field_path(detail['loc'])}: {detail['msg']}" for detail in details]
-        param = _field_path(details[0]["loc"])
+        lines = [f"{_join_field_path(detail['loc'])}: {detail['msg']}" for detail in details]
+        param = _join_field_path(details[0]["loc"])
         return Refusal(ErrorKind.INVALID_REQUEST, "; ".join(lines), param)
 
 
-def _field_path(location: tuple[int | str, ...]) -> str:
+def _join_field_path(location: tuple[int | str, ...]) -> str:
     return ".".join(str(part) for part in location) or "body"
 
 
@@ -84,14 +84,14 @@
 
 
 def render_completion(request_id: str, model: str, text: str, usage: Usage) -> bytes:
-    """Return the body of a whole answer."""
+    """Return the body of a complete answer."""
     choice = {
         "index": 0,
         "message": {"role": "assistant", "content": text},
         "finish_reason": "stop",
     }
     body = _envelope("chat.completion", request_id, model)
-    return msgspec.json.encode({**body, "choices": [choice], "usage": _usage(usage)})
+    return msgspec.json.encode({**body, "choices": [choice], "usage": _render_usage(usage)})
 
 
 class ChunkRenderer:
@@ -100,19 +100,19 @@
     def __init__(self, request_id: str, model: str) -> None:
         self._body = _envelope("chat.completion.chunk", request_id, model)
         event = self._event({"role": "assistant", "content": ""}, None)
-        # All but the text is the same in each event of the answer.
+        # Everything but the text is the same in each event of the answer.
         self._before, _, self._after = event.rpartition(b'""')
 
     def render_texts(self, texts: list[str]) -> bytes:
-        """Return the events of pieces of text, one each."""
+        """Return one event for each piece of text."""
         return b"".join([self._before + msgspec.json.encode(text) + self._after for text in texts])
 
     def render_end(self, usage: Usage) -> bytes:
-        """Return the events of a clean end."""
-        return self._event({}, "stop", usage=_usage(usage)) + DONE_EVENT
+        """Return the events that end a complete answer."""
+        return self._event({}, "stop", usage=_render_usage(usage)) + DONE_EVENT
 
     def render_error(self, refusal: Refusal) -> bytes:
-        """Return the event of a broken answer; no clean end follows it."""
+        """Return the error event that ends an incomplete answer."""
         return DATA_PREFIX + render_error(refusal) + EVENT_END
 
     def _event(self, delta: dict[str, str], finish: str | None, **more: Any) -> bytes:
@@ -122,7 +122,7 @@
 
 
 def render_models(classes: list[str]) -> bytes:
-    """Return the list of classes, in the form of a list of models."""
+    """Return the body of the list of models, which contains the classes of work."""
     data = [
         {"id": name, "object": "model", "created": 0, "owned_by": "poplarrun"} for name in classes
     ]
@@ -130,7 +130,7 @@
 
 
 def render_outcome(key: str, outcome: KnownOutcome) -> bytes:
-    """Return what is known of an operation."""
+    """Return the body with the known outcome of an operation."""
     body: dict[str, Any] = {"key": key, "outcome": outcome.kind.value}
     if outcome.ran is not None:
         ran = outcome.ran
@@ -143,7 +143,7 @@
     return {"id": request_id, "object": kind, "created": int(time.time()), "model": model}
 
 
-def _usage(usage: Usage) -> dict[str, int]:
+def _render_usage(usage: Usage) -> dict[str, int]:
     return {
         "prompt_tokens": usage.input_tokens,
         "completion_tokens": usage.output_tokens,
--- a/poplarrun/server/_callers.py
+++ b/poplarrun/server/_callers.py
@@ -1,4 +1,4 @@
-"""The callers' API, on CherryPy."""
+"""The HTTP API for callers, on CherryPy."""
 
 import math
 from collections.abc import Iterator
@@ -37,14 +37,14 @@
 
 
 def send_json(body: bytes, status: int = 200) -> bytes:
-    """Set a JSON answer's head and return its body."""
+    """Set the status and headers of a JSON response and return its body."""
     cherrypy.response.status = status
     cherrypy.response.headers["Content-Type"] = JSON
     return body
 
 
 def send_refusal(refusal: Refusal) -> bytes:
-    """Set a refusal's head and return its body."""
+    """Set the status and headers of a refusal and return its body."""
     answer = response_for(refusal.kind)
     retry_after_s = refusal.retry_after_s
     if retry_after_s is None:
@@ -55,7 +55,7 @@
 
 
 def read_body(limit: int) -> bytes | Refusal:
-    """Read the request's body, up to a bound."""
+    """Read the request's body; refuse one that is too large."""
     length = int(cherrypy.request.headers.get("Content-Length") or 0)
     if length > limit:
         message = f"the body has {length} bytes, at most {limit} are allowed"
@@ -64,7 +64,7 @@
 
 
 def read_key() -> str:
-    """Return the API key of the request; empty when it has none."""
+    """Return the API key of the request, or an empty string if it has none."""
     header = cherrypy.request.headers.get("Authorization", "")
     return header[len(BEARER) :] if header.startswith(BEARER) else ""
 
@@ -73,16 +73,16 @@
     """``/v1``: chat completions, models and plain services."""
 
     def __init__(
-        self, crossing: LoopBridge, engine: Engine, services: ServiceCaller, body_bytes: int
+        self, loop: LoopBridge, engine: Engine, services: ServiceCaller, body_bytes: int
     ) -> None:
-        self._crossing = crossing
+        self._loop = loop
         self._engine = engine
         self._services = services
         self._body_bytes = body_bytes
 
     @cherrypy.expose
     def default(self, *path: str, **_: Any) -> bytes | Iterator[bytes]:
-        """Dispatch on method and path."""
+        """Handle a request according to its method and path."""
         match (cherrypy.request.method, *path):
             case ("POST", "chat", "completions"):
                 return self._complete_chat()
@@ -95,7 +95,7 @@
         return send_json(b'{"error": {"message": "no such path", "code": "not_found"}}', 404)
 
     def _list_models(self) -> bytes:
-        match self._crossing.ask(ListClasses(read_key())):
+        match self._loop.ask(ListClasses(read_key())):
             case Refusal() as refusal:
                 return send_refusal(refusal)
             case classes:
@@ -109,7 +109,7 @@
             message = f"at most {MAX_ID_LENGTH} characters are allowed"
             body = Refusal(ErrorKind.INVALID_REQUEST, message, SESSION_HEADER)
         if isinstance(body, Refusal):
-            self._crossing.ask(body)
+            self._loop.ask(body)
             return send_refusal(body)
         request = BeginChat(
             request_id=new_request_id(),
@@ -122,83 +122,91 @@
             session_token=cherrypy.request.headers.get(SESSION_TOKEN_HEADER),
         )
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
-        run = ChatExecution(self._crossing, self._engine, request, body.prompt, body.stream)
-        first = run.start()
-        if isinstance(first, Refusal):
-            return send_refusal(first)
-        cherrypy.response.headers[VERSION_HEADER] = str(run.version)
-        if run.session_token is not None:
-            cherrypy.response.headers[SESSION_TOKEN_HEADER] = run.session_token
+        execution = ChatExecution(self._loop, self._engine, request, body.prompt, body.stream)
+        first_piece = execution.start()
+        if isinstance(first_piece, Refusal):
+            return send_refusal(first_piece)
+        cherrypy.response.headers[VERSION_HEADER] = str(execution.version)
+        if execution.session_token is not None:
+            cherrypy.response.headers[SESSION_TOKEN_HEADER] = execution.session_token
         if body.stream:
-            return self._stream_answer(run, first, request)
-        return self._whole_answer(run, first, request)
+            return self._start_stream(execution, first_piece, request)
+        return self._send_complete_answer(execution, first_piece, request)
 
-    def _stream_answer(
-        self, run: ChatExecution, first: Piece, request: BeginChat
+    def _start_stream(
+        self, execution: ChatExecution, first_piece: Piece, request: BeginChat
     ) -> Iterator[bytes]:
         cherrypy.response.stream = True
         cherrypy.response.headers["Content-Type"] = EVENT_STREAM
         cherrypy.response.headers["Cache-Control"] = "no-cache"
-        return _render_stream(run, first, ChunkRenderer(request.request_id, request.class_name))
+        return _render_stream(
+            execution, first_piece, ChunkRenderer(request.request_id, request.class_name)
+        )
 
-    def _whole_answer(self, run: ChatExecution, first: Piece, request: BeginChat) -> bytes:
-        for piece in run.pieces(first):
+    def _send_complete_answer(
+        self, execution: ChatExecution, first_piece: Piece, request: BeginChat
+    ) -> bytes:
+        for piece in execution.pieces(first_piece):
             match piece:
                 case BrokenAnswer(refusal=refusal):
                     return send_refusal(refusal)
                 case Usage() as usage:
                     return send_json(
-                        render_completion(request.request_id, request.class_name, run.text, usage)
+                        render_completion(
+                            request.request_id, request.class_name, execution.text, usage
+                        )
                     )
         raise AssertionError("an answer ends with its usage or its break")
 
     def _call_service(self, service: str, operation: str) -> bytes:
         data = read_body(self._body_bytes)
         if isinstance(data, Refusal):
-            self._crossing.ask(data)
+            self._loop.ask(data)
             return send_refusal(data)
         key = cherrypy.request.headers.get(IDEMPOTENCY_HEADER)
         if key is not None and len(key) > MAX_ID_LENGTH:
             message = f"at most {MAX_ID_LENGTH} characters are allowed"
             refusal = Refusal(ErrorKind.INVALID_REQUEST, message, IDEMPOTENCY_HEADER)
-            self._crossing.ask(refusal)
+            self._loop.ask(refusal)
             return send_refusal(refusal)
         fingerprint = compute_fingerprint(service, operation, data) if key else b""
         request = BeginOperation(new_request_id(), read_key(), service, operation, key, fingerprint)
         cherrypy.response.headers[REQUEST_ID_HEADER] = request.request_id
         content_type = cherrypy.request.headers.get("Content-Type", JSON)
-        match OperationRun(self._crossing, self._services).run(request, data, content_type):
+        match OperationRun(self._loop, self._services).run(request, data, content_type):
             case ServiceResponse() as answer:
-                return _send_answer(answer.status, answer.content_type, answer.body)
+                return _send_response(answer.status, answer.content_type, answer.body)
             case Ran() as ran:
                 return _send_replay(key or "", ran)
             case Refusal() as refusal:
                 return send_refusal(refusal)
 
     def _find_operation(self, key: str) -> bytes:
-        match self._crossing.ask(FindOperation(read_key(), key)):
+        match self._loop.ask(FindOperation(read_key(), key)):
             case KnownOutcome() as outcome:
                 return send_json(render_outcome(key, outcome))
             case refusal:
                 return send_refusal(refusal)
 
 
-def _send_answer(status: int, content_type: str, body: bytes) -> bytes:
+def _send_response(status: int, content_type: str, body: bytes) -> bytes:
     cherrypy.response.status = status
     cherrypy.response.headers["Content-Type"] = content_type
     return body
 
 
 def _send_replay(key: str, ran: Ran) -> bytes:
-    """Give the recorded answer again; an outcome where the answer was too large to keep."""
+    """Return the recorded answer, or only the outcome if the answer was too large to record."""
     cherrypy.response.headers[REPLAY_HEADER] = "true"
     if ran.has_full_body:
-        return _send_answer(ran.status, ran.content_type, ran.body)
+        return _send_response(ran.status, ran.content_type, ran.body)
     return send_json(render_outcome(key, KnownOutcome(OutcomeKind.RAN, ran)), ran.status)
 
 
-def _render_stream(run: ChatExecution, first: Piece, renderer: ChunkRenderer) -> Iterator[bytes]:
-    for piece in run.pieces(first):
+def _render_stream(
+    execution: ChatExecution, first_piece: Piece, renderer: ChunkRenderer
+) -> Iterator[bytes]:
+    for piece in execution.pieces(first_piece):
         match piece:
             case list():
                 yield renderer.render_texts(piece)
--- a/poplarrun/server/_chats.py
+++ b/poplarrun/server/_chats.py
@@ -1,4 +1,7 @@
-"""A worker's side of one chat request: bytes only, every decision is asked for."""
+"""Transfers the answer of one chat request on a worker thread.
+
+The thread only moves bytes; the event loop makes all decisions.
+"""
 
 import time
 import uuid
@@ -17,18 +20,18 @@
 
 
 def new_request_id() -> str:
-    """Return an id that no other request has."""
+    """Return a unique request id."""
     return f"req-{uuid.uuid4().hex}"
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenAnswer:
-    """The end of an answer that could not be finished."""
+    """The end of an answer that could not be completed."""
 
     refusal: Refusal
 
 
-# Texts that arrived at the same time, the end, or the break.
+# Texts that arrived together, the end of a complete answer, or that of an incomplete one.
 Piece = list[str] | Usage | BrokenAnswer
 
 
@@ -37,21 +40,21 @@
 
     Parameters
     ----------
-    crossing : LoopBridge
-        The way into the loop.
+    loop : LoopBridge
+        Bridge to the event loop.
     engine : Engine
         The adapter to model engines.
     request : BeginChat
-        What the caller asked for.
+        The caller's request.
     prompt : str
         The whole prompt.
     is_streamed : bool
-        Whether the caller sees each piece at once.
+        Whether each piece is sent to the caller at once.
     """
 
     def __init__(
         self,
-        crossing: LoopBridge,
+        loop: LoopBridge,
         engine: Engine,
         request: BeginChat,
         prompt: str,
@@ -59,52 +62,52 @@
     ) -> None:
         self.version: VersionId | None = None
         self.session_token: str | None = None
-        self._crossing = crossing
+        self._loop = loop
         self._engine = engine
         self._request = request
         self._prompt = prompt
         self._is_streamed = is_streamed
         self._reassembly = Reassembly()
-        self._answers: Iterator[list[GenerationEvent]] = iter(())
-        self._arrived: list[GenerationEvent] = []
+        self._answer_batches: Iterator[list[GenerationEvent]] = iter(())
+        self._pending_answers: list[GenerationEvent] = []
         self._address = ""
-        self._ended = False
-        self._sampled = False
+        self._is_ended = False
+        self._is_sampled = False
         self._texts: list[str] = []
-        self._engine_id = request.request_id
-        self._is_holding = False
-        self._accepted: Iterator[Piece] | None = None
+        self._engine_request_id = request.request_id
+        self._is_buffering = False
+        self._buffered_pieces: Iterator[Piece] | None = None
 
     @property
-    def _is_shown(self) -> bool:
-        """Whether the caller sees the pieces as they come."""
-        return self._is_streamed and not self._is_holding
+    def _is_forwarding(self) -> bool:
+        """Whether pieces are sent to the caller as they arrive."""
+        return self._is_streamed and not self._is_buffering
 
     @property
     def text(self) -> str:
-        """The answer so far, where it is not streamed or is to be rated."""
+        """The answer so far, if it isn't streamed or is to be rated."""
         return "".join(self._texts)
 
     def start(self) -> Refusal | Piece:
-        """Begin, and wait for the first piece; until then a retry is invisible."""
-        match self._crossing.ask(self._request):
+        """Start the request and wait for its first piece; before that, retries are invisible."""
+        match self._loop.ask(self._request):
             case Refusal() as refusal:
                 return refusal
             case ChatGrant() as grant:
-                self._open(grant)
+                self._start_attempt(grant)
                 if grant.must_buffer:
-                    self._hold_answer()
+                    self._buffer_answer()
         first = self._next_piece()
         if isinstance(first, BrokenAnswer):
             return first.refusal
-        self._crossing.post(FirstToken(self._request.request_id))
+        self._loop.post(FirstToken(self._request.request_id))
         return first
 
     def pieces(self, first: Piece) -> Iterator[Piece]:
-        """Give out the answer, piece by piece; the last is its usage or its break.
+        """Yield the pieces of the answer; the last one is its usage or a ``BrokenAnswer``.
 
-        Closing the iterator early cancels the stream at the engine and bills
-        what was generated.
+        Closing the iterator early cancels the stream at the engine, and the generated tokens
+        are billed.
         """
         piece = first
         try:
@@ -113,48 +116,48 @@
                 piece = self._next_piece()
                 yield piece
         finally:
-            self._end_early(piece)
+            self._cancel(piece)
             if isinstance(piece, Usage):
                 self._read_end()
 
-    def _hold_answer(self) -> None:
-        """Hold a cascade's first answer back until it is judged.
+    def _buffer_answer(self) -> None:
+        """Buffer a cascade's first answer until it is accepted or replaced.
 
-        Given out at once, it would be followed by the second version's answer,
-        and the caller would see two. The second step has an id of its own, else
-        an engine that knows the first one would resume the first answer.
+        If it were sent at once, the second version's answer could follow it, and the caller
+        would get two answers. The second step has an id of its own, because an engine that
+        knows the id of the first step would resume the first answer.
         """
-        self._is_holding = True
+        self._is_buffering = True
         while isinstance(piece := self._read_piece(), list):
             pass
-        self._is_holding = False
+        self._is_buffering = False
         if isinstance(piece, BrokenAnswer):
-            self._accepted = iter([piece])
+            self._buffered_pieces = iter([piece])
             return
-        match self._crossing.ask(JudgeChat(self._make_end(piece, whole=True))):
+        match self._loop.ask(JudgeChat(self._make_end(piece, whole=True))):
             case ChatGrant() as grant:
                 self._read_end()
-                self._engine_id = f"{self._request.request_id}.2"
-                self._open(grant)
+                self._engine_request_id = f"{self._request.request_id}.2"
+                self._start_attempt(grant)
             case _:
                 self._end(piece, whole=True)
                 pieces: list[Piece] = [[self.text], piece] if self._texts else [piece]
-                self._accepted = iter(pieces)
+                self._buffered_pieces = iter(pieces)
 
-    def _open(self, grant: ChatGrant) -> None:
-        self._arrived = []
+    def _start_attempt(self, grant: ChatGrant) -> None:
+        self._pending_answers = []
         self.version = grant.version
         self.session_token = grant.session_token
-        self._sampled = grant.is_sampled
+        self._is_sampled = grant.is_sampled
         self._address = grant.address
         if not grant.is_resume:
             self._reassembly = Reassembly()
             self._texts.clear()
         if grant.cache_from and not self._move_cache(grant):
-            self._answers = iter([[EngineFailed(started=False, reason="kv_cache")]])
+            self._answer_batches = iter([[EngineFailed(started=False, reason="kv_cache")]])
             return
         call = EngineCall(
-            request_id=self._engine_id,
+            request_id=self._engine_request_id,
             version=grant.version,
             prompt=self._prompt,
             max_tokens=self._request.max_tokens,
@@ -163,95 +166,102 @@
         )
         if grant.delay_s > 0.0:
             time.sleep(grant.delay_s)
-        self._answers = self._engine.generate(grant.address, call, grant.timeout_s)
+        self._answer_batches = self._engine.generate(grant.address, call, grant.timeout_s)
 
     def _move_cache(self, grant: ChatGrant) -> bool:
-        return self._engine.move_cache(grant.cache_from, grant.address, self._engine_id)
+        return self._engine.move_cache(grant.cache_from, grant.address, self._engine_request_id)
 
     def _next_piece(self) -> Piece:
-        return next(self._accepted) if self._accepted is not None else self._read_piece()
+        return (
+            next(self._buffered_pieces) if self._buffered_pieces is not None else self._read_piece()
+        )
 
     def _read_piece(self) -> Piece:
         while True:
-            if not self._arrived:
-                self._arrived = next(self._answers)
-            texts = self._take_texts()
+            if not self._pending_answers:
+                self._pending_answers = next(self._answer_batches)
+            texts = self._reassemble_texts()
             if texts:
                 return texts
-            match self._arrived:
+            match self._pending_answers:
                 case [Usage() as usage, *_] if self._is_whole(usage):
-                    if not self._is_holding:
+                    if not self._is_buffering:
                         self._end(usage, whole=True)
                     return usage
-                case [EngineFailed() as failed, *_]:
+                case [EngineFailed() as engine_failure, *_]:
                     pass
                 case [] if not self._reassembly.is_buffer_full:
                     continue
                 case _:
-                    failed = EngineFailed(started=True, reason="gap")
-            broken = self._go_on(failed)
-            if broken is not None:
-                return broken
+                    engine_failure = EngineFailed(started=True, reason="gap")
+            broken_answer = self._retry(engine_failure)
+            if broken_answer is not None:
+                return broken_answer
 
-    def _take_texts(self) -> list[str]:
-        """Take the chunks that have arrived; return the texts that can be given out."""
+    def _reassemble_texts(self) -> list[str]:
+        """Reassemble the chunks that have arrived; return the texts without a gap."""
         texts = []
-        taken = 0
-        for answer in self._arrived:
+        consumed = 0
+        for answer in self._pending_answers:
             if not isinstance(answer, Chunk):
                 break
-            taken += 1
+            consumed += 1
             if text := self._reassembly.add(answer):
                 texts.append(text)
-        self._arrived = self._arrived[taken:]
-        if self._sampled or not self._is_shown:
+        self._pending_answers = self._pending_answers[consumed:]
+        if self._is_sampled or not self._is_forwarding:
             self._texts += texts
         return texts
 
     def _read_end(self) -> None:
-        """Read the end of the engine's stream, so that its connection serves again.
+        """Read the end of the engine's stream, so that its connection can be reused.
 
-        Left to the collection of garbage, it comes back late or never, and
-        the next request makes a new connection.
+        If that were left to garbage collection, the connection would be returned late or never,
+        and the next request would open a new one.
         """
-        next(self._answers, None)
+        next(self._answer_batches, None)
 
     def _is_whole(self, usage: Usage) -> bool:
-        """Tell whether every token that the engine counted is there.
+        """Return whether all tokens that the engine counted have arrived.
 
-        A chunk can be lost before the end, or be the last: without the count
-        the caller would get a clean end of an answer that lacks its last words.
+        A chunk can be lost, even the last one. Without the count, an answer that lacks its last
+        words would look complete.
         """
         return not self._reassembly.has_gap and (
             self._reassembly.next_position >= usage.output_tokens
         )
 
-    def _go_on(self, failed: EngineFailed) -> BrokenAnswer | None:
+    def _retry(self, engine_failure: EngineFailed) -> BrokenAnswer | None:
         request_id = self._request.request_id
-        _log.warning("An attempt broke.", extra={"request_id": request_id, "reason": failed.reason})
+        _log.warning(
+            "An attempt at an engine failed.",
+            extra={"request_id": request_id, "reason": engine_failure.reason},
+        )
         self._reassembly.discard_buffered()
         position = self._reassembly.next_position
-        failure = AttemptFailed(request_id, failed.started, failed.reason, position, self._is_shown)
-        match self._crossing.ask(failure):
+        attempt_failed = AttemptFailed(
+            request_id, engine_failure.started, engine_failure.reason, position, self._is_forwarding
+        )
+        match self._loop.ask(attempt_failed):
             case ChatGrant() as grant:
-                self._open(grant)
+                self._start_attempt(grant)
                 return None
             case Refusal() as refusal:
-                self._ended = True
+                self._is_ended = True
                 return BrokenAnswer(refusal)
-        raise TypeError("the loop answers a failure with a grant or a refusal")
+        raise TypeError("the router answered a failed attempt with neither a grant nor a refusal")
 
-    def _end_early(self, last: Piece) -> None:
-        if self._ended or not isinstance(last, list):
+    def _cancel(self, last_piece: Piece) -> None:
+        if self._is_ended or not isinstance(last_piece, list):
             return
-        self._engine.cancel(self._address, self._engine_id)
-        used = Usage(self._request.prompt_tokens, self._reassembly.next_position)
-        self._end(used, whole=False)
+        self._engine.cancel(self._address, self._engine_request_id)
+        generated_usage = Usage(self._request.prompt_tokens, self._reassembly.next_position)
+        self._end(generated_usage, whole=False)
 
     def _end(self, usage: Usage, whole: bool) -> None:
-        self._ended = True
-        self._crossing.ask(self._make_end(usage, whole))
+        self._is_ended = True
+        self._loop.ask(self._make_end(usage, whole))
 
     def _make_end(self, usage: Usage, whole: bool) -> EndChat:
-        text = self.text if self._sampled and whole else None
+        text = self.text if self._is_sampled and whole else None
         return EndChat(self._request.request_id, usage, whole, text)
--- a/poplarrun/server/_connections.py
+++ b/poplarrun/server/_connections.py
@@ -1,4 +1,4 @@
-"""Connections of the HTTP server that write a streamed answer without a buffer between."""
+"""HTTP server connections that write streamed answers directly to the socket."""
 
 import os
 import socket
@@ -10,59 +10,58 @@
 
 
 class SocketWriter:
-    """Writes straight to a socket.
+    """Writes directly to a socket.
 
-    The server's own writer copies each piece through a buffer written in
-    Python and flushes it at once; for an answer of one event a token that
-    copying is a good part of a token's cost.
+    The writer of cheroot copies each piece through a buffer in Python and flushes it at once.
+    For a stream with one event per token, the copies are a large part of the cost of a token.
 
     Parameters
     ----------
     sock : socket.socket
-        The caller's connection.
+        The socket of the caller's connection.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self.bytes_written = 0
         self.closed = False
         self._socket = sock
-        self._held = b""
-        self._holds = False
+        self._buffer = b""
+        self._is_buffering = False
 
     @contextmanager
     def buffering(self) -> Iterator[None]:
-        """Hold back what is written meanwhile, to go out with what is written next."""
-        self._holds = True
+        """Buffer what is written in this context, to be sent with the next write."""
+        self._is_buffering = True
         try:
             yield
         finally:
-            self._holds = False
+            self._is_buffering = False
 
     def flush_buffered(self) -> None:
-        """Send what is still held back."""
-        if self._held:
+        """Send the buffered data."""
+        if self._buffer:
             self.write(b"")
 
     def write(self, data: bytes) -> int:
-        """Send everything; the socket's timeout bounds each wait for a slow caller."""
-        if self._holds:
-            self._held += data
+        """Send all data; the socket's timeout limits each wait for a slow caller."""
+        if self._is_buffering:
+            self._buffer += data
             return len(data)
-        if self._held:
-            data, self._held = self._held + data, b""
+        if self._buffer:
+            data, self._buffer = self._buffer + data, b""
         sent = self._send_now(data)
         if sent < len(data):
-            left = memoryview(data)[sent:]
-            while left:
-                left = left[self._socket.send(left) :]
+            remaining = memoryview(data)[sent:]
+            while remaining:
+                remaining = remaining[self._socket.send(remaining) :]
         self.bytes_written += len(data)
         return len(data)
 
     def _send_now(self, data: bytes) -> int:
-        """Send what the system takes at once; return how many bytes.
+        """Send what the socket accepts without blocking; return the number of bytes.
 
-        The socket's own ``send`` first asks whether it may: a second system
-        call, and a second wait for the interpreter lock, for each event.
+        ``socket.send`` with a timeout polls first, which costs a second system call and a second
+        wait for the interpreter lock for each event.
         """
         try:
             return os.write(self._socket.fileno(), data)
@@ -70,22 +69,22 @@
             return 0
 
     def flush(self) -> None:
-        """Do nothing: nothing is held back."""
+        """Do nothing, since ``write`` sends at once."""
 
     def close(self) -> None:
-        """Take no more data; the connection closes the socket itself."""
+        """Mark the writer as closed; the connection closes the socket itself."""
         self.closed = True
 
 
 class Request(server.HTTPRequest):
-    """A request whose answer's head goes out with the first bytes of its body.
+    """A request whose response headers are sent with the first bytes of the body.
 
-    In a send of its own it would wake the caller for nothing, and the thread
-    would wait for the interpreter lock once more before the first token.
+    A send of their own would wake the caller for nothing, and the thread would wait for the
+    interpreter lock once more before the first token.
     """
 
     def send_headers(self) -> None:
-        """Write the head, to be sent with what follows it."""
+        """Buffer the headers, to be sent with the data that follows."""
         writer = self.conn.wfile
         if not isinstance(writer, SocketWriter):
             super().send_headers()
@@ -94,22 +93,22 @@
             super().send_headers()
 
     def respond(self) -> None:
-        """Answer the request; a head that nothing followed goes out here."""
+        """Answer the request; send the headers now if no body followed them."""
         super().respond()
         if isinstance(self.conn.wfile, SocketWriter):
             self.conn.wfile.flush_buffered()
 
 
 class Connection(server.HTTPConnection):
-    """A connection whose answers go straight to the socket, unless TLS is between."""
+    """A connection that writes directly to its socket, unless it uses TLS."""
 
     RequestHandlerClass = Request
 
     def __init__(
         self, http_server: Any, sock: socket.socket, make_file: Any = makefile.MakeFile
     ) -> None:
-        direct = make_file is makefile.MakeFile
-        super().__init__(http_server, sock, _make_file if direct else make_file)
+        is_plain = make_file is makefile.MakeFile
+        super().__init__(http_server, sock, _make_file if is_plain else make_file)
 
 
 def _make_file(sock: socket.socket, mode: str, buffer_bytes: int) -> Any:
--- a/poplarrun/server/_daemon.py
+++ b/poplarrun/server/_daemon.py
@@ -1,4 +1,4 @@
-"""One entry host as a daemon: the loop, the HTTP server and the planned stop."""
+"""The daemon of an entry host: event loop, HTTP server and planned stop."""
 
 import gc
 import logging
@@ -20,25 +20,29 @@
 from poplarrun.logging import component_logger, configure_logging
 from poplarrun.server._callers import CallersApi
 from poplarrun.server._host import EntryHost
-from poplarrun.server._http_server import ReloadableCertificate, make_server, start_more_threads
+from poplarrun.server._http_server import (
+    ReloadableCertificate,
+    make_server,
+    start_remaining_threads,
+)
 from poplarrun.server._loop_bridge import LoopBridge
 from poplarrun.server._messages import Leave
 from poplarrun.server._observers import RootApi
 from poplarrun.settings import HostSettings, PlatformTlsSettings
 
-DRAIN_POLL_S = 0.05
-CERTIFICATE_POLL_S = 5.0
-SERVER_CLOSE_BOUND_S = 3.0
-# Exit code of a stop that left requests open.
-EXIT_STILL_OPEN = 1
-# Of the requests still open at the bound, so many are named in the log.
-NAMED_REQUESTS = 20
+DRAIN_POLL_INTERVAL_S = 0.05
+CERTIFICATE_POLL_INTERVAL_S = 5.0
+SERVER_CLOSE_TIMEOUT_S = 3.0
+# Exit code if requests were still open at the end of the drain.
+EXIT_REQUESTS_OPEN = 1
+# Number of still open requests whose ids are logged at the end of the drain.
+MAX_LOGGED_REQUESTS = 20
 
 
-# Objects made before a collection of the youngest, and collections of each
-# generation before one of the next. A request makes some hundreds that are freed
-# without the collector.
-COLLECTOR_THRESHOLDS = (10_000, 20, 20)
+# Allocations before a garbage collection of the youngest generation, and collections of each
+# generation before one of the next. A request allocates some hundreds of objects, which are
+# freed without the collector.
+GC_THRESHOLDS = (10_000, 20, 20)
 
 
 class Daemon:
@@ -80,95 +84,100 @@
         self._log = component_logger("daemon")
 
     def start(self) -> None:
-        """Start the loop and serve HTTP on threads of their own."""
+        """Start the event loop and the HTTP server on threads of their own."""
         self.loop_bridge.start()
         self.loop_bridge.loop.call_soon_threadsafe(self.host.start_tasks)
         self._server.prepare()
         threading.Thread(target=self._server.serve, name="http", daemon=True).start()
-        more = (self._server, self.host.settings)
-        threading.Thread(target=start_more_threads, args=more, name="grow", daemon=True).start()
+        args_for_threads = (self._server, self.host.settings)
+        threading.Thread(
+            target=start_remaining_threads, args=args_for_threads, name="grow", daemon=True
+        ).start()
         if self._certificate is not None:
             threading.Thread(target=self._watch_certificate, name="tls", daemon=True).start()
-        self._log.info("Serving.", extra={"address": self.host.settings.listen})
+        self._log.info("Listening for HTTP requests.", extra={"address": self.host.settings.listen})
 
     def stop(self) -> int:
-        """Stop without cutting off a request; return how many were still open at the bound.
+        """Stop gracefully; return the number of requests still open at the drain timeout.
 
-        First the host shows itself not ready and still serves, until the
-        balancer has noticed. Then it refuses new requests, waits for the open
-        ones, hands over what it keeps and leaves the other hosts.
+        First the host reports that it isn't ready but still serves, until the balancer has
+        noticed. Then it refuses new requests, waits for the open ones, hands over its leases,
+        limits, outcomes and bills, and leaves the other hosts.
         """
         self.host.readiness.is_leaving = True
-        self._log.info("Leaving.", extra={"open_requests": self.host.router.open_requests})
+        self._log.info(
+            "Stop requested; waiting for the balancer to notice.",
+            extra={"open_requests": self.host.router.open_requests},
+        )
         time.sleep(self.host.settings.stop.balancer_time_s)
         self.host.readiness.is_stopping = True
-        left = self._drain()
+        open_requests = self._drain()
         self._close_server()
         self.loop_bridge.ask(Leave())
         self.loop_bridge.stop()
         self._stopped.set()
-        self._log.info("Stopped.", extra={"open_requests": left})
-        return left
+        self._log.info("The host has stopped.", extra={"open_requests": open_requests})
+        return open_requests
 
     def _drain(self) -> int:
-        """Wait for open requests up to the bound; name those that are left."""
+        """Wait for open requests up to the drain timeout; log those that are left."""
         deadline = time.monotonic() + self.host.settings.stop.drain_bound_s
         while self.host.router.open_requests and time.monotonic() < deadline:
-            time.sleep(DRAIN_POLL_S)
-        left = self.host.router.open_requests
-        if left:
-            ids = list(self.host.router.open_request_ids())[:NAMED_REQUESTS]
+            time.sleep(DRAIN_POLL_INTERVAL_S)
+        open_requests = self.host.router.open_requests
+        if open_requests:
+            ids = list(self.host.router.open_request_ids())[:MAX_LOGGED_REQUESTS]
             self._log.warning(
-                "Requests are still open at the bound.",
-                extra={"open_requests": left, "request_ids": ids},
+                "Requests are still open at the drain timeout.",
+                extra={"open_requests": open_requests, "request_ids": ids},
             )
-        return left
+        return open_requests
 
     def _close_server(self) -> None:
-        """Close the port and the connections; don't wait for threads that still write.
+        """Close the port and the connections without waiting for threads that still write.
 
-        The server joins each of its threads without a bound, so a stream that
-        outlasts the stop's bound would hold the process until it ends.
+        The server joins each of its threads without a timeout, so that a stream longer than
+        the drain timeout would keep the process running until its end.
         """
         closing = threading.Thread(target=self._server.stop, name="close", daemon=True)
         closing.start()
-        closing.join(SERVER_CLOSE_BOUND_S)
+        closing.join(SERVER_CLOSE_TIMEOUT_S)
 
     def _watch_certificate(self) -> None:
         assert self._certificate is not None
-        while not self._stopped.wait(CERTIFICATE_POLL_S):
+        while not self._stopped.wait(CERTIFICATE_POLL_INTERVAL_S):
             if self._certificate.reload():
-                self._log.info("A new certificate is in use.")
+                self._log.info("The TLS certificate for callers was reloaded.")
 
 
-def _calm_collector() -> None:
-    """Leave what stays for the process's whole life out of the collection of garbage.
+def _tune_garbage_collector() -> None:
+    """Exclude the objects that live as long as the process from garbage collection.
 
-    A full collection stops every thread: over the modules and tables of a host
-    alone it took 14 to 20 ms, which the first tokens of that moment waited.
+    A full collection stops all threads. The modules and tables of a host alone took 14 to
+    20 ms, which delayed first tokens.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def run_daemon(settings: HostSettings) -> int:
-    """Serve until a signal comes; return the exit code."""
+    """Serve until a signal arrives; return the exit code."""
     configure_logging(settings.name)
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopped.set())
     daemon = Daemon(settings)
     daemon.start()
-    _calm_collector()
+    _tune_garbage_collector()
     stopped.wait()
-    left = daemon.stop()
-    if left:
-        # Threads that still write an answer would keep the interpreter alive.
-        # Lines wait up to a tenth of a second for their thread; the last one says what
-        # was still open.
+    open_requests = daemon.stop()
+    if open_requests:
+        # Threads that still write an answer would keep the interpreter running, so it exits
+        # without them. Log lines wait up to a tenth of a second for the writer thread, and the
+        # last one reports the open requests, so the log is flushed first.
         logging.shutdown()
-        os._exit(EXIT_STILL_OPEN)
+        os._exit(EXIT_REQUESTS_OPEN)
     return 0
 
 
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the endpoints part: host list, load reports, cache events."""
+"""Periodic tasks that keep the endpoint table up to date."""
 
 import asyncio
 import math
@@ -10,18 +10,18 @@
 from poplarrun.hosts import ListedHostTable, Peers
 from poplarrun.metrics import Metrics
 
-FIRST_REPORTS_BOUND_S = 2.0
+FIRST_REPORTS_TIMEOUT_S = 2.0
 
 InThread = Callable[..., Awaitable[Any]]
 
 
 class EndpointTasks:
-    """Keeps a host's knowledge of the endpoints; its steps run on the loop.
+    """Reads the host list, load reports and cache events; its steps run on the event loop.
 
     Parameters
     ----------
     table : EndpointTable
-        The endpoints that the host knows.
+        The table to update.
     peers : Peers
         The other hosts.
     host_list, engine
@@ -31,12 +31,12 @@
     in_thread : callable
         Runs a blocking call on a thread and awaits it.
     clock : callable
-        Seconds, monotonic.
+        Monotonic clock, in seconds.
 
     Attributes
     ----------
     host_list_read_at : float, optional
-        When the host list first answered.
+        When the host list was first read.
     entry_hosts : ListedHosts
         The entry hosts of the list.
     """
@@ -63,19 +63,19 @@
         self._clock = clock
 
     def has_engine_reports(self) -> bool:
-        """Tell whether the engines told what they have loaded, or had the time to.
+        """Return whether all engines reported their loaded versions, or had the time to.
 
-        Before that a fresh host would refuse requests that others can serve.
+        Before that a new host would refuse requests that other hosts can serve.
         """
         if self.host_list_read_at is None:
             return False
-        if self._clock() - self.host_list_read_at > FIRST_REPORTS_BOUND_S:
+        if self._clock() - self.host_list_read_at > FIRST_REPORTS_TIMEOUT_S:
             return True
         engines = [e for e in self._endpoints.list_endpoints() if e.kind is HostKind.MODEL_ENGINE]
         return all(e.measured_at > -math.inf or e.consecutive_failures > 0 for e in engines)
 
     async def update_host_list(self) -> None:
-        """Take over the platform's host list."""
+        """Read the platform's host list and apply it."""
         match await self._in_thread(self._host_list.read):
             case ListUnavailable():
                 self._metrics.count_event("host_list_failed")
@@ -85,32 +85,32 @@
                 self.host_list_read_at = self.host_list_read_at or self._clock()
 
     async def poll_loads(self) -> None:
-        """Ask the engines that fall to this host for their loads."""
+        """Request the loads of the engines that this host is responsible for."""
         self._sharing.update_assignment()
-        polled = self._sharing.list_engines_to_poll(self._clock())
-        await asyncio.gather(*(self._poll_load(engine) for engine in polled))
+        polled_engines = self._sharing.list_engines_to_poll(self._clock())
+        await asyncio.gather(*(self._poll_load(engine) for engine in polled_engines))
 
     async def _poll_load(self, endpoint: Endpoint) -> None:
-        began = self._clock()
+        started_at = self._clock()
         match await self._in_thread(self._engine.fetch_load, endpoint.address):
             case LoadReport() as report:
                 now = self._clock()
-                self._endpoints.observe_link_latency(endpoint.zone, now - began)
+                self._endpoints.observe_link_latency(endpoint.zone, now - started_at)
                 self._endpoints.apply_report(endpoint.name, report, now)
             case EngineFailed(reason=reason):
                 self._metrics.count_event("load_report_failed")
                 self._endpoints.record_failure(endpoint.name, self._clock(), reason)
 
     async def share_loads(self) -> None:
-        """Pass on the loads polled here, and take in what others passed on."""
+        """Publish the loads polled by this host, and apply those published by others."""
         now = self._clock()
         self._sharing.publish(now)
         self._sharing.apply_published(now)
 
     async def poll_cache_events(self) -> None:
-        """Ask the engines that this host follows for their cache events."""
-        followed = self._sharing.list_event_sources()
-        await asyncio.gather(*(self._poll_events(engine) for engine in followed))
+        """Request the cache events of the engines that this host follows."""
+        followed_engines = self._sharing.list_event_sources()
+        await asyncio.gather(*(self._poll_events(engine) for engine in followed_engines))
 
     async def _poll_events(self, endpoint: Endpoint) -> None:
         after = self._endpoints.prefixes.last_event_number(endpoint.name)
--- a/poplarrun/server/_host.py
+++ b/poplarrun/server/_host.py
@@ -1,4 +1,4 @@
-"""An entry host's loop side: the parts, their tasks, and the messages they answer."""
+"""The event-loop side of an entry host: its parts, periodic tasks and message handlers."""
 
 import asyncio
 import random
@@ -54,29 +54,29 @@
 from poplarrun.settings import HostSettings
 from poplarrun.versions import SessionRegistry, VersionManager
 
-HOST_LIST_POLL_S = 0.5
-LOAD_POLL_S = 0.25
-LOAD_SHARE_S = 0.5
-EVENTS_POLL_S = 0.5
-# Of the threads that carry bytes, those that may be held by waiting requests:
-# the rest must stay free for streams, and for refusals that cost no waiting.
-QUEUED_SHARE_OF_THREADS = 0.25
-TEND_CLAIMS_S = 60.0
-TEND_LEASES_S = 0.5
-TEND_BILLS_S = 1.0
-TEND_BILL_SNAPSHOTS_S = 10.0
-STEWARD_PERIOD_S = 0.25
-EVIDENCE_PERIOD_S = 1.0
-RATINGS_POLL_S = 0.25
-ORDERS_PERIOD_S = 1.0
+HOST_LIST_POLL_INTERVAL_S = 0.5
+LOAD_POLL_INTERVAL_S = 0.25
+LOAD_SHARE_INTERVAL_S = 0.5
+CACHE_EVENTS_POLL_INTERVAL_S = 0.5
+# Fraction of the worker threads that queued requests may occupy. The rest must stay free for
+# streams, and for requests that are refused at once.
+MAX_QUEUED_THREAD_FRACTION = 0.25
+CLAIM_SNAPSHOTS_INTERVAL_S = 60.0
+LEASES_INTERVAL_S = 0.5
+BILLS_INTERVAL_S = 1.0
+BILL_SNAPSHOTS_INTERVAL_S = 10.0
+ROLLOUT_CONTROLLER_INTERVAL_S = 0.25
+EVIDENCE_INTERVAL_S = 1.0
+RATINGS_INTERVAL_S = 0.25
+ORDERS_INTERVAL_S = 1.0
 BLOCKING_THREADS = 32
-HAND_OVER_BOUND_S = 5.0
+HAND_OVER_TIMEOUT_S = 5.0
 
 T = TypeVar("T")
 
 
 class EntryHost:
-    """Everything of a host that lives on the loop.
+    """The parts of a host that run on the event loop.
 
     Parameters
     ----------
@@ -85,13 +85,13 @@
     log, host_list, engine
         Adapters to the platform; their blocking calls run on a thread pool.
     clock : callable
-        Seconds, monotonic.
+        Monotonic clock, in seconds.
     peers : Peers, optional
-        The other hosts; made from the settings when left out.
+        The other hosts; by default created from the settings.
     ratings : Ratings, optional
         The rating service.
     orders, weights : Orders and WeightStore, optional
-        The way of orders to engines; over HTTP and without a store when left out.
+        Adapters to send orders to engines, by default over HTTP, and to the weight store.
     """
 
     def __init__(
@@ -118,26 +118,28 @@
         self._clock = clock
         self._endpoints = EndpointTable(settings.zone, random.Random(settings.name))
         self._limits = AccountLimits(self.peers)
-        self._held = QueuedChats()
-        self._pool = ThreadPoolExecutor(BLOCKING_THREADS, thread_name_prefix="platform")
+        self._queued_chats = QueuedChats()
+        self._thread_pool = ThreadPoolExecutor(BLOCKING_THREADS, thread_name_prefix="platform")
         self._endpoint_tasks = EndpointTasks(
             self._endpoints, self.peers, host_list, engine, self.metrics, self._in_thread, clock
         )
-        awaited_log = ThreadedLog(log, self._in_thread)
-        count = self.metrics.count_event
-        self.claims = ClaimManager(self.peers, awaited_log, clock, time.time, count)
-        self.billing = BillReplicator(self.peers, awaited_log, clock, time.time, count)
-        self._bill_snapshots = BillSnapshots(self.peers, awaited_log, clock, time.time, count)
+        threaded_log = ThreadedLog(log, self._in_thread)
+        count_event = self.metrics.count_event
+        self.claims = ClaimManager(self.peers, threaded_log, clock, time.time, count_event)
+        self.billing = BillReplicator(self.peers, threaded_log, clock, time.time, count_event)
+        self._bill_snapshots = BillSnapshots(
+            self.peers, threaded_log, clock, time.time, count_event
+        )
         bias = settings.platform.ratings_bias
         versions = VersionManager(self.peers.me, random.Random(settings.name), bias)
         self.leases = LeaseManager(
-            awaited_log,
+            threaded_log,
             self.peers,
             self.metrics,
             random.Random(settings.name),
             clock,
         )
-        queue_bound = max(1, int(settings.limits.threads * QUEUED_SHARE_OF_THREADS))
+        queue_bound = max(1, int(settings.limits.threads * MAX_QUEUED_THREAD_FRACTION))
         self.router = Router(self._endpoints, self.metrics, versions, queue_bound)
         self.router.context.limits = self._limits
         self.router.operations.claims = self.claims
@@ -169,7 +171,7 @@
             self.peers,
             self.metrics,
             self._in_thread,
-            self._note_config,
+            self._apply_config,
             random.Random(settings.name),
             clock,
             keys=keys_of(settings),
@@ -188,49 +190,49 @@
         )
 
     def start_tasks(self) -> None:
-        """Start the parts' tasks; called on the loop."""
+        """Start the periodic tasks; called on the event loop."""
         self.peers.start()
-        for step, period_s in (
-            (self._endpoint_tasks.update_host_list, HOST_LIST_POLL_S),
-            (self._endpoint_tasks.poll_loads, LOAD_POLL_S),
-            (self._endpoint_tasks.share_loads, LOAD_SHARE_S),
-            (self._endpoint_tasks.poll_cache_events, EVENTS_POLL_S),
+        for step, interval_s in (
+            (self._endpoint_tasks.update_host_list, HOST_LIST_POLL_INTERVAL_S),
+            (self._endpoint_tasks.poll_loads, LOAD_POLL_INTERVAL_S),
+            (self._endpoint_tasks.share_loads, LOAD_SHARE_INTERVAL_S),
+            (self._endpoint_tasks.poll_cache_events, CACHE_EVENTS_POLL_INTERVAL_S),
             (self._share_limits, ROUND_INTERVAL_S),
-            (self.claims.write_due_snapshots, TEND_CLAIMS_S),
-            (self.leases.run_round, TEND_LEASES_S),
-            (self.billing.run_round, TEND_BILLS_S),
-            (self._bill_snapshots.write_due_snapshots, TEND_BILL_SNAPSHOTS_S),
-            (self._version_tasks.exchange_evidence, EVIDENCE_PERIOD_S),
-            (self._version_tasks.run_rollout_controller, STEWARD_PERIOD_S),
-            (self._version_tasks.rate_answers, RATINGS_POLL_S),
-            (self._order_tasks.share_demand, ORDERS_PERIOD_S),
-            (self._order_tasks.run_orders, ORDERS_PERIOD_S),
+            (self.claims.write_due_snapshots, CLAIM_SNAPSHOTS_INTERVAL_S),
+            (self.leases.run_round, LEASES_INTERVAL_S),
+            (self.billing.run_round, BILLS_INTERVAL_S),
+            (self._bill_snapshots.write_due_snapshots, BILL_SNAPSHOTS_INTERVAL_S),
+            (self._version_tasks.exchange_evidence, EVIDENCE_INTERVAL_S),
+            (self._version_tasks.run_rollout_controller, ROLLOUT_CONTROLLER_INTERVAL_S),
+            (self._version_tasks.rate_answers, RATINGS_INTERVAL_S),
+            (self._order_tasks.share_demand, ORDERS_INTERVAL_S),
+            (self._order_tasks.run_orders, ORDERS_INTERVAL_S),
         ):
-            self._tasks.run_periodically(step, partial(asyncio.sleep, period_s))
+            self._tasks.run_periodically(step, partial(asyncio.sleep, interval_s))
         self._tasks.run_periodically(self._follow_config, self.config.wait)
         self._tasks.run_periodically(self._version_tasks.follow_rollouts, self._version_tasks.wait)
-        self._tasks.run_periodically(self._release_held, self._held.wait)
+        self._tasks.run_periodically(self._release_queued, self._queued_chats.wait)
 
     def handle(self, message: object) -> Any:
-        """Answer one message; the only entry for other threads.
+        """Answer one message; the only entry point for other threads.
 
-        The bills that it made outlive this host before the answer goes out:
-        a caller that has its whole answer is billed, whatever dies then.
+        Bills that the message created are replicated before the answer is returned, so that a
+        caller that got its whole answer is billed even if this host dies afterwards.
         """
-        answer = self._answer(message)
-        self._hand_entries_on()
+        answer = self._handle_message(message)
+        self._pass_bills_to_billing()
         self._borrow_limits()
         bills, self.router.context.bills = self.router.context.bills, []
-        return self._keep_bills(bills, answer) if bills else answer
+        return self._answer_after_replication(bills, answer) if bills else answer
 
     def _borrow_limits(self) -> None:
         for account in self.router.context.limited_accounts:
-            wanted = self._limits.compute_shortfall(account)
-            if wanted is not None:
-                self._tasks.spawn(self._limits.borrow(wanted))
+            shortfall = self._limits.compute_shortfall(account)
+            if shortfall is not None:
+                self._tasks.spawn(self._limits.borrow(shortfall))
         self.router.context.limited_accounts.clear()
 
-    def _hand_entries_on(self) -> None:
+    def _pass_bills_to_billing(self) -> None:
         context = self.router.context
         for bill in context.opened_bills:
             self.billing.open_bill(bill)
@@ -238,11 +240,11 @@
             self.billing.cancel_bill(bill_id)
         context.opened_bills, context.closed_bill_ids = [], []
 
-    async def _keep_bills(self, bills: list[Bill], answer: Any) -> Any:
+    async def _answer_after_replication(self, bills: list[Bill], answer: Any) -> Any:
         await asyncio.gather(*(self.billing.replicate(bill) for bill in bills))
         return answer
 
-    def _answer(self, message: object) -> Any:
+    def _handle_message(self, message: object) -> Any:
         now = self._clock()
         match message:
             case BeginChat() | BeginOperation() if refusal := self.readiness.check_request():
@@ -267,7 +269,7 @@
                 return self.router.chats.judge(message, now)
             case EndChat():
                 bill = self.router.chats.end(message, now)
-                self._answer_held()
+                self._resolve_released()
                 return bill
             case EndOperation():
                 return self.router.operations.end(message)
@@ -291,62 +293,64 @@
         answer = self.router.chats.begin(message, now)
         if not isinstance(answer, Queued):
             return answer
-        started = self._held.add(message.request_id)
-        # It may have taken the place of a less important one, which hears now.
-        self._answer_held()
-        return started
+        queued_result = self._queued_chats.add(message.request_id)
+        # The request may have evicted a less important one, which is refused now.
+        self._resolve_released()
+        return queued_result
 
     async def _begin_in_session(self, message: BeginChat) -> Any:
         request = await self.router.sessions.pin(message)
         if isinstance(request, Refusal):
             return request
-        # The host may have begun its stop meanwhile, and does not wait for a
-        # request that has not begun.
+        # The host may have started its stop meanwhile, which doesn't wait for a request
+        # that hasn't started.
         refusal = self.readiness.check_request()
         if refusal is not None:
             return refusal
         answer = self._begin_chat(request, self._clock())
         return await answer if asyncio.iscoroutine(answer) else answer
 
-    def _answer_held(self) -> None:
-        self._held.resolve(self.router.chats.release_queued(self._clock()))
+    def _resolve_released(self) -> None:
+        self._queued_chats.resolve(self.router.chats.release_queued(self._clock()))
 
-    async def _release_held(self) -> None:
-        if len(self._held):
-            self._answer_held()
-            self._hand_entries_on()
+    async def _release_queued(self) -> None:
+        if len(self._queued_chats):
+            self._resolve_released()
+            self._pass_bills_to_billing()
 
     async def hand_leases_over(self) -> None:
-        """Hand the jobs of this host over."""
+        """Release all leases of this host."""
         await self.leases.release_all()
 
     async def hand_limits_over(self) -> None:
-        """Give this host's parts of the account limits to another host of its zone."""
+        """Hand this host's shares of the account limits to another host of its zone."""
         await self._limits.hand_over()
 
     async def settle_outcomes(self) -> None:
-        """Put the outcomes and bills that are left into the log; peers finish the rest."""
+        """Append the remaining outcomes and bills to the log; peers append what is left."""
         await asyncio.gather(self.claims.drain(), self.billing.drain())
 
     async def _leave(self) -> None:
-        """Hand over what this host keeps, each part within a bound, then leave the others."""
+        """Hand over the host's duties, each with a timeout, and then leave the other hosts."""
         for hand_over in self.on_leave:
             try:
-                await asyncio.wait_for(hand_over(), HAND_OVER_BOUND_S)
+                await asyncio.wait_for(hand_over(), HAND_OVER_TIMEOUT_S)
             except TimeoutError:
                 self.metrics.count_event("hand_over_timed_out")
-                self._log.warning("Not handed over.", extra={"part": hand_over.__name__})
+                self._log.warning(
+                    "A hand-over to other hosts timed out.", extra={"part": hand_over.__name__}
+                )
         await self.peers.leave()
 
     async def _in_thread(self, call: Callable[..., T], *arguments: Any) -> T:
-        return await asyncio.get_running_loop().run_in_executor(self._pool, call, *arguments)
+        return await asyncio.get_running_loop().run_in_executor(self._thread_pool, call, *arguments)
 
     async def _follow_config(self) -> None:
         await self.config.follow()
         publish_offset(self.peers, self.config.state.offset)
 
-    def _note_config(self, state: Configuration, verdict: Verdict) -> None:
-        """Put a new state of the configuration in force."""
+    def _apply_config(self, state: Configuration, verdict: Verdict) -> None:
+        """Apply a new state of the configuration, and log the verdict on its record."""
         self.router.context.configuration = state
         self.router.context.versions.apply_configuration(state)
         match verdict:
@@ -354,11 +358,14 @@
                 self._log.info("Configuration in force.", extra={"offset": offset})
             case Refused(reason=reason):
                 self.metrics.count_event("config_record_unsigned")
-                self._log.warning("Record refused.", extra={"reason": reason})
+                self._log.warning("A configuration record was refused.", extra={"reason": reason})
             case Ignored(reason=reason):
-                self._log.info("Record ignored.", extra={"reason": reason})
+                self._log.info("A configuration record was ignored.", extra={"reason": reason})
             case _:
-                self._log.info("Publication refused.", extra={"verdict": type(verdict).__name__})
+                self._log.info(
+                    "A configuration publication was refused.",
+                    extra={"verdict": type(verdict).__name__},
+                )
 
     async def _share_limits(self) -> None:
         accounts = self.router.context.configuration.document.accounts.values()
--- a/poplarrun/server/_http_server.py
+++ b/poplarrun/server/_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a host: CherryPy on cheroot, its bounds and its certificate."""
+"""The HTTP server of a host: CherryPy on cheroot, with limits and a reloadable certificate."""
 
 import socket
 import ssl
@@ -15,23 +15,23 @@
 from poplarrun.server._connections import Connection
 from poplarrun.settings import CallersTls, HostSettings
 
-REQUEST_QUEUE = 512
-# Threads that a host starts with; the rest start while it already serves. On a
-# busy machine 256 threads took a second, a third of a host's time to be ready.
-FIRST_THREADS = 24
+REQUEST_QUEUE_SIZE = 512
+# Threads that are started before the server serves; the rest start while it already serves.
+# On a busy machine 256 threads took a second, a third of the time until a host was ready.
+INITIAL_THREADS = 24
 MAX_HEADER_BYTES = 32_768
-# A socket that neither sends nor takes a byte for so long is closed: a
-# half-open or very slow caller must not hold a thread.
+# Seconds without any data in either direction after which a socket is closed, so that a
+# half-open or very slow connection doesn't occupy a thread.
 SOCKET_TIMEOUT_S = 10
-# Longest wait for an answer's last bytes to go out, after the last request ended.
+# Maximum time in seconds to send the last bytes of answers after the last request ended.
 SHUTDOWN_TIMEOUT_S = 5
 
 
-class _LateHandshakeAdapter(BuiltinSSLAdapter):
-    """Shakes hands on the connection's own thread instead of the accepting one.
+class _DeferredHandshakeAdapter(BuiltinSSLAdapter):
+    """Performs the TLS handshake on the thread of the connection, not on the accepting one.
 
-    cheroot would shake hands where it accepts: one caller that connects and
-    stays silent would keep all others out for the whole socket timeout.
+    cheroot performs the handshake in the accept loop, where one caller that connects and stays
+    silent would block all others for the whole socket timeout.
     """
 
     def wrap(self, sock: socket.socket) -> tuple[ssl.SSLSocket, dict[str, str]]:
@@ -41,33 +41,34 @@
 
 
 class ReloadableCertificate:
-    """The certificate that callers see; it can be renewed while the server runs."""
+    """The TLS certificate for callers, which can be replaced while the server runs."""
 
     def __init__(self, files: CallersTls) -> None:
         self._files = files
-        self._changed_at = self._read_change()
-        self.adapter = _LateHandshakeAdapter(str(files.certificate), str(files.key))
+        self._modified_at = self._read_modified_at()
+        self.adapter = _DeferredHandshakeAdapter(str(files.certificate), str(files.key))
 
     def reload(self) -> bool:
-        """Take new files up for connections from now on; tell whether there were any."""
-        changed_at = self._read_change()
-        if changed_at in (0.0, self._changed_at):
+        """Load changed files for new connections; return whether they were loaded."""
+        modified_at = self._read_modified_at()
+        if modified_at in (0.0, self._modified_at):
             return False
-        self._changed_at = changed_at
-        # Loaded into the context in use, a certificate would for a moment, or until the key
-        # follows, stand there with the old key, and handshakes would fail.
+        self._modified_at = modified_at
+        # A new context is created, since a certificate loaded into the current one would be
+        # used with the old key until the new key is loaded, and handshakes would fail.
         try:
-            fresh = _LateHandshakeAdapter(str(self._files.certificate), str(self._files.key))
+            reloaded = _DeferredHandshakeAdapter(str(self._files.certificate), str(self._files.key))
         except OSError as error:
-            # A half-written file: the old certificate stays, the next change is tried again.
+            # The file is incomplete: the old certificate is used until the next change.
             component_logger("http").warning(
-                "A certificate can't be read.", extra={"reason": str(error)}
+                "The TLS certificate or key can't be loaded; the previous one stays in use.",
+                extra={"reason": str(error)},
             )
             return False
-        self.adapter.context = fresh.context
+        self.adapter.context = reloaded.context
         return True
 
-    def _read_change(self) -> float:
+    def _read_modified_at(self) -> float:
         try:
             return max(float(p.stat().st_mtime) for p in (self._files.certificate, self._files.key))
         except OSError:
@@ -75,11 +76,11 @@
 
 
 class _Server(wsgi.Server):
-    """Logs what cheroot has to say, such as a failed handshake, in the host's own form."""
+    """Logs errors of cheroot, such as a failed handshake, in the host's log format."""
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
         component_logger("http").log(
-            level, "The server.", extra={"reason": msg}, exc_info=traceback
+            level, "The HTTP server reported an error.", extra={"reason": msg}, exc_info=traceback
         )
 
 
@@ -89,11 +90,11 @@
     certificate: ReloadableCertificate | None,
     is_leaving: Callable[[], bool],
 ) -> wsgi.Server:
-    """Return the server of a host, not listening yet."""
+    """Create the server of a host, which isn't listening yet."""
 
     def close_when_leaving() -> None:
-        # A caller that keeps its connection would send its next request into
-        # the moment at which the host closes it, and see a break.
+        # A caller that keeps its connection open could send its next request just when the
+        # host closes it, and get a connection error.
         if is_leaving():
             cherrypy.response.headers["Connection"] = "close"
 
@@ -108,14 +109,14 @@
         }
     }
     application = cherrypy.Application(root, "", config)
-    application.log.access = _log_no_access
+    application.log.access = _skip_access_log
     application.log.error_log.propagate = False
     ip, _, port = settings.listen.rpartition(":")
     server = _Server(
         (ip, int(port)),
         application,
-        numthreads=min(FIRST_THREADS, settings.limits.threads),
-        request_queue_size=REQUEST_QUEUE,
+        numthreads=min(INITIAL_THREADS, settings.limits.threads),
+        request_queue_size=REQUEST_QUEUE_SIZE,
         timeout=SOCKET_TIMEOUT_S,
         shutdown_timeout=SHUTDOWN_TIMEOUT_S,
     )
@@ -126,20 +127,20 @@
     return server
 
 
-def start_more_threads(server: wsgi.Server, settings: HostSettings) -> None:
-    """Start the threads that ``make_server`` left out; called once the server serves."""
-    server.requests.grow(max(0, settings.limits.threads - FIRST_THREADS))
+def start_remaining_threads(server: wsgi.Server, settings: HostSettings) -> None:
+    """Start the threads that ``make_server`` didn't; called once the server serves."""
+    server.requests.grow(max(0, settings.limits.threads - INITIAL_THREADS))
 
 
-def _log_no_access() -> None:
-    """Spare the work of an access line: metrics count the requests, `explain` tells of each."""
+def _skip_access_log() -> None:
+    """Write no access log: metrics count the requests, and ``explain`` shows each of them."""
 
 
 def _answer_internal_error() -> None:
-    """Answer a fault of ours in the callers' error form, without a trace of it."""
+    """Answer an unhandled exception in the API's error format, without a traceback."""
     request_id = cherrypy.response.headers.get(REQUEST_ID_HEADER)
     component_logger("http").error(
-        "A handler failed.", exc_info=True, extra={"request_id": request_id}
+        "An HTTP request handler failed.", exc_info=True, extra={"request_id": request_id}
     )
     refusal = Refusal(ErrorKind.INTERNAL, "an internal error; the outcome is unknown")
     cherrypy.response.status = 500
--- a/poplarrun/server/_loop_bridge.py
+++ b/poplarrun/server/_loop_bridge.py
@@ -1,4 +1,4 @@
-"""The one place where worker threads cross into the loop."""
+"""The bridge by which worker threads send messages to the event loop."""
 
 import asyncio
 import inspect
@@ -14,23 +14,23 @@
 
 
 class LoopStopped(Exception):
-    """The loop has stopped; the host is going down."""
+    """The event loop has stopped, because the host is shutting down."""
 
 
 class LoopBridge:
-    """Runs the loop on its own thread and hands typed messages into it.
+    """Runs the event loop on its own thread and passes messages to it.
 
     Parameters
     ----------
     handle : callable
-        Called on the loop with each message; gives the answer, or a coroutine
-        where the answer needs waiting for.
+        Called on the event loop with each message; returns the answer, or a coroutine that
+        returns it.
     """
 
     def __init__(self, handle: Callable[[Any], Any]) -> None:
         self._handle = handle
         self._log = component_logger("crossing")
-        self._waiting: set[asyncio.Task[Any]] = set()
+        self._tasks: set[asyncio.Task[Any]] = set()
         self.loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, name="loop", daemon=True)
 
@@ -44,67 +44,67 @@
         self._thread.join()
 
     def ask(self, message: object, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
-        """Hand a message to the loop and wait for the answer.
+        """Send a message to the event loop and wait for the answer.
 
         Raises
         ------
         CrossingClosed
             When the loop has stopped.
         """
-        answer: Future[Any] = Future()
-        self._hand_over(message, answer)
-        return answer.result(timeout_s)
+        result_future: Future[Any] = Future()
+        self._submit(message, result_future)
+        return result_future.result(timeout_s)
 
     def post(self, message: object) -> None:
-        """Hand a message to the loop without waiting; a failure is only logged.
+        """Send a message to the event loop without waiting; an exception is only logged.
 
         Raises
         ------
         CrossingClosed
             When the loop has stopped.
         """
-        answer: Future[Any] = Future()
-        answer.add_done_callback(self._log_failure)
-        self._hand_over(message, answer)
+        result_future: Future[Any] = Future()
+        result_future.add_done_callback(self._log_failure)
+        self._submit(message, result_future)
 
-    def _hand_over(self, message: object, answer: Future[Any]) -> None:
+    def _submit(self, message: object, result_future: Future[Any]) -> None:
         if not self._thread.is_alive():
             raise LoopStopped
-        self.loop.call_soon_threadsafe(self._answer, message, answer)
+        self.loop.call_soon_threadsafe(self._handle_on_loop, message, result_future)
 
-    def _answer(self, message: object, answer: Future[Any]) -> None:
-        """Answer on the loop; only a message that has to wait costs a task."""
+    def _handle_on_loop(self, message: object, result_future: Future[Any]) -> None:
+        """Handle a message on the event loop; only a coroutine needs a task."""
         try:
             result = self._handle(message)
         except Exception as error:
-            answer.set_exception(error)
+            result_future.set_exception(error)
             return
         if inspect.iscoroutine(result):
             task = self.loop.create_task(result)
-            # The loop holds tasks weakly: one that nothing else names may be
-            # collected while it waits, and its worker would wait for ever.
-            self._waiting.add(task)
-            task.add_done_callback(self._waiting.discard)
-            task.add_done_callback(lambda done: _pass_on(done, answer))
+            # The event loop only holds weak references to tasks. Without another reference, a
+            # waiting task could be garbage-collected, and its worker would wait forever.
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+            task.add_done_callback(lambda done: _copy_result(done, result_future))
             return
-        answer.set_result(result)
+        result_future.set_result(result)
 
-    def _log_failure(self, answer: Future[Any]) -> None:
-        error = answer.exception()
+    def _log_failure(self, result_future: Future[Any]) -> None:
+        error = result_future.exception()
         if error is not None:
-            self._log.log(logging.ERROR, "A message failed.", exc_info=error)
+            self._log.log(logging.ERROR, "A message handler failed.", exc_info=error)
 
     def _run(self) -> None:
         asyncio.set_event_loop(self.loop)
         self.loop.run_forever()
 
 
-def _pass_on(task: asyncio.Task[Any], answer: Future[Any]) -> None:
+def _copy_result(task: asyncio.Task[Any], result_future: Future[Any]) -> None:
     if task.cancelled():
-        answer.set_exception(LoopStopped())
+        result_future.set_exception(LoopStopped())
         return
     error = task.exception()
     if error is not None:
-        answer.set_exception(error)
+        result_future.set_exception(error)
         return
-    answer.set_result(task.result())
+    result_future.set_result(task.result())
--- a/poplarrun/server/_messages.py
+++ b/poplarrun/server/_messages.py
@@ -1,4 +1,4 @@
-"""Messages that only the server's own handlers send into the loop."""
+"""Messages that the HTTP handlers send to the event loop, besides those of the router."""
 
 from dataclasses import dataclass
 
@@ -7,34 +7,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ListClasses:
-    """Asks which classes a key may use."""
+    """Asks for the classes of work that an API key may use."""
 
     api_key: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadStatus:
-    """Asks what this host knows."""
+    """Asks for the status of this host."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadMetrics:
-    """Asks for the metrics as text."""
+    """Asks for the metrics in text form."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReadiness:
-    """Asks what keeps the balancer's callers away; nothing when the host is ready."""
+    """Asks for the reasons why the host isn't ready; the answer is empty if it is."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Asks to hand over what is left and to tell the other hosts of the stop."""
+    """Asks to hand over the host's duties and to announce its stop to the other hosts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Explain:
-    """Asks why a request went where it went."""
+    """Asks how a request was routed and why."""
 
     request_id: str
 
@@ -58,9 +58,11 @@
     Attributes
     ----------
     silent : bool
-        Whether nothing was heard of it for long.
+        Whether no host of the zone was heard for a long time.
+    silence_s : float
+        Seconds since a host of the zone was last heard.
     lowest_offset, highest_offset : int or None
-        Configuration offsets in force there, as last heard.
+        Range of the configuration offsets in force there, as last reported.
     hosts : dict of str to str
         State by host name.
     """
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """Where the roll-out of a version in a class stands.
+    """Progress of the roll-out of a version in a class.
 
     Attributes
     ----------
@@ -84,7 +86,7 @@
     exposure : int
         Requests granted so far, over all hosts.
     state : str
-        ``growing``, ``serving`` or why it was rejected.
+        ``growing``, ``serving`` or the reason of its rejection.
     """
 
     version: str
@@ -96,18 +98,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OrdersStatus:
-    """What the sender of a zone's orders has under way.
+    """The load and unload orders in progress in a zone.
 
     Attributes
     ----------
     fence : int
-        Fencing number of its lease.
+        Fencing token of the sender's lease.
     draining : dict of str to list of str
-        By engine, versions that get no new work there and are then unloaded.
+        By engine, versions that get no new requests there and will be unloaded.
     coming : dict of str to float
-        Expected seconds until a version is loaded that no engine of the zone holds.
+        Expected seconds until a version that no engine of the zone has loaded is available.
     without_room : tuple of str
-        Offered versions that have no place in the zone.
+        Offered versions for which the zone has no capacity.
     """
 
     zone: str
@@ -119,22 +121,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStatus:
-    """What one host knows.
+    """Status of one host.
 
     Attributes
     ----------
     offset : int
-        Configuration offset in force here.
+        Offset of the configuration in force at this host.
     log_age_s : float
         Seconds since the log last answered.
     zones : tuple of ZoneStatus
-        The own zone first.
+        The zones, the host's own one first.
     peer_bytes_sent, peer_bytes_received : int
         Bytes exchanged with the other hosts since the start.
     bills_held, bills_waiting : int
-        Bills in memory here, and those of them that wait for the log.
+        Bills in memory, and those of them that aren't in the log yet.
     outcomes_waiting : int
-        Outcomes and releases of operations that wait for the log.
+        Outcomes and releases of operations that aren't in the log yet.
     """
 
     host: str
--- a/poplarrun/server/_observers.py
+++ b/poplarrun/server/_observers.py
@@ -1,4 +1,4 @@
-"""What the balancer, operators and the metrics collector ask of one host."""
+"""The HTTP API for the balancer, operators and the metrics collector."""
 
 from typing import Any
 
@@ -18,45 +18,45 @@
 class RootApi:
     """``/healthz``, ``/readyz``, ``/metrics``, ``/status``, ``/explain`` and ``/v1``."""
 
-    def __init__(self, crossing: LoopBridge, callers: CallersApi) -> None:
+    def __init__(self, loop: LoopBridge, callers: CallersApi) -> None:
         self.v1 = callers
-        self._crossing = crossing
+        self._loop = loop
 
     @cherrypy.expose
     def healthz(self) -> bytes:
-        """Tell that the process runs and its loop answers."""
-        self._crossing.ask(ReadReadiness())
+        """Return 200 if the process runs and its event loop answers."""
+        self._loop.ask(ReadReadiness())
         return send_json(b'{"healthy": true}')
 
     @cherrypy.expose
     def readyz(self) -> bytes:
-        """Tell the balancer whether callers may come."""
-        missing = self._crossing.ask(ReadReadiness())
+        """Return whether the balancer may send callers to this host."""
+        missing = self._loop.ask(ReadReadiness())
         body = _encode({"ready": not missing, "missing": missing})
         return send_json(body, UNAVAILABLE if missing else OK)
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """Give out the metrics as Prometheus text."""
+        """Return the metrics in the Prometheus text format."""
         cherrypy.response.headers["Content-Type"] = CONTENT_TYPE_LATEST
-        return bytes(self._crossing.ask(ReadMetrics()))
+        return bytes(self._loop.ask(ReadMetrics()))
 
     @cherrypy.expose
     def status(self) -> bytes:
-        """Tell what this host knows."""
-        return send_json(_encode(self._crossing.ask(ReadStatus())))
+        """Return the status of this host."""
+        return send_json(_encode(self._loop.ask(ReadStatus())))
 
     @cherrypy.expose
     def explain(self, request_id: str) -> bytes:
-        """Tell why a request went where it went."""
-        explanation = self._crossing.ask(Explain(request_id))
+        """Return how a request was routed and why."""
+        explanation = self._loop.ask(Explain(request_id))
         if explanation is None:
             return send_json(b'{"error": {"message": "not known here"}}', NOT_FOUND)
         return send_json(_encode(explanation))
 
     @cherrypy.expose
     def default(self, *_: str, **__: Any) -> bytes:
-        """Answer any other path."""
+        """Return 404 for any other path."""
         return send_json(b'{"error": {"message": "no such path", "code": "not_found"}}', NOT_FOUND)
 
 
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the orders part: demand, drains, and the orders of the own zone."""
+"""Periodic tasks that share the demand for versions and send load orders to engines."""
 
 import asyncio
 import math
@@ -46,37 +46,39 @@
 from poplarrun.router import RouterContext
 from poplarrun.server._messages import OrdersStatus
 
-# Engines that tell of no room are asked again after so long.
-NO_ORDERS_S = 30.0
-# Hosts that send no orders look for engines that take them, so many a round.
-PROBED_AT_ONCE = 4
-LOOKED_AT_ONCE = 64
-# Plans take no more of the loop's core than this; a very large zone is planned less often.
-CORE_SHARE = 0.01
+# Time in seconds after which an engine that takes no orders is asked again.
+NO_ORDERS_RETRY_INTERVAL_S = 30.0
+# Engines that a host that isn't a candidate asks in a round whether they take orders, and
+# engines that the lease holder polls in a round.
+MAX_PROBED_ENGINES = 4
+MAX_POLLED_ENGINES = 64
+# Maximum fraction of the event loop's core for planning; a very large zone is planned less
+# often.
+MAX_CORE_FRACTION = 0.01
 
 InThread = Callable[..., Awaitable[Any]]
 
 
 class OpenRequests(Protocol):
-    """Who knows the host's open requests."""
+    """Provides the host's open requests."""
 
     def list_open_work(self) -> list[OpenRequest]:
-        """Return what the open requests ask of the engines."""
+        """Return the open requests."""
 
 
 class OrderTasks:
-    """What the orders part does besides deciding; its steps run on the loop.
+    """Runs the order controller and its communication; its steps run on the event loop.
 
     Parameters
     ----------
     context : RouterContext
         Configuration, endpoints, demand and versions of the host.
     chats : OpenRequests
-        Whose open requests are the demand.
+        Provides the open requests, which are the demand.
     orders : Orders
-        The way to the engines.
+        The adapter to the engines.
     store : WeightStore, optional
-        Without it weights need no leave.
+        The weight store; if None, engines may load weights without permission.
     """
 
     def __init__(
@@ -102,17 +104,17 @@
         self._clock = clock
         self._zone = peers.me.zone
         self._job = f"orders/{self._zone}"
-        self._stands = False
-        self._tells = False
+        self._is_candidate = False
+        self._is_publishing = False
         self._next_plan_at = -math.inf
         self._no_orders_until: dict[str, float] = {}
-        self._beside: set[asyncio.Task[None]] = set()
-        self._heard: dict[str, OrdersSummary] = {}
-        self.holder = OrderController(random.Random(peers.me.name))
+        self._background_tasks: set[asyncio.Task[None]] = set()
+        self._zone_summaries: dict[str, OrdersSummary] = {}
+        self.controller = OrderController(random.Random(peers.me.name))
         self._log = component_logger("orders")
 
     def read_status(self) -> tuple[OrdersStatus, ...]:
-        """Tell which versions come and go in each zone, for operators."""
+        """Return the orders in progress in each zone, for the host status."""
         return tuple(
             OrdersStatus(
                 zone,
@@ -121,26 +123,26 @@
                 summary.load_times_s,
                 tuple(summary.unplaced),
             )
-            for zone, summary in sorted(self._heard.items())
+            for zone, summary in sorted(self._zone_summaries.items())
         )
 
     async def share_demand(self) -> None:
-        """Count the demand, follow the drains, and tell both."""
+        """Measure the demand, apply the drains of all zones, and publish the demand."""
         now = self._clock()
-        self._follow_orders()
-        if not self._stands and not self._heard:
-            # Nobody orders anything: then nobody needs the bytes.
+        self._apply_orders()
+        if not self._is_candidate and not self._zone_summaries:
+            # No host sends orders, so that nobody needs the demand.
             return
         open_work = self._chats.list_open_work()
         self._context.demand.close_round(open_work, now)
         summary = self._context.demand.summarize(now)
         summary.applied_revisions = {
-            zone: h.revision for zone, h in self._heard.items() if h.draining
+            zone: h.revision for zone, h in self._zone_summaries.items() if h.draining
         }
         draining = {
             (engine, version)
-            for heard in self._heard.values()
-            for engine, versions in heard.draining.items()
+            for summaries in self._zone_summaries.values()
+            for engine, versions in summaries.draining.items()
             for version in versions
         }
         for work in open_work:
@@ -150,25 +152,25 @@
         self._peers.publish(DEMAND_TOPIC, encode_demand(summary))
 
     async def run_orders(self) -> None:
-        """Do one round of orders, if this host holds the zone's lease."""
-        if not self._stands:
-            await self._probe()
+        """Plan and send orders, if this host holds the zone's lease."""
+        if not self._is_candidate:
+            await self._probe_engines()
         lease = self._leases.find(self._job)
         if lease is None or not self._context.configuration.document.versions:
-            self.holder.reset()
-            if self._tells:
+            self.controller.reset()
+            if self._is_publishing:
                 self._publish_orders(OrdersSummary())
-                self._tells = False
+                self._is_publishing = False
             return
-        await self._look()
-        # The look took time: the lease may have lapsed meanwhile.
+        await self._poll_engines()
+        # Polling took time, and the lease may have expired meanwhile.
         lease = self._leases.find(self._job)
         is_due = self._clock() >= self._next_plan_at
-        if lease and is_due and self.holder.has_polled(e.name for e in self._engines()):
-            await self._act(lease)
+        if lease and is_due and self.controller.has_polled(e.name for e in self._engines()):
+            await self._plan_and_send(lease)
 
     def _engines(self) -> list[Endpoint]:
-        """Return the engines of the own zone that may take orders."""
+        """Return the engines of the own zone that may accept orders."""
         now = self._clock()
         return [
             e
@@ -179,61 +181,63 @@
             and self._no_orders_until.get(e.name, 0.0) <= now
         ]
 
-    async def _probe(self) -> None:
-        """Look for an engine that takes orders; without one nobody stands for the job."""
-        await self._look_at(self._engines()[:PROBED_AT_ONCE])
-        if self.holder.engines:
-            self._stands = True
+    async def _probe_engines(self) -> None:
+        """Look for an engine that takes orders; the lease is only wanted if there is one."""
+        await self._read_models_of(self._engines()[:MAX_PROBED_ENGINES])
+        if self.controller.engines:
+            self._is_candidate = True
             self._leases.campaign_for(self._job, zone=self._zone)
 
-    async def _look(self) -> None:
-        """Read the engines that are due."""
+    async def _poll_engines(self) -> None:
+        """Read the models of the engines that are due."""
         engines = {e.name: e for e in self._engines()}
-        for name in set(self.holder.engines) - engines.keys():
-            self.holder.forget(name)
+        for name in set(self.controller.engines) - engines.keys():
+            self.controller.forget(name)
         reported = {name: e.versions for name, e in engines.items()}
-        due = self.holder.list_engines_to_poll(reported, self._clock())
-        await self._look_at([engines[name] for name in due[:LOOKED_AT_ONCE]])
+        due = self.controller.list_engines_to_poll(reported, self._clock())
+        await self._read_models_of([engines[name] for name in due[:MAX_POLLED_ENGINES]])
 
-    async def _look_at(self, engines: list[Endpoint]) -> None:
+    async def _read_models_of(self, engines: list[Endpoint]) -> None:
         await asyncio.gather(*(self._read_models(engine) for engine in engines))
 
     async def _read_models(self, engine: Endpoint) -> None:
         match await self._in_thread(self._orders.read_models, engine.address):
             case EngineModels() as models:
-                self.holder.apply_models(engine.name, models, self._clock())
+                self.controller.apply_models(engine.name, models, self._clock())
             case OrdersUnsupported():
-                self._no_orders_until[engine.name] = self._clock() + NO_ORDERS_S
-                self.holder.forget(engine.name)
+                self._no_orders_until[engine.name] = self._clock() + NO_ORDERS_RETRY_INTERVAL_S
+                self.controller.forget(engine.name)
             case _:
                 self._metrics.count_event("engine_models_unread")
-                self.holder.record_no_answer(engine.name, self._clock())
+                self.controller.record_no_answer(engine.name, self._clock())
 
-    async def _act(self, lease: Lease) -> None:
-        """Plan, tell the drains, and hand out what is due."""
+    async def _plan_and_send(self, lease: Lease) -> None:
+        """Plan, publish the drains, and send the orders that are due."""
         engines = {e.name: e for e in self._engines()}
-        gathered = self._demand()
-        own = sum_demand(list(gathered.values()))
-        everywhere = [*gathered.values(), *self._other_zones()]
-        places = {name: e.capacity for name, e in engines.items()}
+        gathered = self._demand_by_host()
+        own_demand = sum_demand(list(gathered.values()))
+        all_demand = [*gathered.values(), *self._demand_of_other_zones()]
+        slots_by_engine = {name: e.capacity for name, e in engines.items()}
         now = self._clock()
-        needs = self._needs(own)
-        actions = self.holder.decide(lease.fence, needs, places, everywhere, self._zone, now)
-        self._next_plan_at = now + (self._clock() - now) / CORE_SHARE
-        self._publish_orders(self.holder.summarize())
-        self._tells = True
-        sends: list[Coroutine[Any, Any, None]] = []
+        needs = self._list_needs(own_demand)
+        actions = self.controller.decide(
+            lease.fence, needs, slots_by_engine, all_demand, self._zone, now
+        )
+        self._next_plan_at = now + (self._clock() - now) / MAX_CORE_FRACTION
+        self._publish_orders(self.controller.summarize())
+        self._is_publishing = True
+        send_tasks: list[Coroutine[Any, Any, None]] = []
         for action in actions:
             match action:
                 case FetchWeights():
-                    self._spawn(self._fetch(action))
+                    self._start_background(self._fetch_weights(action))
                 case SendOrder(engine=name):
-                    sends.append(self._send(engines[name], action))
-        await asyncio.gather(*sends)
+                    send_tasks.append(self._send(engines[name], action))
+        await asyncio.gather(*send_tasks)
 
     async def _send(self, engine: Endpoint, action: SendOrder) -> None:
-        # In the same step that hands the order over: a holder that was paused
-        # since it decided would else send an order of a lease that lapsed.
+        # The lease is checked in the same step that sends the order. Otherwise a holder that
+        # was suspended after its decision would send an order of an expired lease.
         lease = self._leases.find(self._job)
         if lease is None or lease.fence != action.order.fence:
             self._metrics.count_event("order_kept_back")
@@ -241,67 +245,72 @@
         match await self._in_thread(self._orders.send, engine.address, action.order):
             case OrderAccepted():
                 self._metrics.count_event("order_sent")
-                self.holder.record_accepted_order(engine.name, action.order)
+                self.controller.record_accepted_order(engine.name, action.order)
                 self._log.info(
                     "Order sent.",
                     extra={"engine": engine.name, **msgspec.to_builtins(action.order)},
                 )
             case OrderFenced():
                 self._metrics.count_event("order_refused_fence")
-                self._log.warning("Order refused.", extra={"engine": engine.name})
+                self._log.warning(
+                    "An engine refused an order of an outdated lease.",
+                    extra={"engine": engine.name},
+                )
                 await self._leases.run_round()
             case _:
                 self._metrics.count_event("order_failed")
 
-    async def _fetch(self, action: FetchWeights) -> None:
+    async def _fetch_weights(self, action: FetchWeights) -> None:
         version = str(action.version)
         refusal = ""
         if self._store is not None:
             refusal = await self._in_thread(self._store.fetch, version, action.engine)
         self._metrics.count_event(f"weights_{refusal}" if refusal else "weights_handed_out")
-        self.holder.record_weights_answer(action.engine, action.version, refusal, self._clock())
+        self.controller.record_weights_answer(action.engine, action.version, refusal, self._clock())
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_background(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._beside.add(task)
-        task.add_done_callback(self._beside.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def _publish_orders(self, summary: OrdersSummary) -> None:
         self._peers.publish(ORDERS_TOPIC, msgspec.msgpack.encode(summary))
 
-    def _follow_orders(self) -> None:
-        """Take over the drains and what comes, of every zone."""
+    def _apply_orders(self) -> None:
+        """Apply the drains and the expected loads that all zones published."""
         gathered = self._peers.collect_summaries(ORDERS_TOPIC)
-        own = [decode_orders(payload) for payload in gathered.own_zone.values()]
-        heard = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
-        heard[self._zone] = max(own, key=lambda s: s.revision, default=OrdersSummary())
-        self._heard = {zone: s for zone, s in heard.items() if s.revision != DrainRevision()}
+        own_demand = [decode_orders(payload) for payload in gathered.own_zone.values()]
+        summaries = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
+        summaries[self._zone] = max(own_demand, key=lambda s: s.revision, default=OrdersSummary())
+        self._zone_summaries = {
+            zone: s for zone, s in summaries.items() if s.revision != DrainRevision()
+        }
         retired: dict[str, frozenset[VersionId]] = {}
-        for summary in self._heard.values():
+        for summary in self._zone_summaries.values():
             for engine, versions in summary.draining.items():
                 retired[engine] = frozenset(VersionId.parse(version) for version in versions)
         self._context.endpoints.set_retired_versions(retired)
-        own_zone = self._heard.get(self._zone, OrdersSummary())
-        # Room is given up after MIN_RESIDENCE_TIME_S at the earliest.
+        own_zone = self._zone_summaries.get(self._zone, OrdersSummary())
+        # Capacity is freed after MIN_RESIDENCE_TIME_S at the earliest.
         waits = {**dict.fromkeys(own_zone.unplaced, MIN_RESIDENCE_TIME_S), **own_zone.load_times_s}
         self._context.expected_load_s = {
             VersionId.parse(v): seconds for v, seconds in waits.items()
         }
 
-    def _demand(self) -> dict[str, DemandSummary]:
-        """Return what each live host of the own zone tells; nothing counts as nothing applied."""
+    def _demand_by_host(self) -> dict[str, DemandSummary]:
+        """Return the demand of each live host of the own zone; a missing one applied no drains."""
         payloads = self._peers.collect_summaries(DEMAND_TOPIC).own_zone
         hosts = [peer.name for peer in self._peers.live() if peer.zone == self._zone]
         return {name: decode_demand(payloads.get(name, b"")) for name in hosts}
 
-    def _other_zones(self) -> list[DemandSummary]:
-        """Return what the zones tell that are heard; a silent one reaches no engine here."""
+    def _demand_of_other_zones(self) -> list[DemandSummary]:
+        """Return the demand of the other zones, except silent ones, which reach no engine here."""
         silent = {view.zone for view in self._peers.zones() if view.silent}
         payloads = self._peers.collect_summaries(DEMAND_TOPIC).other_zones
         return [decode_demand(p) for zone, p in payloads.items() if zone not in silent]
 
-    def _needs(self, demand: DemandSummary) -> list[VersionNeed]:
-        """Return what the zone needs: every version that is offered, and how much."""
+    def _list_needs(self, demand: DemandSummary) -> list[VersionNeed]:
+        """Return the needs of the zone: every version that isn't withdrawn, with its demand."""
         configuration = self._context.configuration
         on_trial = {
             key.version
@@ -311,11 +320,15 @@
         needs = []
         for version in configuration.document.versions:
             if not configuration.is_withdrawn(version):
-                seen = demand.versions.get(hash_version(version), VersionDemand())
-                trial = version in on_trial
+                version_demand = demand.versions.get(hash_version(version), VersionDemand())
+                is_on_trial = version in on_trial
                 needs.append(
                     VersionNeed(
-                        version, seen.concurrent_requests, seen.importance, seen.has_sessions, trial
+                        version,
+                        version_demand.concurrent_requests,
+                        version_demand.importance,
+                        version_demand.has_sessions,
+                        is_on_trial,
                     )
                 )
         return needs
--- a/poplarrun/server/_peering.py
+++ b/poplarrun/server/_peering.py
@@ -1,4 +1,4 @@
-"""A host's place among the others: its links, and what status shows of the zones."""
+"""Connects a host to the other hosts, and builds the zone entries of its status."""
 
 import random
 import time
@@ -27,18 +27,20 @@
 
 
 class OffsetSummary(msgspec.Struct, frozen=True, array_like=True):
-    """The configuration offsets in force at some hosts."""
+    """Range of the configuration offsets in force at a group of hosts."""
 
     lowest: int
     highest: int
 
 
 def merge_offsets(payloads: Sequence[bytes]) -> bytes:
-    """Merge offset summaries; bytes that are none are left out."""
-    found = [summary for payload in payloads if (summary := _read(payload)) is not None]
-    if not found:
+    """Merge encoded offset summaries; payloads that can't be decoded are ignored."""
+    statuses = [
+        summary for payload in payloads if (summary := _decode_summary(payload)) is not None
+    ]
+    if not statuses:
         return b""
-    merged = OffsetSummary(min(s.lowest for s in found), max(s.highest for s in found))
+    merged = OffsetSummary(min(s.lowest for s in statuses), max(s.highest for s in statuses))
     return msgspec.msgpack.encode(merged)
 
 
@@ -46,7 +48,7 @@
 
 
 def make_peers(settings: HostSettings, metrics: Metrics, clock: Callable[[], float]) -> Peers:
-    """Return the host's ``Peers``: over the network, or alone without ``peer_listen``."""
+    """Create the host's ``Peers``; without ``peer_listen`` the host has no peers."""
     incarnation = int(time.time() * MILLISECONDS_PER_SECOND)
     me = Peer(settings.name, settings.zone, settings.region, incarnation)
     if settings.peer_listen is None:
@@ -59,20 +61,20 @@
 
 
 def keys_of(settings: HostSettings) -> OperatorKeys:
-    """Return the operator keys of the settings."""
+    """Return the operator keys from the settings."""
     keys = settings.operator_keys
     return OperatorKeys({name: tuple(k.encode() for k in some) for name, some in keys.items()})
 
 
 def sign_log(log: Log, settings: HostSettings, metrics: Metrics) -> Log:
-    """Return the log as the host's parts use it; publications carry operators' signatures."""
+    """Return the log with signed records, except publications, which operators sign."""
     keys = tuple(key.encode() for key in settings.log_signing.keys)
     log_keys = LogKeys(keys, settings.log_signing.accept_unsigned)
     return SignedLog(log, log_keys, metrics.count_event, frozenset({CONFIG_STREAM}))
 
 
 def publish_offset(peers: Peers, offset: int) -> None:
-    """Tell the others which configuration is in force here."""
+    """Publish the offset of the configuration in force at this host."""
     peers.publish(OFFSETS, msgspec.msgpack.encode(OffsetSummary(offset, offset)))
 
 
@@ -83,14 +85,14 @@
 
 
 def read_zones(peers: Peers, listed: ListedHostTable) -> tuple[ZoneStatus, ...]:
-    """Return what status shows of each zone."""
+    """Return the status of each zone."""
     gathered = peers.collect_summaries(OFFSETS)
     by_zone = dict(gathered.other_zones)
     by_zone[peers.me.zone] = merge_offsets(list(gathered.own_zone.values()))
-    found = []
+    statuses = []
     for view in peers.zones():
-        offsets = _offsets(by_zone.get(view.zone, b""))
-        found.append(
+        offsets = _zone_offsets(by_zone.get(view.zone, b""))
+        statuses.append(
             ZoneStatus(
                 view.zone,
                 view.silent,
@@ -100,15 +102,15 @@
                 dict(listed.describe_zone(view)),
             )
         )
-    return tuple(found)
+    return tuple(statuses)
 
 
-def _offsets(payload: bytes) -> _ZoneOffsets:
-    summary = _read(payload)
+def _zone_offsets(payload: bytes) -> _ZoneOffsets:
+    summary = _decode_summary(payload)
     return _ZoneOffsets() if summary is None else _ZoneOffsets(summary.lowest, summary.highest)
 
 
-def _read(payload: bytes) -> OffsetSummary | None:
+def _decode_summary(payload: bytes) -> OffsetSummary | None:
     try:
         return msgspec.msgpack.decode(payload, type=OffsetSummary)
     except msgspec.MsgspecError:
--- a/poplarrun/server/_queued_chats.py
+++ b/poplarrun/server/_queued_chats.py
@@ -1,4 +1,4 @@
-"""Requests that admission holds: their workers wait until they start or are refused."""
+"""The futures on which the workers of queued chat requests wait."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -7,40 +7,40 @@
 from poplarrun.errors import Refusal
 from poplarrun.router import ChatGrant
 
-RELEASE_S = 0.02
+RELEASE_INTERVAL_S = 0.02
 
-Started = ChatGrant | Refusal
+StartResult = ChatGrant | Refusal
 
 
 class QueuedChats:
-    """The answers that held requests wait for; used on the loop only."""
+    """The pending results of queued requests; used on the event loop only."""
 
     def __init__(self) -> None:
-        self._answers: dict[str, asyncio.Future[Started]] = {}
-        self._holds_some = asyncio.Event()
+        self._futures: dict[str, asyncio.Future[StartResult]] = {}
+        self._has_entries = asyncio.Event()
 
     def __len__(self) -> int:
-        return len(self._answers)
+        return len(self._futures)
 
-    def add(self, request_id: str) -> Coroutine[Any, Any, Started]:
-        """Hold a request from now on; what is returned ends when ``answer`` names it."""
-        answer: asyncio.Future[Started] = asyncio.get_running_loop().create_future()
-        self._answers[request_id] = answer
-        self._holds_some.set()
-        return _wait_for(answer)
+    def add(self, request_id: str) -> Coroutine[Any, Any, StartResult]:
+        """Add a queued request; the coroutine returns once ``resolve`` is called for it."""
+        future: asyncio.Future[StartResult] = asyncio.get_running_loop().create_future()
+        self._futures[request_id] = future
+        self._has_entries.set()
+        return _wait_for(future)
 
-    def resolve(self, released: list[tuple[str, Started]]) -> None:
-        """Let the workers of released requests go on."""
-        for request_id, started in released:
-            self._answers.pop(request_id).set_result(started)
+    def resolve(self, released: list[tuple[str, StartResult]]) -> None:
+        """Resume the workers of released requests."""
+        for request_id, result in released:
+            self._futures.pop(request_id).set_result(result)
 
     async def wait(self) -> None:
-        """Wait before the next look at the queue; for ever while nothing is held."""
-        if not self._answers:
-            self._holds_some.clear()
-        await self._holds_some.wait()
-        await asyncio.sleep(RELEASE_S)
+        """Wait until the queue should be checked again, indefinitely if it is empty."""
+        if not self._futures:
+            self._has_entries.clear()
+        await self._has_entries.wait()
+        await asyncio.sleep(RELEASE_INTERVAL_S)
 
 
-async def _wait_for(answer: asyncio.Future[Started]) -> Started:
-    return await answer
+async def _wait_for(future: asyncio.Future[StartResult]) -> StartResult:
+    return await future
--- a/poplarrun/server/_readiness.py
+++ b/poplarrun/server/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a host takes requests now, and the refusals of one that doesn't."""
+"""Decides whether a host is ready and accepts requests."""
 
 from poplarrun.billing import BillReplicator
 from poplarrun.errors import ErrorKind, Refusal
@@ -7,29 +7,29 @@
 from poplarrun.server._endpoint_tasks import EndpointTasks
 from poplarrun.server._version_tasks import VersionTasks
 
-# One thread in so many, and at least so many, answer everything but requests.
-RESERVED_SHARE = 16
+# One thread in this many, and at least this many, are reserved for everything but requests.
+THREADS_PER_RESERVED_THREAD = 16
 MIN_RESERVED_THREADS = 2
 
 
 class Readiness:
-    """Tells whether a host takes requests; used on the loop only.
+    """Decides whether a host is ready and accepts requests; used on the event loop only.
 
     Parameters
     ----------
     threads : int
-        Threads that carry bytes.
+        Worker threads of the HTTP server.
     router, endpoint_tasks, version_tasks, billing, limits
         The parts that must be able to serve.
     has_peers : bool
-        Whether other hosts are to be heard before account limits are shared.
+        Whether the account limits must first be shared out with other hosts.
 
     Attributes
     ----------
     is_leaving : bool
         Whether the host's stop has begun; it still serves.
     is_stopping : bool
-        Whether it refuses new requests.
+        Whether the host refuses new requests.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
         return not self.list_missing()
 
     def list_missing(self) -> list[str]:
-        """Return what keeps the balancer's callers away; empty when the host is ready."""
-        missing = self._list_unserved()
+        """Return the reasons why the host isn't ready; empty if it is."""
+        missing = self._list_missing_parts()
         if not self._endpoint_tasks.has_engine_reports():
             missing.append("reports of the engines")
         if self._has_peers and not self._limits.has_initial_shares:
@@ -70,14 +70,13 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a request is served: a configuration is in force and endpoints are known.
+        """Whether requests are served: a configuration is in force and endpoints are known.
 
-        A leaving host still serves: until the balancer has noticed, it goes
-        on sending callers here, who did nothing to be refused.
+        A leaving host still serves, since the balancer sends callers here until it has noticed.
         """
-        return not self._list_unserved()
+        return not self._list_missing_parts()
 
-    def _list_unserved(self) -> list[str]:
+    def _list_missing_parts(self) -> list[str]:
         missing = []
         if self._router.context.configuration.offset < 0:
             missing.append("a configuration")
@@ -91,24 +90,24 @@
 
     @property
     def has_no_free_thread(self) -> bool:
-        """Whether only the threads are left that answer everything but requests.
+        """Whether only the reserved threads are free.
 
-        Each open request holds a thread. Were all of them held, callers, the
-        balancer and operators alike would wait unseen, without an answer.
+        Each open request occupies a thread. If all threads were occupied, callers, the balancer
+        and operators would wait in the accept queue without any answer.
         """
-        reserved = max(MIN_RESERVED_THREADS, self._threads // RESERVED_SHARE)
-        return self._router.open_requests >= self._threads - reserved
+        reserved_threads = max(MIN_RESERVED_THREADS, self._threads // THREADS_PER_RESERVED_THREAD)
+        return self._router.open_requests >= self._threads - reserved_threads
 
     def check_request(self) -> Refusal | None:
-        """Refuse a new request that this host can't take now."""
+        """Return a refusal if this host can't accept a new request now."""
         if not self.accepts_requests:
             kind = ErrorKind.STOPPING if self.is_stopping else ErrorKind.NOT_READY
-            return self._count(kind, "this host takes no requests now; try another")
+            return self._refuse(kind, "this host takes no requests now; try another")
         if self.has_no_free_thread:
-            return self._count(ErrorKind.QUEUE_FULL, "this host has no thread left; try another")
+            return self._refuse(ErrorKind.QUEUE_FULL, "this host has no thread left; try another")
         if self._billing.is_full:
-            return self._count(ErrorKind.BILL_NOT_KEPT, "the log has taken no bills for long")
+            return self._refuse(ErrorKind.BILL_NOT_KEPT, "the log has taken no bills for long")
         return None
 
-    def _count(self, kind: ErrorKind, message: str) -> Refusal:
+    def _refuse(self, kind: ErrorKind, message: str) -> Refusal:
         return self._router.context.refuse(kind, message)
--- a/poplarrun/server/_status.py
+++ b/poplarrun/server/_status.py
@@ -1,11 +1,11 @@
-"""What one host tells of itself."""
+"""Builds the endpoint entries of the host status."""
 
 from poplarrun.endpoints import Endpoint
 from poplarrun.server._messages import EndpointStatus
 
 
 def read_endpoint(endpoint: Endpoint, now: float) -> EndpointStatus:
-    """Return one endpoint as this host sees it."""
+    """Return the status of one endpoint as this host sees it."""
     if endpoint.is_leaving:
         state = "leaving"
     elif endpoint.paused_until > now:
--- a/poplarrun/server/_tasks.py
+++ b/poplarrun/server/_tasks.py
@@ -1,4 +1,4 @@
-"""A host's tasks on the loop: steps that repeat for ever, and work beside a message."""
+"""Background tasks of a host on the event loop."""
 
 import asyncio
 import logging
@@ -9,44 +9,44 @@
 from poplarrun.metrics import Metrics
 
 Step = Callable[[], Coroutine[Any, Any, None]]
-Pause = Callable[[], Awaitable[None]]
+Wait = Callable[[], Awaitable[None]]
 
 
 class Tasks:
-    """Starts tasks and keeps them; used on the loop only.
+    """Starts background tasks and references them; used on the event loop only.
 
     Parameters
     ----------
     metrics : Metrics
-        Counts the steps that failed.
+        Counts the failed steps.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._log = component_logger("host")
-        # The loop holds tasks weakly: one that nothing else names may be collected.
-        self._kept: set[asyncio.Task[None]] = set()
+        # The event loop only holds weak references to tasks; without another reference they
+        # could be garbage-collected.
+        self._tasks: set[asyncio.Task[None]] = set()
 
-    def run_periodically(self, step: Step, pause: Pause) -> None:
-        """Run a step for ever, with a pause after each run."""
-        self.spawn(self._repeat(step, pause))
+    def run_periodically(self, step: Step, wait: Wait) -> None:
+        """Run a step forever, and wait after each run."""
+        self.spawn(self._run_forever(step, wait))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the message that asked for it."""
+        """Run a coroutine in the background."""
         task = asyncio.get_running_loop().create_task(work)
-        self._kept.add(task)
-        task.add_done_callback(self._kept.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _repeat(self, step: Step, pause: Pause) -> None:
-        """Run a task's step for ever; one failure must not end the task.
+    async def _run_forever(self, step: Step, wait: Wait) -> None:
+        """Run a step forever; an exception must not end the task.
 
-        A task that died silently would leave this host routing on what it
-        knew at that moment, with nothing to show for it but old figures.
+        If a task ended unnoticed, this host would route requests on outdated knowledge.
         """
         while True:
             try:
                 await step()
             except Exception:
                 self._metrics.count_event("task_failed")
-                self._log.log(logging.ERROR, "A task failed.", exc_info=True)
-            await pause()
+                self._log.log(logging.ERROR, "A background task failed.", exc_info=True)
+            await wait()
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the versions part: ratings, the exchange of evidence, the steward."""
+"""Periodic tasks for versions: ratings, exchange of evidence, and the rollout controller."""
 
 import asyncio
 import itertools
@@ -26,28 +26,29 @@
     encode_rollout,
 )
 
-# Ratings that never come are given up, the oldest first.
-AWAITED_RATINGS = 5000
-ASKED_AT_ONCE = 500
-# Answers handed in at the same time; the rest wait for the next round.
-SUBMITTED_AT_ONCE = 16
+# Maximum number of awaited ratings. The oldest are given up first, since some never arrive.
+MAX_AWAITED_RATINGS = 5000
+MAX_COLLECTED_RATINGS = 500
+# Answers submitted concurrently; the rest wait for the next round.
+MAX_CONCURRENT_SUBMISSIONS = 16
 
-# A snapshot of the roll-outs is written so often; the log keeps records for longer.
-SNAPSHOT_PERIOD_S = 300.0
-# A host without the whole state waits so long for one that has it.
-INCOMPLETE_S = 15.0
+# Interval of the snapshots of the roll-outs, in seconds; shorter than the log's retention.
+SNAPSHOT_INTERVAL_S = 300.0
+# Time in seconds for which a host with an incomplete state waits for a complete snapshot.
+INCOMPLETE_STATE_TIMEOUT_S = 15.0
 ROLLOUTS_MESSAGE = "rollouts"
 ESTIMATES_MESSAGE = "estimates"
-# A host that starts asks the others for so long what they know of the versions.
-ADOPTION_S = 10.0
-PEERS_ASKED = 3
-ASK_TIMEOUT_S = 0.5
+# Time after its start during which a host requests the version estimates of others, in
+# seconds.
+ESTIMATES_REQUEST_WINDOW_S = 10.0
+MAX_ASKED_PEERS = 3
+PEER_REQUEST_TIMEOUT_S = 0.5
 
 InThread = Callable[..., Awaitable[Any]]
 
 
 class VersionTasks:
-    """What the versions part does besides deciding; its steps run on the loop.
+    """The periodic tasks of the version manager; their steps run on the event loop.
 
     Parameters
     ----------
@@ -58,7 +59,7 @@
     log : Log
         The platform's log.
     ratings : Ratings, optional
-        The rating service; without it nothing is learnt of quality.
+        The rating service; without it there are no quality estimates.
     in_thread : callable
         Runs a blocking call off the loop.
 
@@ -94,20 +95,20 @@
             lambda: self._reader.next_offset - 1,
             random.Random(peers.me.name),
         )
-        self._caught_up = False
-        self._snapshot_due_at = clock() + SNAPSHOT_PERIOD_S
+        self._has_caught_up = False
+        self._snapshot_due_at = clock() + SNAPSHOT_INTERVAL_S
         self._snapshot_seen = -1
         self._incomplete_since: float | None = None
         self.has_rollouts = False
         self.on_withdrawal: Callable[[], None] = lambda: None
-        peers.serve(ROLLOUTS_MESSAGE, self._tell_rollouts)
-        peers.serve(ESTIMATES_MESSAGE, self._tell_estimates)
-        self._adopt_until = clock() + ADOPTION_S
-        self._awaited: OrderedDict[str, SampledAnswer] = OrderedDict()
+        peers.serve(ROLLOUTS_MESSAGE, self._handle_rollouts_request)
+        peers.serve(ESTIMATES_MESSAGE, self._handle_estimates_request)
+        self._request_estimates_until = clock() + ESTIMATES_REQUEST_WINDOW_S
+        self._awaited_ratings: OrderedDict[str, SampledAnswer] = OrderedDict()
         self._log = component_logger("versions")
 
     def read_rollouts(self) -> tuple[RolloutStatus, ...]:
-        """Tell where each roll-out stands, for operators."""
+        """Return the progress of each roll-out, for the host status."""
         return tuple(
             RolloutStatus(
                 version=str(key.version),
@@ -120,79 +121,79 @@
         )
 
     async def follow_rollouts(self) -> None:
-        """Fold the roll-out records that came."""
+        """Read and fold new roll-out records."""
         match await self._in_thread(self._reader.read_new):
             case ReadFailed():
                 self._metrics.count_event("log_read_failed")
                 if not self.has_rollouts:
-                    await self._ask_peers()
+                    await self._request_rollouts()
             case Gap() as gap:
                 self._reader.next_offset = gap.horizon
                 self._versions.skip_rollouts(gap.horizon)
-                await self._ask_peers()
+                await self._request_rollouts()
             case entries:
                 for entry in entries:
                     self._versions.fold_entry(entry)
                 if entries:
                     self._poll.announce()
-                self._caught_up = self._reader.next_offset >= self._reader.end
-                if not self._caught_up:
+                self._has_caught_up = self._reader.next_offset >= self._reader.end
+                if not self._has_caught_up:
                     self._poll.wake()
-                self.has_rollouts = self.has_rollouts or self._caught_up
+                self.has_rollouts = self.has_rollouts or self._has_caught_up
 
     async def wait(self) -> None:
         """Wait for the next round of ``follow_rollouts``."""
         await self._poll.wait(not self.has_rollouts or not self._versions.rollouts.is_complete)
 
-    async def _ask_peers(self) -> None:
-        """Ask another host for the roll-outs that the log does not tell.
+    async def _request_rollouts(self) -> None:
+        """Request the state of the roll-outs from another host, if the log can't provide it.
 
-        A host that starts while the log is down would else take a version that
-        is being rolled out for one in service, and expose all its callers.
+        Otherwise a host that starts while the log is down would treat a version on trial as
+        one in service, and send it the requests of all callers.
         """
-        for name in self._other_hosts():
-            answer = await self._peers.ask(name, ROLLOUTS_MESSAGE, b"", ASK_TIMEOUT_S)
+        for name in self._list_asked_peers():
+            answer = await self._peers.ask(name, ROLLOUTS_MESSAGE, b"", PEER_REQUEST_TIMEOUT_S)
             snapshot = decode_rollout(answer) if isinstance(answer, bytes) else None
             if isinstance(snapshot, RolloutSnapshot):
                 self._versions.apply_rollout_snapshot(snapshot)
                 self.has_rollouts = True
                 return
 
-    async def _adopt_estimates(self) -> None:
-        for name in self._other_hosts():
-            answer = await self._peers.ask(name, ESTIMATES_MESSAGE, b"", ASK_TIMEOUT_S)
+    async def _request_estimates(self) -> None:
+        for name in self._list_asked_peers():
+            answer = await self._peers.ask(name, ESTIMATES_MESSAGE, b"", PEER_REQUEST_TIMEOUT_S)
             if isinstance(answer, bytes) and answer:
                 self._versions.estimates.apply_aged_evidence(answer)
-                self._adopt_until = -math.inf
+                self._request_estimates_until = -math.inf
                 return
 
-    async def _tell_estimates(self, _: str, __: bytes) -> bytes:
-        # A host that still asks has nothing to tell.
+    async def _handle_estimates_request(self, _: str, __: bytes) -> bytes:
+        # A host that still requests estimates has none of its own.
         return (
             b""
-            if self._clock() < self._adopt_until
+            if self._clock() < self._request_estimates_until
             else self._versions.estimates.encode_aged_evidence()
         )
 
-    def _other_hosts(self) -> list[str]:
+    def _list_asked_peers(self) -> list[str]:
         others = [peer.name for peer in self._peers.live() if peer.name != self._peers.me.name]
-        return others[:PEERS_ASKED]
+        return others[:MAX_ASKED_PEERS]
 
-    async def _tell_rollouts(self, _: str, __: bytes) -> bytes:
+    async def _handle_rollouts_request(self, _: str, __: bytes) -> bytes:
         rollouts = self._versions.rollouts
         if not self.has_rollouts or not rollouts.is_complete:
             return b""
         return encode_rollout(rollouts.snapshot("told"))
 
     async def exchange_evidence(self) -> None:
-        """Share this host's counters and take in the others'."""
-        if self._clock() < self._adopt_until and self._versions.has_configuration:
-            await self._adopt_estimates()
+        """Publish this host's counters and apply those of the others."""
+        if self._clock() < self._request_estimates_until and self._versions.has_configuration:
+            await self._request_estimates()
         self._versions.exchange_evidence(self._peers, self._clock())
 
     async def run_rollout_controller(self) -> None:
-        """Append the records that are due; the fold drops what another host did first."""
-        if not self._caught_up:
+        """Append the due records; the fold ignores those that another host appended first."""
+        if not self._has_caught_up:
             return
         now = self._clock()
         due = [*self._versions.decide_rollouts(self._peers, now), *self._due_snapshot(now)]
@@ -202,30 +203,32 @@
             else:
                 stream, data = ROLLOUTS_STREAM, encode_rollout(record)
             outcome = await self._in_thread(self._platform_log.append, stream, data)
-            done = isinstance(outcome, Appended)
+            is_appended = isinstance(outcome, Appended)
             (self.on_withdrawal if stream == CONFIG_STREAM else self._poll.wake)()
-            self._metrics.count_event("rollout_record" if done else "rollout_record_failed")
-            self._log.info("Roll-out record.", extra={"record": repr(record), "appended": done})
-        # What was appended must be read back before the steward looks again;
-        # else it would append the same once more.
-        self._caught_up = False
+            self._metrics.count_event("rollout_record" if is_appended else "rollout_record_failed")
+            self._log.info(
+                "Roll-out record.", extra={"record": repr(record), "appended": is_appended}
+            )
+        # The appended records must be read back before the next round, which would append the
+        # same records again otherwise.
+        self._has_caught_up = False
 
     def _due_snapshot(self, now: float) -> list[RolloutSnapshot]:
-        """Return the snapshot that is due, so that it outlives the log's retention.
+        """Return a snapshot if one is due, so that the state outlives the log's retention.
 
-        Where no host has the whole state, as after a long stop of all of them,
-        what is left counts as the whole after a while.
+        If no host has the complete state, for instance after a long stop of all hosts, the
+        remaining state counts as complete after a while.
         """
         rollouts, me = self._versions.rollouts, self._peers.me
         if rollouts.snapshot_offset != self._snapshot_seen:
             self._snapshot_seen = rollouts.snapshot_offset
-            self._snapshot_due_at = now + SNAPSHOT_PERIOD_S
+            self._snapshot_due_at = now + SNAPSHOT_INTERVAL_S
         if rollouts.is_complete:
             self._incomplete_since = None
         elif self._incomplete_since is None:
             self._incomplete_since = now
         since = now if self._incomplete_since is None else self._incomplete_since
-        is_lost = now - since >= INCOMPLETE_S
+        is_lost = now - since >= INCOMPLETE_STATE_TIMEOUT_S
         is_due = rollouts.is_complete and bool(rollouts.states) and now >= self._snapshot_due_at
         names = [peer.name for peer in self._peers.live()]
         if not (is_lost or is_due) or rank_hosts("rollouts/snapshot", names)[0] != me.name:
@@ -233,36 +236,36 @@
         return [rollouts.snapshot(f"snapshot/{me.name}/{me.incarnation}/{rollouts.read_to}")]
 
     async def rate_answers(self) -> None:
-        """Hand in the queued answers, and collect the ratings that are ready."""
+        """Submit queued answers to the rating service, and collect the finished ratings."""
         if self._ratings is None:
             return
-        batch = self._versions.dequeue_samples(SUBMITTED_AT_ONCE)
-        await asyncio.gather(*(self._submit(answer) for answer in batch))
-        asked = list(itertools.islice(self._awaited, ASKED_AT_ONCE))
-        if asked:
-            await self._collect(asked)
+        batch = self._versions.dequeue_samples(MAX_CONCURRENT_SUBMISSIONS)
+        await asyncio.gather(*(self._submit_answer(answer) for answer in batch))
+        requested_ids = list(itertools.islice(self._awaited_ratings, MAX_COLLECTED_RATINGS))
+        if requested_ids:
+            await self._collect_ratings(requested_ids)
 
-    async def _submit(self, answer: SampledAnswer) -> None:
+    async def _submit_answer(self, answer: SampledAnswer) -> None:
         assert self._ratings is not None
         if await self._in_thread(self._ratings.submit, answer.request_id, answer.text):
-            self._awaited[answer.request_id] = answer
-            while len(self._awaited) > AWAITED_RATINGS:
-                self._awaited.popitem(last=False)
+            self._awaited_ratings[answer.request_id] = answer
+            while len(self._awaited_ratings) > MAX_AWAITED_RATINGS:
+                self._awaited_ratings.popitem(last=False)
         else:
             self._metrics.count_event("rating_not_taken")
 
-    async def _collect(self, asked: list[str]) -> None:
+    async def _collect_ratings(self, requested_ids: list[str]) -> None:
         assert self._ratings is not None
-        match await self._in_thread(self._ratings.collect, asked):
+        match await self._in_thread(self._ratings.collect, requested_ids):
             case RatingsUnavailable():
                 self._metrics.count_event("ratings_unavailable")
             case rated:
                 for rating in rated:
-                    answer = self._awaited.pop(rating.request_id, None)
+                    answer = self._awaited_ratings.pop(rating.request_id, None)
                     if answer is not None:
                         key = answer.key.as_second_step if answer.is_second else answer.key
                         self._versions.record_rating(key, rating.quality, answer.score)
-                # Those still awaited go to the end, so that lost ones don't block the rest.
-                for request_id in asked:
-                    if request_id in self._awaited:
-                        self._awaited.move_to_end(request_id)
+                # Requests still awaited move to the end, so that lost ones don't block others.
+                for request_id in requested_ids:
+                    if request_id in self._awaited_ratings:
+                        self._awaited_ratings.move_to_end(request_id)
--- a/standins/histories/_chat_hosts.py
+++ b/standins/histories/_chat_hosts.py
@@ -104,7 +104,7 @@
         self._tasks.run_periodically(
             self._version_tasks.follow_rollouts, partial(asyncio.sleep, 2.0)
         )
-        self._tasks.run_periodically(self._release_held, self._held.wait)
+        self._tasks.run_periodically(self._release_queued, self._queued_chats.wait)
 
     async def answer(self, message: Any) -> Any:
         """Answer one message of a worker."""
@@ -156,8 +156,8 @@
     async def _in_thread(self, call: Callable[..., Any], *arguments: Any) -> Any:
         return await self._blocking.run(call, *arguments)
 
-    def _note_config(self, state: Configuration, verdict: Verdict) -> None:
-        super()._note_config(state, verdict)
+    def _apply_config(self, state: Configuration, verdict: Verdict) -> None:
+        super()._apply_config(state, verdict)
         terms = self._place.terms[state.text]
         gone = {str(version) for version in state.withdrawn}
         terms = Terms(terms.offered - gone, terms.allowed)
