--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -1,6 +1,6 @@
 """Admits requests, chooses an endpoint for each attempt and decides on retries.
 
-The state is held in memory, the time is passed in, and no network is used.
+All state is in memory, the time is passed in, and no network is used.
 """
 
 import zlib
@@ -26,7 +26,7 @@
 # Sends that endpoints rejected without executing don't count as attempts, but each costs
 # the caller time: at most this many are made beyond the route's attempt limit.
 MAX_REJECTED_SENDS = 2
-# Failed connections after which the caller is told to retry later.
+# Failed connections after which the request is refused and the caller should retry later.
 MAX_CONNECT_FAILURES = 4
 # Least time that must remain until the deadline for another send, in seconds: a request
 # that is cancelled at once would only occupy the endpoint.
@@ -147,7 +147,7 @@
         suspended. Sent without this check, it would run seconds after it had to be refused.
         """
         if work.remaining_s(now) < MIN_TIME_LEFT_S:
-            return self._give_up(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
+            return self._refuse_in_flight(work, ErrorKind.DEADLINE_UNREACHABLE, "no time is left")
         if work.account is None:
             return None
         catalogue = self.config_view.catalogue
@@ -155,9 +155,9 @@
         # the revocation limit applies to later requests. Only a revoked key ends it.
         is_config_stale = work.sends == 0 and not self.config_view.can_trust_keys(now)
         if catalogue is None or is_config_stale:
-            return self._give_up(work, ErrorKind.NOT_READY, "keys are old")
+            return self._refuse_in_flight(work, ErrorKind.NOT_READY, "keys are old")
         if catalogue.find_account(work.request.api_key) != work.account:
-            return self._give_up(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
+            return self._refuse_in_flight(work, ErrorKind.UNAUTHENTICATED, "the key was taken away")
         return None
 
     def choose_endpoint(self, work: InFlightRequest, now: float) -> SendDecision | Refusal:
@@ -167,7 +167,9 @@
             return refusal
         service = self._find_service(work)
         if service is None:
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, "the service is not configured")
+            return self._refuse_in_flight(
+                work, ErrorKind.NO_ENDPOINT, "the service is not configured"
+            )
         size = work.model_size or self.sizes.first_size(work)
         versions = self._choose_versions(work, now)
         is_in_shift = versions.allowed is not None and any(
@@ -190,7 +192,7 @@
             )
             reason = VersionReason.NONE_LEFT
         if estimate is None:
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
+            return self._refuse_in_flight(work, ErrorKind.NO_ENDPOINT, "no endpoint is listed")
         return SendDecision(estimate, size, self._compute_urgency(work), reason)
 
     def record_sent(self, work: InFlightRequest, send: SendDecision, now: float) -> Attempt:
@@ -322,14 +324,14 @@
         if work.possible_runs >= work.route.max_attempts:
             return Refusal(kind, f"{work.possible_runs} attempts failed")
         if work.sends >= work.route.max_attempts + MAX_REJECTED_SENDS:
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
+            return self._refuse_in_flight(work, ErrorKind.NO_ENDPOINT, f"{work.sends} sends failed")
         if work.connect_failures >= MAX_CONNECT_FAILURES:
             text = f"{work.connect_failures} connections failed"
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, text)
+            return self._refuse_in_flight(work, ErrorKind.NO_ENDPOINT, text)
         if work.remaining_s(now) < MIN_TIME_LEFT_S:
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, "no time is left")
+            return self._refuse_in_flight(work, ErrorKind.NO_ENDPOINT, "no time is left")
         if work.sends and not self._retry_budget(work.service).try_spend(now):
-            return self._give_up(work, ErrorKind.NO_ENDPOINT, "too many second sends")
+            return self._refuse_in_flight(work, ErrorKind.NO_ENDPOINT, "too many second sends")
         return None
 
     def _find_service(self, work: InFlightRequest) -> Service | None:
@@ -407,7 +409,7 @@
             self._budgets[service] = budget
         return budget
 
-    def _give_up(self, work: InFlightRequest, kind: ErrorKind, text: str) -> Refusal:
+    def _refuse_in_flight(self, work: InFlightRequest, kind: ErrorKind, text: str) -> Refusal:
         """Refuse a request; one that may have run is never reported as not run."""
         if work.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_FAILED, text)
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -47,7 +47,7 @@
     explanation: Explanation
     engine_request: EngineRequest
     delivered_tokens: int = 0
-    resumes: int = 0
+    resume_count: int = 0
     first_step_cost: float = 0.0
 
     @property
@@ -80,7 +80,7 @@
         """Ids of the chat requests in progress."""
         return list(self._chats)
 
-    def list_open_work(self) -> list[OpenRequest]:
+    def list_open_requests(self) -> list[OpenRequest]:
         """Return the open chat requests, for the demand for engines."""
         return [
             OpenRequest(
@@ -265,18 +265,18 @@
         moves the KV cache to another engine. An answer is generated from the beginning only if
         the caller has received none of it: two generations differ, and would be mixed.
         """
-        chat.resumes += 1
+        chat.resume_count += 1
         previous_endpoint = chat.endpoint
         is_previous_known = (
             previous_endpoint is not None
             and self._context.endpoints.find(previous_endpoint.name) is previous_endpoint
         )
-        if chat.resumes == 1 and is_previous_known:
+        if chat.resume_count == 1 and is_previous_known:
             self._context.metrics.count_retry("resume")
             sent = self._dispatcher.resend(chat.engine_request, now, delay_s)
-            return self._grant(chat, sent, now, resumes=True)
+            return self._grant(chat, sent, now, is_resume=True)
         can_move_cache = (
-            is_previous_known and failure.reason != UNREACHABLE_REASON and chat.resumes == 2
+            is_previous_known and failure.reason != UNREACHABLE_REASON and chat.resume_count == 2
         )
         if can_move_cache and previous_endpoint is not None:
             dispatched = self._dispatcher.retry_elsewhere(chat.engine_request, now, delay_s)
@@ -286,7 +286,7 @@
             ):
                 self._context.metrics.count_retry("resume_elsewhere")
                 return self._grant(
-                    chat, dispatched, now, resumes=True, cache_from=previous_endpoint.address
+                    chat, dispatched, now, is_resume=True, cache_from=previous_endpoint.address
                 )
             if isinstance(dispatched, Dispatched):
                 self._dispatcher.undo_send(chat.engine_request, now)
@@ -332,7 +332,12 @@
         return None
 
     def _grant(
-        self, chat: _Chat, sent: Dispatched, now: float, resumes: bool = False, cache_from: str = ""
+        self,
+        chat: _Chat,
+        sent: Dispatched,
+        now: float,
+        is_resume: bool = False,
+        cache_from: str = "",
     ) -> ChatGrant:
         endpoint = sent.choice.endpoint
         timeout_s = max(0.0, chat.engine_request.deadline - now - sent.delay_s)
@@ -349,7 +354,7 @@
             is_sampled=chat.selected_version.is_sampled,
             must_buffer=chat.selected_version.escalation is not None,
             session_token=chat.request.session_token,
-            is_resume=resumes,
+            is_resume=is_resume,
             cache_from=cache_from,
         )
 
--- a/poplarrun/server/_chats.py
+++ b/poplarrun/server/_chats.py
@@ -134,13 +134,13 @@
         if isinstance(piece, BrokenAnswer):
             self._buffered_pieces = iter([piece])
             return
-        match self._loop.ask(JudgeChat(self._make_end(piece, whole=True))):
+        match self._loop.ask(JudgeChat(self._make_end(piece, is_complete=True))):
             case ChatGrant() as grant:
                 self._read_end()
                 self._engine_request_id = f"{self._request.request_id}.2"
                 self._start_attempt(grant)
             case _:
-                self._end(piece, whole=True)
+                self._send_end(piece, is_complete=True)
                 pieces: list[Piece] = [[self.text], piece] if self._texts else [piece]
                 self._buffered_pieces = iter(pieces)
 
@@ -186,7 +186,7 @@
             match self._pending_answers:
                 case [Usage() as usage, *_] if self._is_whole(usage):
                     if not self._is_buffering:
-                        self._end(usage, whole=True)
+                        self._send_end(usage, is_complete=True)
                     return usage
                 case [EngineFailed() as engine_failure, *_]:
                     pass
@@ -256,12 +256,12 @@
             return
         self._engine.cancel(self._address, self._engine_request_id)
         generated_usage = Usage(self._request.prompt_tokens, self._reassembly.next_position)
-        self._end(generated_usage, whole=False)
+        self._send_end(generated_usage, is_complete=False)
 
-    def _end(self, usage: Usage, whole: bool) -> None:
+    def _send_end(self, usage: Usage, is_complete: bool) -> None:
         self._is_ended = True
-        self._loop.ask(self._make_end(usage, whole))
+        self._loop.ask(self._make_end(usage, is_complete))
 
-    def _make_end(self, usage: Usage, whole: bool) -> EndChat:
-        text = self.text if self._is_sampled and whole else None
-        return EndChat(self._request.request_id, usage, whole, text)
+    def _make_end(self, usage: Usage, is_complete: bool) -> EndChat:
+        text = self.text if self._is_sampled and is_complete else None
+        return EndChat(self._request.request_id, usage, is_complete, text)
--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -48,8 +48,8 @@
 
 # Time in seconds after which an engine that takes no orders is asked again.
 NO_ORDERS_RETRY_INTERVAL_S = 30.0
-# Engines that a host that isn't a candidate asks in a round whether they take orders, and
-# engines that the lease holder polls in a round.
+# Engines per round that a host asks whether they take orders, before it wants the lease, and
+# engines per round that the lease holder polls.
 MAX_PROBED_ENGINES = 4
 MAX_POLLED_ENGINES = 64
 # Maximum fraction of the event loop's core for planning; a very large zone is planned less
@@ -62,7 +62,7 @@
 class OpenRequests(Protocol):
     """Provides the host's open requests."""
 
-    def list_open_work(self) -> list[OpenRequest]:
+    def list_open_requests(self) -> list[OpenRequest]:
         """Return the open requests."""
 
 
@@ -133,8 +133,8 @@
         if not self._is_candidate and not self._zone_summaries:
             # No host sends orders, so that nobody needs the demand.
             return
-        open_work = self._chats.list_open_work()
-        self._context.demand.close_round(open_work, now)
+        open_requests = self._chats.list_open_requests()
+        self._context.demand.close_round(open_requests, now)
         summary = self._context.demand.summarize(now)
         summary.applied_revisions = {
             zone: h.revision for zone, h in self._zone_summaries.items() if h.draining
@@ -145,7 +145,7 @@
             for engine, versions in summaries.draining.items()
             for version in versions
         }
-        for work in open_work:
+        for work in open_requests:
             if (work.engine, str(work.version)) in draining:
                 counts = summary.open_requests.setdefault(work.engine, {})
                 counts[str(work.version)] = counts.get(str(work.version), 0) + 1
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -97,7 +97,7 @@
         )
         self._has_caught_up = False
         self._snapshot_due_at = clock() + SNAPSHOT_INTERVAL_S
-        self._snapshot_seen = -1
+        self._last_snapshot_offset = -1
         self._incomplete_since: float | None = None
         self.has_rollouts = False
         self.on_withdrawal: Callable[[], None] = lambda: None
@@ -220,8 +220,8 @@
         remaining state counts as complete after a while.
         """
         rollouts, me = self._versions.rollouts, self._peers.me
-        if rollouts.snapshot_offset != self._snapshot_seen:
-            self._snapshot_seen = rollouts.snapshot_offset
+        if rollouts.snapshot_offset != self._last_snapshot_offset:
+            self._last_snapshot_offset = rollouts.snapshot_offset
             self._snapshot_due_at = now + SNAPSHOT_INTERVAL_S
         if rollouts.is_complete:
             self._incomplete_since = None
--- a/standins/order_world.py
+++ b/standins/order_world.py
@@ -90,7 +90,7 @@
         ):
             world.loop.create_task(self._repeat(step, period_s))
 
-    def list_open_work(self) -> list[OpenRequest]:
+    def list_open_requests(self) -> list[OpenRequest]:
         """Return the open requests."""
         return self.open_work
 
