--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -137,18 +137,20 @@
         self._context.demand.close_round(open_requests, now)
         summary = self._context.demand.summarize(now)
         summary.applied_revisions = {
-            zone: h.revision for zone, h in self._zone_summaries.items() if h.draining
+            zone: zone_summary.revision
+            for zone, zone_summary in self._zone_summaries.items()
+            if zone_summary.draining
         }
         draining = {
             (engine, version)
-            for summaries in self._zone_summaries.values()
-            for engine, versions in summaries.draining.items()
+            for zone_summary in self._zone_summaries.values()
+            for engine, versions in zone_summary.draining.items()
             for version in versions
         }
-        for work in open_requests:
-            if (work.engine, str(work.version)) in draining:
-                counts = summary.open_requests.setdefault(work.engine, {})
-                counts[str(work.version)] = counts.get(str(work.version), 0) + 1
+        for request in open_requests:
+            if (request.engine, str(request.version)) in draining:
+                counts = summary.open_requests.setdefault(request.engine, {})
+                counts[str(request.version)] = counts.get(str(request.version), 0) + 1
         self._peers.publish(DEMAND_TOPIC, encode_demand(summary))
 
     async def run_orders(self) -> None:
