--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -34,7 +34,7 @@
 
 
 def drain_revisions(context):
-    return [holder.tasks.holder.summarize().revision for holder in context.world.holders("a")]
+    return [holder.tasks.controller.summarize().revision for holder in context.world.holders("a")]
 
 
 def loads_by_engine(context):
