--- a/features/steps/cli_tls.py
+++ b/features/steps/cli_tls.py
@@ -7,7 +7,7 @@
 from features.environment import CERTIFICATES
 
 
-def ask_status(context, **variables):
+def query_status(context, **variables):
     environment = {k: v for k, v in os.environ.items() if k != "SSL_CERT_FILE"}
     context.shown = subprocess.run(
         [sys.executable, "-m", "poplarrun", "status", "--hosts", f"https://{context.host_address}"],
@@ -18,14 +18,14 @@
     )
 
 
-@when("the command line asks the host's status over TLS with the authority's file")
-def step_ask_with(context):
-    ask_status(context, SSL_CERT_FILE=str(CERTIFICATES / "own-authority.pem"))
+@when("the command line queries the host's status over TLS with the authority's file")
+def step_query_with(context):
+    query_status(context, SSL_CERT_FILE=str(CERTIFICATES / "own-authority.pem"))
 
 
-@when("the command line asks the host's status over TLS without the authority's file")
-def step_ask_without(context):
-    ask_status(context)
+@when("the command line queries the host's status over TLS without the authority's file")
+def step_query_without(context):
+    query_status(context)
 
 
 @then("it prints the host")
@@ -34,7 +34,7 @@
     assert "a1    a" in context.shown.stdout, context.shown.stdout
 
 
-@then("it says that the host gave no answer")
+@then("it reports that the host gave no answer")
 def step_no_answer(context):
     assert context.shown.returncode != 0, context.shown
     assert "no answer" in context.shown.stdout + context.shown.stderr, context.shown
--- a/features/steps/engine_bodies.py
+++ b/features/steps/engine_bodies.py
@@ -27,26 +27,26 @@
 
 
 def read_request(connection):
-    """Read one request, head and body, which may come in pieces; False at the end."""
+    """Read one request with its body; return False when the connection is closed."""
     data = b""
-    while (piece := connection.recv(65_536)) and not is_whole(data + piece):
+    while (piece := connection.recv(65_536)) and not is_complete_request(data + piece):
         data += piece
     return bool(piece)
 
 
-def is_whole(data):
+def is_complete_request(data):
     head, _, body = data.partition(b"\r\n\r\n")
-    found = re.search(rb"(?i)content-length: *(\d+)", head)
-    return found is not None and len(body) >= int(found.group(1))
+    content_length = re.search(rb"(?i)content-length: *(\d+)", head)
+    return content_length is not None and len(body) >= int(content_length.group(1))
 
 
 class RawEngine:
-    """Answers each request with the same bytes, cut where it is told."""
+    """Responds to each request with the same bytes, in pieces of a given size."""
 
-    def __init__(self, body, size=10_000, closes=False):
+    def __init__(self, body, piece_bytes=10_000, closes=False):
         self.connections = 0
-        self._answer = HEAD + body
-        self._size = size
+        self._response = HEAD + body
+        self._piece_bytes = piece_bytes
         self._closes = closes
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
@@ -66,29 +66,29 @@
 
     def _serve(self, connection):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # The client may close while bytes are under way.
+        # The client may close the connection while bytes are being sent.
         with connection, contextlib.suppress(ConnectionError):
             while read_request(connection):
-                for at in range(0, len(self._answer), self._size):
-                    connection.sendall(self._answer[at : at + self._size])
+                for at in range(0, len(self._response), self._piece_bytes):
+                    connection.sendall(self._response[at : at + self._piece_bytes])
                 if self._closes:
                     return
 
 
-def ask(context):
+def generate(context):
     call = EngineCall("request", VersionId("larch", "1"), "one two three", 20, 1)
-    arrived = HttpEngine().generate(context.raw_engine.address, call, 10.0)
-    return [answer for answers in arrived for answer in answers]
+    events_by_read = HttpEngine().generate(context.raw_engine.address, call, 10.0)
+    return [answer for answers in events_by_read for answer in answers]
 
 
-def run_engine(context, *arguments, **more):
-    context.raw_engine = RawEngine(*arguments, **more)
+def run_engine(context, *arguments, **options):
+    context.raw_engine = RawEngine(*arguments, **options)
     context.add_cleanup(context.raw_engine.close)
 
 
-@given("an engine that sends its bytes {size:d} at a time")
-def step_engine_of_pieces(context, size):
-    run_engine(context, BODY, size)
+@given("an engine that sends its bytes {piece_bytes:d} at a time")
+def step_engine_of_pieces(context, piece_bytes):
+    run_engine(context, BODY, piece_bytes)
 
 
 @given("an engine that sends more than a body")
@@ -103,12 +103,12 @@
 
 @when("it is asked for two answers")
 def step_ask_twice(context):
-    context.answers = [ask(context), ask(context)]
+    context.answers = [generate(context), generate(context)]
 
 
 @when("it is asked for an answer")
 def step_ask(context):
-    context.answers = [ask(context)]
+    context.answers = [generate(context)]
 
 
 @then("both are whole")
--- a/features/steps/log_signatures.py
+++ b/features/steps/log_signatures.py
@@ -31,11 +31,11 @@
     return LogKeys(tuple(KEYS[word] for word in words if word in KEYS), "unsigned" in words)
 
 
-@given('a host\'s record in stream "{stream}", {changed}, read with keys "{keys}"')
-def step_record(context, stream, changed, keys):
+@given('a host\'s record in stream "{stream}", {change}, read with keys "{keys}"')
+def step_record(context, stream, change, keys):
     sealed = sign_log_record(stream, BILL, KEYS["first"])
     log = MemoryLog()
-    match changed:
+    match change:
         case "with another byte at its end":
             sealed = sealed[:-1] + bytes([sealed[-1] ^ 1])
         case "cut to half its length":
@@ -50,14 +50,14 @@
     context.page = reader.read(stream, 0, 10)
 
 
-@then('the record is {read} and "{counted}" is counted')
-def step_read(context, read, counted):
-    assert context.page.entries == (Entry(0, BILL if read == "read" else b""),)
+@then('the record is {result} and "{counted}" is counted')
+def step_read(context, result, counted):
+    assert context.page.entries == (Entry(0, BILL if result == "read" else b""),)
     assert context.page.end == 1
     assert context.counted == ({} if counted == "nothing" else {counted: 1})
 
 
-@given("hosts with a log key, whose log a forger reaches")
+@given("hosts with a log key, and a forger with access to their log")
 def step_hosts(context):
     context.forged_log = MemoryLog()
     context.counted = Counter()
@@ -82,7 +82,7 @@
     return context.host_log.read(stream, 0, 10).entries
 
 
-@then("the statement has nothing of it")
+@then("the statement doesn't include the forged bill")
 def step_no_bill(context):
     assert read_statement(context.host_log, "shop", 0.0).lines == ()
 
@@ -125,7 +125,7 @@
                 context.rotated += len([e for e in one.read(STREAM, begin, 10).entries if e.data])
 
 
-@then("every record that one of them wrote is read by all")
+@then("every record that one of them wrote is accepted by all")
 def step_rotated(context):
     assert context.refused == []
     assert context.rotated == 3 * 3 * 3 * 3
--- a/features/steps/security.py
+++ b/features/steps/security.py
@@ -37,34 +37,34 @@
 CERTIFICATES = Path(__file__).resolve().parents[1] / "certificates"
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
 OWN = CERTIFICATES / "own-authority.pem"
-SEND_TIME_S = 1.0
-SEND_TRIES = 20
+SEND_INTERVAL_S = 1.0
+MAX_SENDS = 20
 
 
 def tls(identity, authority=OWN):
     return TlsFiles(authority, identity)
 
 
-def send(context, files, *messages):
-    """Send from a host of its own, over the real transport."""
+def send(context, tls_files, *messages):
+    """Send messages from a separate host over the real transport."""
 
     async def exchange():
-        sender = NngLinks(free_address(), files)
+        sender = NngLinks(free_address(), tls_files)
         sender.start(lambda _: None)
         for message in messages:
             sender.send(context.receiver.address, message)
-            await asyncio.sleep(SEND_TIME_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
         sender.stop()
 
     context.real_loop.run_until_complete(exchange())
 
 
-def start_receiver(context, files):
+def start_receiver(context, tls_files):
     context.real_loop = asyncio.new_event_loop()
     context.received = []
 
     async def start():
-        context.receiver = NngLinks(free_address(), files)
+        context.receiver = NngLinks(free_address(), tls_files)
         context.receiver.start(context.received.append)
 
     def stop():
@@ -118,15 +118,15 @@
 
 @when('a sender sends {count:d} bytes and then "{text}"')
 def step_send_large(context, count, text):
-    # The sender's own bound is not asked: a hostile one has none.
+    # Bypasses the sender's own size limit, which a hostile sender would not have.
     async def exchange():
         sender = NngLinks(free_address())
         sender.start(lambda _: None)
         sender._connection(context.receiver.address).socket.send(b"x" * count, block=False)
-        # The receiver drops the connection, and a message sent before the next one is
-        # made may be lost; how long that takes differs from run to run.
-        for _ in range(SEND_TRIES):
-            await asyncio.sleep(SEND_TIME_S)
+        # The receiver closes the connection, and a message sent before the reconnection may
+        # be lost. The time until then varies from run to run.
+        for _ in range(MAX_SENDS):
+            await asyncio.sleep(SEND_INTERVAL_S)
             if context.received:
                 break
             sender.send(context.receiver.address, text.encode())
@@ -166,19 +166,19 @@
     append_with(context, "foreign")
 
 
-@then("it stands at offset 0")
-def step_stands(context):
+@then("it is appended at offset 0")
+def step_appended(context):
     assert context.outcome == Appended(0), context.outcome
 
 
-@then("the append is refused or unknown, and nothing more stands in the log")
+@then("the append is refused or unknown, and the log has no further record")
 def step_not_appended(context):
     assert not isinstance(context.outcome, Appended), context.outcome
     assert context.stand_in.log.read("test", 0, 10).end == 1
 
 
-def seen_certificate(context):
-    """Return the certificate that the host shows, once /readyz was answered."""
+def fetch_certificate(context):
+    """Return the certificate that the host presents, after /readyz was answered."""
     ip, _, port = context.host_address.rpartition(":")
     trust = ssl.create_default_context(cafile=str(OWN))
     plain = socket.create_connection((ip, int(port)), timeout=5)
@@ -192,32 +192,32 @@
     return ssl.PEM_cert_to_DER_cert((CERTIFICATES / f"{name}.crt").read_text())
 
 
-@given("the certificate that callers see, in two files")
+@given("the callers' certificate in two files")
 def step_two_files(context):
     temporary = tempfile.TemporaryDirectory()
     context.add_cleanup(temporary.cleanup)
     folder = Path(temporary.name)
-    context.files = CallersTls(certificate=folder / "host.crt", key=folder / "host.key")
-    shutil.copy(CERTIFICATES / "own-host.crt", context.files.certificate)
-    shutil.copy(CERTIFICATES / "own-host.key", context.files.key)
-    context.shown = CallerCertificate(context.files)
+    context.tls_files = CallersTls(certificate=folder / "host.crt", key=folder / "host.key")
+    shutil.copy(CERTIFICATES / "own-host.crt", context.tls_files.certificate)
+    shutil.copy(CERTIFICATES / "own-host.key", context.tls_files.key)
+    context.caller_certificate = CallerCertificate(context.tls_files)
 
 
-@when("only the certificate's file is replaced, and both are read again")
+@when("only the certificate's file is replaced, and both are loaded again")
 def step_one_file(context):
-    shutil.copy(CERTIFICATES / "renewed-host.crt", context.files.certificate)
+    shutil.copy(CERTIFICATES / "renewed-host.crt", context.tls_files.certificate)
     later_s = time.time() + 10.0
-    os.utime(context.files.certificate, (later_s, later_s))
-    assert not context.shown.renew()
+    os.utime(context.tls_files.certificate, (later_s, later_s))
+    assert not context.caller_certificate.renew()
 
 
-@then("callers still see the first certificate")
-def step_first_seen(context):
-    assert shake_hands(context.shown.adapter.context) == certificate_of("own-host")
+@then("callers still get the first certificate")
+def step_first_presented(context):
+    assert do_handshake(context.caller_certificate.adapter.context) == certificate_of("own-host")
 
 
-def shake_hands(server_context):
-    """Return the certificate that a caller gets, without a network."""
+def do_handshake(server_context):
+    """Do a TLS handshake in memory; return the certificate that the client gets."""
     to_server, to_client = ssl.MemoryBIO(), ssl.MemoryBIO()
     trust = ssl.create_default_context(cafile=str(OWN))
     trust.check_hostname = False
@@ -230,12 +230,12 @@
     return client.getpeercert(binary_form=True)
 
 
-@when("the readiness is asked over TLS")
-def step_ask_tls(context):
-    context.certificate = seen_certificate(context)
+@when("the readiness is queried over TLS")
+def step_query_tls(context):
+    context.certificate = fetch_certificate(context)
 
 
-@then("it is answered with the first certificate")
+@then("the response comes with the first certificate")
 def step_first_certificate(context):
     assert context.certificate == certificate_of("own-host")
 
@@ -246,13 +246,13 @@
     shutil.copy(CERTIFICATES / "renewed-host.key", context.key_file)
 
 
-@then("soon it is answered with the renewed certificate")
+@then("soon responses come with the renewed certificate")
 def step_renewed(context):
     renewed = certificate_of("renewed-host")
-    wait_until(lambda: seen_certificate(context) == renewed, "the renewed certificate")
+    wait_until(lambda: fetch_certificate(context) == renewed, "the renewed certificate")
 
 
-@when("{count:d} connections send half a head and stay")
+@when("{count:d} connections send half a handshake or nothing and stay open")
 def step_half_open(context, count):
     ip, _, port = context.host_address.rpartition(":")
     for number in range(count):
@@ -273,8 +273,8 @@
 def publish_by_command(context, *more):
     file = str(EXAMPLES / "thistledown.yaml")
     log = context.fleet.log.address
-    # The command does not know the hosts' keys, so it counts refused records as
-    # accepted; based on -1 each is what the host would take first.
+    # The command doesn't know the operators' keys, so it takes records that the hosts refuse
+    # for accepted ones. Based on -1, each is what a host would accept as its first.
     context.fleet.run_cli("config", "publish", file, "--log", log, "--based-on=-1", *more)
 
 
@@ -290,7 +290,7 @@
     publish_by_command(context, "--operator", name, "--key-file", str(file))
 
 
-@then("the host refused {count:d} records and has nothing in force")
+@then("the host refused {count:d} records and has no configuration in force")
 def step_refused_records(context, count):
     (host,) = context.fleet.hosts.values()
 
@@ -318,7 +318,7 @@
     zones.apply_item(Item(zone_key("b", "~members"), 1, 0, data), 0.0)
 
 
-BORDERS = {
+DECODERS = {
     "peer messages": (decode_envelope, encode_envelope(ENVELOPE)),
     "configuration records": (decode_signed_record, sign_record(PUBLICATION, "ada", b"key")),
     "configuration answers": (
@@ -339,7 +339,7 @@
 
 
 def mutated(valid):
-    """Make random bytes, and a valid message with some bytes replaced, cut or doubled."""
+    """Generate random bytes, and a valid message with bytes replaced, removed or inserted."""
     change = strategies.tuples(strategies.integers(0, len(valid)), strategies.binary(max_size=6))
 
     def apply(changes):
@@ -353,10 +353,10 @@
     )
 
 
-@when('the decoder of "{border}" reads {count:d} hostile inputs')
-def step_fuzz(context, border, count):
-    decode, valid = BORDERS[border]
-    context.tried = itertools.count()
+@when('the decoder of "{message_format}" reads {count:d} hostile inputs')
+def step_fuzz(context, message_format, count):
+    decode, valid = DECODERS[message_format]
+    context.input_count = itertools.count()
 
     @settings(
         max_examples=count,
@@ -368,7 +368,7 @@
     )
     @given_values(mutated(valid))
     def read(data):
-        next(context.tried)
+        next(context.input_count)
         decode(data)
 
     read()
@@ -377,6 +377,6 @@
 
 @then("none of them raised")
 def step_none_raised(context):
-    tried = next(context.tried)
-    print(f"{tried} inputs tried")
-    assert tried >= context.count * 0.9, tried
+    input_count = next(context.input_count)
+    print(f"{input_count} inputs tried")
+    assert input_count >= context.count * 0.9, input_count
--- a/features/steps/service_tls.py
+++ b/features/steps/service_tls.py
@@ -34,24 +34,24 @@
     context.prepared = caller.prepare(context.service.address, call)
 
 
-@then("the call is {prepared} and the service has no effect")
-def step_prepared(context, prepared):
-    is_plain = not isinstance(context.prepared, ServiceNotSent)
-    context.is_ready = prepared == "ready"
-    assert is_plain == context.is_ready, context.prepared
+@then("the call is {state} and the service has executed nothing")
+def step_prepared(context, state):
+    is_prepared = not isinstance(context.prepared, ServiceNotSent)
+    context.is_ready = state == "ready"
+    assert is_prepared == context.is_ready, context.prepared
     assert context.service.effects == []
 
 
-@then("handed over and finished it {ends}")
-def step_finished(context, ends):
-    answer = None
+@then("after it was sent it {outcome}")
+def step_sent(context, outcome):
+    result = None
     if context.is_ready:
         assert context.prepared.start_sending()
-        answer = context.prepared.finish(TIMEOUT_S)
+        result = context.prepared.finish(TIMEOUT_S)
         context.prepared.close()
-    if ends == "ran with its own body":
-        assert isinstance(answer, ServiceResponse) and answer.status == 200, answer
+    if outcome == "was executed with its body":
+        assert isinstance(result, ServiceResponse) and result.status == 200, result
         assert [e["body"] for e in context.service.effects] == [context.body.decode()]
     else:
-        assert answer is None or isinstance(answer, ServiceOutcomeUnknown)
+        assert result is None or isinstance(result, ServiceOutcomeUnknown)
         assert context.service.effects == []
--- a/features/steps/standins.py
+++ b/features/steps/standins.py
@@ -22,14 +22,14 @@
     context.add_cleanup(context.stand_in.stop)
 
 
-@then("it answers at another control port")
-def step_answers(context):
+@then("it responds at another control port")
+def step_responds(context):
     assert context.stand_in.control_address != context.taken
     assert get_json(context.stand_in.control_address, "/faults") is not None
 
 
-@when("{count:d} free ports are drawn")
-def step_draw_ports(context, count):
+@when("{count:d} free ports are allocated")
+def step_allocate_ports(context, count):
     context.ports = [free_port() for _ in range(count)]
 
 
@@ -39,9 +39,10 @@
         assert len(set(context.ports[first : first + count])) == count
 
 
-@given("another process holds {count:d} of the ports that are drawn from")
-def step_held(context, count):
+@given("another process has bound {count:d} of the candidate ports")
+def step_bound(context, count):
     for _ in range(count):
-        # As a server does: a port whose last connection still lingers can be taken.
-        held = socket.create_server(("127.0.0.1", free_port()))
-        context.add_cleanup(held.close)
+        # create_server sets SO_REUSEADDR as servers do, so that a port whose last connection
+        # is still in TIME_WAIT can be bound.
+        listener = socket.create_server(("127.0.0.1", free_port()))
+        context.add_cleanup(listener.close)
