--- a/poplarrun/cli/_ask.py
+++ b/poplarrun/cli/_ask.py
@@ -15,7 +15,7 @@
 OK = 200
 DATA_PREFIX = b"data: "
 END_OF_STREAM = b"[DONE]"
-TIMEOUT_S = 300.0
+REQUEST_TIMEOUT_S = 300.0
 
 
 @dataclass
@@ -61,7 +61,7 @@
                 body=body,
                 headers=headers,
                 preload_content=False,
-                timeout=TIMEOUT_S,
+                timeout=REQUEST_TIMEOUT_S,
                 retries=False,
             )
         except urllib3.exceptions.HTTPError as error:
--- a/poplarrun/cli/_config.py
+++ b/poplarrun/cli/_config.py
@@ -151,8 +151,8 @@
         folded = read_configuration(log)
         state, history = folded.state, folded.history
         for entry, verdict in history:
-            found = decode_signed_record(entry.data)
-            if found is None or isinstance(found, Unsigned) or found.id != record.id:
+            candidate = decode_signed_record(entry.data)
+            if candidate is None or isinstance(candidate, Unsigned) or candidate.id != record.id:
                 continue
             match verdict:
                 case Accepted(offset=offset):
--- a/poplarrun/cli/_http.py
+++ b/poplarrun/cli/_http.py
@@ -8,7 +8,7 @@
 
 from poplarrun.cli._arguments import TLS_SCHEME
 
-TIMEOUT_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 OK = 200
 
 
@@ -31,7 +31,9 @@
 def get_json(address: str, path: str) -> Any | HostUnavailable:
     """Request a path of a host and return the decoded JSON of the response."""
     try:
-        response = urllib3.request("GET", make_url(address, path), timeout=TIMEOUT_S, retries=False)
+        response = urllib3.request(
+            "GET", make_url(address, path), timeout=REQUEST_TIMEOUT_S, retries=False
+        )
     except urllib3.exceptions.HTTPError as error:
         return HostUnavailable(address, f"no answer ({type(error).__name__})")
     if response.status != OK:
--- a/poplarrun/cli/_losses.py
+++ b/poplarrun/cli/_losses.py
@@ -68,60 +68,64 @@
         request_id = line.fields.get("request")
         if request_id:
             by_request[request_id].append(line)
-    starts = [own[0].logged_at for own in by_request.values()]
+    starts = [request_lines[0].logged_at for request_lines in by_request.values()]
     first_start = min(starts, default=None)
     request_counts: Counter[str] = Counter()
     losses = []
-    for request_id, own in by_request.items():
-        route = next((str(x.fields["route"]) for x in own if x.fields.get("route")), "")
+    for request_id, request_lines in by_request.items():
+        route = next(
+            (str(entry.fields["route"]) for entry in request_lines if entry.fields.get("route")), ""
+        )
         request_counts[route] += 1
-        cause = _find_cause(own)
+        cause = _find_cause(request_lines)
         if cause is not None and first_start is not None:
-            second = int((own[0].logged_at - first_start).total_seconds())
-            losses.append(Loss(request_id, cause, route, zones.get(own[0].host, ""), second))
+            second = int((request_lines[0].logged_at - first_start).total_seconds())
+            losses.append(
+                Loss(request_id, cause, route, zones.get(request_lines[0].host, ""), second)
+            )
     return LossReport(request_counts, tuple(losses))
 
 
-def _find_cause(own: list[LogLine]) -> str | None:
-    end = own[-1]
-    failures = [str(line.fields["failure"]) for line in own if line.event == "SendFailed"]
+def _find_cause(request_lines: list[LogLine]) -> str | None:
+    end = request_lines[-1]
+    failures = [str(line.fields["failure"]) for line in request_lines if line.event == "SendFailed"]
     match end.event:
         case "RequestRefused":
             return f"refused: {end.fields['kind']}, {end.fields['reason']}"
         case "AnswerBroken":
             return f"broken off: {failures[-1] if failures else end.fields['kind']}"
         case "CallerLeft":
-            return f"left: {_describe_delay(own, failures)}"
+            return f"left: {_describe_delay(request_lines, failures)}"
         case "RequestAnswered" if end.fields["status"] >= MIN_ERROR_STATUS:
             return f"failed at its endpoint: {end.fields['status']}"
         case "RequestAnswered":
-            return _find_cause_of_answer(own, failures)
+            return _find_cause_of_answer(request_lines, failures)
         case _:
             return "no line tells its end"
 
 
-def _find_cause_of_answer(own: list[LogLine], failures: list[str]) -> str | None:
-    fields = own[-1].fields
+def _find_cause_of_answer(request_lines: list[LogLine], failures: list[str]) -> str | None:
+    fields = request_lines[-1].fields
     first_s = fields.get("first_s")
     if first_s is None:
         return None
     if first_s > fields["target_s"] > 0.0:
-        return f"late: {_describe_delay(own, failures)}"
+        return f"late: {_describe_delay(request_lines, failures)}"
     if fields["pause_s"] > fields["most_pause_s"] > 0.0:
-        return f"pause: {_describe_delay(own, failures)}"
+        return f"pause: {_describe_delay(request_lines, failures)}"
     confidence = fields.get("confidence")
     if confidence is not None and confidence < MIDPOINT_CONFIDENCE:
         return "poor: kept although the model doubts it"
     return None
 
 
-def _describe_delay(own: list[LogLine], failures: list[str]) -> str:
+def _describe_delay(request_lines: list[LogLine], failures: list[str]) -> str:
     """Return what delayed a request."""
     if failures:
         return f"after a send failed ({failures[0]})"
-    if any(line.event == "LargerModelAsked" for line in own):
+    if any(line.event == "LargerModelAsked" for line in request_lines):
         return "after a larger model was asked"
-    if any(line.event == "RequestSent" for line in own):
+    if any(line.event == "RequestSent" for line in request_lines):
         return "by its first endpoint"
     return "before any send"
 
--- a/poplarrun/clients/_streams.py
+++ b/poplarrun/clients/_streams.py
@@ -84,8 +84,8 @@
             return
         self._socket, self._timeout_s = sock, timeout_s
         seconds, fraction = divmod(timeout_s, 1.0)
-        bound = struct.pack("@ll", int(seconds), int(fraction * MICROSECONDS_PER_SECOND))
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, bound)
+        timeval = struct.pack("@ll", int(seconds), int(fraction * MICROSECONDS_PER_SECOND))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval)
         sock.settimeout(None)
 
     def release(self) -> None:
--- a/poplarrun/log/_memory.py
+++ b/poplarrun/log/_memory.py
@@ -56,10 +56,10 @@
         if self.is_down:
             return ReadFailed("the log is down")
         source = self._streams.get(stream, _Stream())
-        first = max(from_offset, source.horizon)
-        index = first - source.horizon
+        first_offset = max(from_offset, source.horizon)
+        index = first_offset - source.horizon
         records = source.records[index : index + limit]
-        entries = tuple(Entry(first + i, data) for i, data in enumerate(records))
+        entries = tuple(Entry(first_offset + i, data) for i, data in enumerate(records))
         return Page(entries, source.horizon, source.end)
 
     def truncate(self, stream: str, horizon: int) -> None:
--- a/poplarrun/transport/_client.py
+++ b/poplarrun/transport/_client.py
@@ -106,10 +106,10 @@
         self.uses += 1
         self._is_response_complete = False
         self._unread_bytes = 0
-        framed = [item for item in headers if item[0].lower() != b"content-length"]
+        sent_headers = [item for item in headers if item[0].lower() != b"content-length"]
         if body or method not in (b"GET", b"HEAD", b"DELETE"):
-            framed.append((b"Content-Length", str(len(body)).encode()))
-        head = h11.Request(method=method, target=target, headers=framed)
+            sent_headers.append((b"Content-Length", str(len(body)).encode()))
+        head = h11.Request(method=method, target=target, headers=sent_headers)
         data = self._h11.send(head) or b""
         if body:
             data += self._h11.send(h11.Data(data=body)) or b""
--- a/poplarrun/transport/_pool.py
+++ b/poplarrun/transport/_pool.py
@@ -10,14 +10,14 @@
 
 
 class ConnectionPool:
-    """Idle connections by peer: an address and the lifetime of the process listening there."""
+    """Idle connections by peer: an address and the instance of the process listening there."""
 
     def __init__(self) -> None:
         self._idle: dict[tuple[str, str], deque[ClientConnection]] = {}
 
-    def acquire_idle(self, address: str, lifetime: str = "") -> ClientConnection | None:
+    def acquire_idle(self, address: str, instance_id: str = "") -> ClientConnection | None:
         """Remove and return the most recently used idle connection that is reusable."""
-        idle = self._idle.get((address, lifetime))
+        idle = self._idle.get((address, instance_id))
         while idle:
             connection = idle.pop()
             if connection.is_reusable:
@@ -35,12 +35,12 @@
         """
         return await open_connection(address, timeout_s)
 
-    def release(self, connection: ClientConnection, lifetime: str = "") -> None:
+    def release(self, connection: ClientConnection, instance_id: str = "") -> None:
         """Return a connection to the pool, or close it if it can't be reused."""
         if not connection.is_reusable:
             connection.abort()
             return
-        idle = self._idle.setdefault((connection.address, lifetime), deque())
+        idle = self._idle.setdefault((connection.address, instance_id), deque())
         idle.append(connection)
         if len(idle) > MAX_IDLE_PER_PEER:
             idle.popleft().abort()
