--- a/poplarrun/peers/__init__.py
+++ b/poplarrun/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: what the hosts tell each other, and what follows from it."""
+"""State that gateway hosts exchange: liveness, totals, roll-outs, and who reads the store."""
 
 from poplarrun.peers._messages import (
     ActivityTotals,
@@ -6,9 +6,9 @@
     Digest,
     EndpointChanges,
     EndpointLoad,
-    HeldSessions,
     ListedEndpoint,
     Message,
+    PinnedSessions,
     RolloutProgress,
     Roster,
     RosterFingerprint,
@@ -41,11 +41,11 @@
     "DueDigest",
     "EndpointChanges",
     "EndpointLoad",
-    "HeldSessions",
     "ListedEndpoint",
     "Message",
     "PeerState",
     "PeerTable",
+    "PinnedSessions",
     "ReadSchedule",
     "ReadTimeouts",
     "ReceivedTotals",
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -19,8 +19,8 @@
 from poplarrun.server._messages import RolloutStatus
 from poplarrun.versions import (
     ROLLOUTS_STREAM,
-    RolloutSnapshot,
     SampledAnswer,
+    Snapshot,
     VersionManager,
     decode_rollout,
     encode_rollout,
@@ -154,7 +154,7 @@
         for name in self._list_asked_peers():
             answer = await self._peers.ask(name, ROLLOUTS_MESSAGE, b"", PEER_REQUEST_TIMEOUT_S)
             snapshot = decode_rollout(answer) if isinstance(answer, bytes) else None
-            if isinstance(snapshot, RolloutSnapshot):
+            if isinstance(snapshot, Snapshot):
                 self._versions.apply_rollout_snapshot(snapshot)
                 self.has_rollouts = True
                 return
@@ -213,7 +213,7 @@
         # same records again otherwise.
         self._has_caught_up = False
 
-    def _due_snapshot(self, now: float) -> list[RolloutSnapshot]:
+    def _due_snapshot(self, now: float) -> list[Snapshot]:
         """Return a snapshot if one is due, so that the state outlives the log's retention.
 
         If no host has the complete state, for instance after a long stop of all hosts, the
--- a/poplarrun/versions/__init__.py
+++ b/poplarrun/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Versions: estimates, the choice among versions, exposure and roll-outs."""
+"""Model versions: quality estimates, version selection, and roll-outs with bounded exposure."""
 
 from poplarrun.versions._cascades import ScoreCutoff, find_cutoff, make_cutoffs
 from poplarrun.versions._cells import TRIAL_LOG_CAPITAL_LIMIT, Estimate, Standing
@@ -28,13 +28,13 @@
 from poplarrun.versions._manager import VersionManager
 from poplarrun.versions._rollouts import (
     ROLLOUTS_STREAM,
-    BudgetGrant,
-    RolloutClosure,
+    Closed,
+    Granted,
     RolloutRecord,
-    RolloutResult,
-    RolloutSnapshot,
     RolloutState,
     RolloutTable,
+    Settled,
+    Snapshot,
     decode_rollout,
     encode_rollout,
     fold_rollout,
@@ -54,12 +54,12 @@
     "ROLLOUTS_STREAM",
     "TRIAL_LOG_CAPITAL_LIMIT",
     "AnswerObservation",
-    "BudgetGrant",
     "CellKey",
     "ChangeDetector",
     "Choice",
     "ChoiceRequest",
     "ChosenVersion",
+    "Closed",
     "ConfidenceJudge",
     "ControllerView",
     "DueRecord",
@@ -68,6 +68,7 @@
     "Estimates",
     "Evidence",
     "ExposureBudget",
+    "Granted",
     "Judge",
     "JudgedAnswer",
     "MemoryJudge",
@@ -75,15 +76,14 @@
     "NoVersionAllowed",
     "NoVersionMeetsTargets",
     "RatingSampler",
-    "RolloutClosure",
     "RolloutRecord",
-    "RolloutResult",
-    "RolloutSnapshot",
     "RolloutState",
     "RolloutTable",
     "SampledAnswer",
     "ScoreCutoff",
     "SessionRegistry",
+    "Settled",
+    "Snapshot",
     "Standing",
     "VersionManager",
     "VersionRolloutController",
