--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -143,8 +143,8 @@
         }
         draining = {
             (engine, version)
-            for zone_summary in self._zone_summaries.values()
-            for engine, versions in zone_summary.draining.items()
+            for published in self._zone_summaries.values()
+            for engine, versions in published.draining.items()
             for version in versions
         }
         for request in open_requests:
