--- a/poplarrun/cli/_bill.py
+++ b/poplarrun/cli/_bill.py
@@ -77,7 +77,7 @@
         lines += [_render_line(line) for line in statement.late]
     if any(statement.missing_below):
         lines.append(
-            "incomplete: the log dropped records that no snapshot includes; bills below "
+            "incomplete statement: the log dropped records that no snapshot includes; bills below "
             f"offsets {' '.join(map(str, statement.missing_below))} are missing"
         )
     return "\n".join(lines)
