--- a/poplarrun/transport/_server.py
+++ b/poplarrun/transport/_server.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 server for callers, on the event loop.
 
-Unlike a thread that waits for an endpoint, a connection on the event loop notices when its
-caller disconnects, while a body is still arriving, and when the next request comes early.
+Unlike a thread that waits for an endpoint, a connection on the event loop notices that its
+caller has disconnected, that a body is still arriving, or that the next request came early.
 """
 
 import asyncio
