--- a/features/steps/histories.py
+++ b/features/steps/histories.py
@@ -6,10 +6,10 @@
 from standins.histories import (
     Answer,
     AnswerKind,
-    BillRecorded,
     Effect,
     History,
     Invoke,
+    RecordedBill,
     check_history,
     run_schedule,
 )
@@ -23,9 +23,9 @@
         invokes=[Invoke(0.0, "r1", "k", "a1"), Invoke(0.0, "r2", "k", "b1")],
         answers=[Answer(2.0, "r1", RAN, "one"), Answer(2.0, "r2", AnswerKind.REPLAYED, "one")],
         effects=[Effect(1.0, "r1", "k", "one", 0.5)],
-        bills=[BillRecorded("r1", 0.05)],
-        deadlines={"r1": 4.0, "r2": 4.0},
-        final={"k": AnswerKind.REPLAYED},
+        bills=[RecordedBill("r1", 0.05)],
+        send_deadlines_s={"r1": 4.0, "r2": 4.0},
+        final_answers={"k": AnswerKind.REPLAYED},
     )
 
 
@@ -40,7 +40,7 @@
         case "an effect of a request never sent":
             history.effects.append(Effect(1.5, "r9", "k9", "nine", 0.5))
         case "a call sent after its deadline":
-            history.effects[0] = replace(history.effects[0], sent_at=4.5)
+            history.effects[0] = replace(history.effects[0], sent_at_s=4.5)
         case "a refusal of what ran":
             history.answers[0] = Answer(2.0, "r1", AnswerKind.NOT_RUN)
         case "a truncated answer":
@@ -57,13 +57,13 @@
         case "a second bill":
             history.bills.append(history.bills[0])
         case "a bill of what never ran":
-            history.bills.append(BillRecorded("r2", 0.05))
+            history.bills.append(RecordedBill("r2", 0.05))
         case "a lost bill":
             history.bills.clear()
         case "a key that never settles":
-            history.final["k"] = AnswerKind.IN_PROGRESS
+            history.final_answers["k"] = AnswerKind.IN_PROGRESS
         case "a final answer without an effect":
-            history.final["k4"] = RAN
+            history.final_answers["k4"] = RAN
         case _:
             raise AssertionError(f"no such fault: {fault}")
 
@@ -81,8 +81,8 @@
 
 @then("no rule is broken")
 def step_no_rule(context):
-    broken = [(r.seed, v) for r in context.results for v in r.violations]
-    assert not broken, broken
+    violations = [(r.seed, v) for r in context.results for v in r.violations]
+    assert not violations, violations
 
 
 @then("at least {count:d} kinds of faults were injected")
--- a/features/steps/histories_chats.py
+++ b/features/steps/histories_chats.py
@@ -3,32 +3,32 @@
 from behave import given, then, when
 
 from standins.histories import (
-    Began,
-    BillRecorded,
+    AttemptGranted,
     ChatAnswer,
     ChatEnd,
     ChatHistory,
     ChatInvoke,
-    Disturbed,
+    ConfigurationApplied,
     Generation,
-    Granted,
-    InForce,
-    Terms,
-    Withdrawn,
+    GenerationStarted,
+    RecordedBill,
+    SessionDisruption,
+    VersionPolicy,
+    VersionWithdrawn,
     check_chats,
     run_chats,
 )
 
 ALL = frozenset({"cheap:1", "mid:1", "dear:1"})
-TERMS = Terms(ALL, {"shop": ALL})
+POLICY = VersionPolicy(ALL, {"shop": ALL})
 FIRST = Generation(0, "c1", "cheap:1", 2)
 SECOND = Generation(1, "c2", "cheap:1", 3)
-POOR = Generation(2, "c3", "cheap:1", 2)
-BETTER = Generation(3, "c3.2", "dear:1", 2)
+CASCADE_FIRST = Generation(2, "c3", "cheap:1", 2)
+CASCADE_SECOND = Generation(3, "c3.2", "dear:1", 2)
 
 
-def answer(generation, request_id, at):
-    return ChatAnswer(at, request_id, ChatEnd.WHOLE, generation.text, generation.version)
+def answer(generation, request_id, at_s):
+    return ChatAnswer(at_s, request_id, ChatEnd.COMPLETE, generation.text, generation.version)
 
 
 @given("a valid history of chats")
@@ -40,42 +40,45 @@
             ChatInvoke(3.0, "c3", "shop", "a1"),
             ChatInvoke(4.0, "c4", "shop", "a1"),
         ],
-        in_force=[InForce(0.0, "a1", 0, TERMS), InForce(0.0, "b1", 0, TERMS)],
-        granted=[
-            Granted(1.0, "c1", "a1", "cheap:1", 2),
-            Granted(2.0, "c2", "b1", "cheap:1", 2),
-            Granted(3.0, "c3", "a1", "cheap:1", 2),
-            Granted(3.2, "c3", "a1", "dear:1", 2),
+        configurations_applied=[
+            ConfigurationApplied(0.0, "a1", 0, POLICY),
+            ConfigurationApplied(0.0, "b1", 0, POLICY),
         ],
-        began=[
-            Began(1.0, "c1", 0, "cheap:1"),
-            Began(2.0, "c2", 1, "cheap:1"),
-            Began(3.0, "c3", 2, "cheap:1"),
-            Began(3.2, "c3", 3, "dear:1"),
+        attempts_granted=[
+            AttemptGranted(1.0, "c1", "a1", "cheap:1", 2),
+            AttemptGranted(2.0, "c2", "b1", "cheap:1", 2),
+            AttemptGranted(3.0, "c3", "a1", "cheap:1", 2),
+            AttemptGranted(3.2, "c3", "a1", "dear:1", 2),
         ],
-        accepted={0: TERMS},
-        generations={g.number: g for g in (FIRST, SECOND, POOR, BETTER)},
+        generation_starts=[
+            GenerationStarted(1.0, "c1", 0, "cheap:1"),
+            GenerationStarted(2.0, "c2", 1, "cheap:1"),
+            GenerationStarted(3.0, "c3", 2, "cheap:1"),
+            GenerationStarted(3.2, "c3", 3, "dear:1"),
+        ],
+        accepted={0: POLICY},
+        generations={g.number: g for g in (FIRST, SECOND, CASCADE_FIRST, CASCADE_SECOND)},
         answers=[
             answer(FIRST, "c1", 1.5),
             answer(SECOND, "c2", 2.5),
-            answer(BETTER, "c3", 3.5),
+            answer(CASCADE_SECOND, "c3", 3.5),
             ChatAnswer(4.0, "c4", ChatEnd.NOT_RUN, reason="no_endpoint"),
         ],
-        bills=[BillRecorded("c1", 5.0), BillRecorded("c2", 6.0), BillRecorded("c3", 505.0)],
+        bills=[RecordedBill("c1", 5.0), RecordedBill("c2", 6.0), RecordedBill("c3", 505.0)],
     )
 
 
 def move_session(history):
-    """Let the session's second request run, and be billed, on another version."""
+    """Make the session's second request run, and be billed, on another version."""
     history.invokes[1] = replace(history.invokes[1], pinned="")
     moved = history.generations[1] = replace(SECOND, version="mid:1")
     history.answers[1] = answer(moved, "c2", 2.5)
-    history.bills[1] = BillRecorded("c2", 60.0)
+    history.bills[1] = RecordedBill("c2", 60.0)
 
 
-def withdraw(history, at):
-    history.withdrawn.append(Withdrawn(at, "dear:1", 100.0))
-    history.granted.append(Granted(at + 6.0, "c3", "a1", "dear:1", 2))
+def withdraw(history, at_s):
+    history.version_withdrawals.append(VersionWithdrawn(at_s, "dear:1", 100.0))
+    history.attempts_granted.append(AttemptGranted(at_s + 6.0, "c3", "a1", "dear:1", 2))
 
 
 @when("the chats are modified with {fault}")
@@ -85,20 +88,20 @@
         case "nothing":
             pass
         case "a version that the account lost":
-            narrow = Terms(ALL, {"shop": ALL - {"dear:1"}})
-            history.accepted[1] = narrow
-            history.in_force.append(InForce(3.1, "a1", 1, narrow))
-            history.granted[3] = replace(history.granted[3], after=3)
+            restricted = VersionPolicy(ALL, {"shop": ALL - {"dear:1"}})
+            history.accepted[1] = restricted
+            history.configurations_applied.append(ConfigurationApplied(3.1, "a1", 1, restricted))
+            history.attempts_granted[3] = replace(history.attempts_granted[3], applied_count=3)
         case "an attempt before any configuration":
-            history.granted[0] = replace(history.granted[0], host="c1")
+            history.attempts_granted[0] = replace(history.attempts_granted[0], host="c1")
         case "a version withdrawn at this host":
-            gone = Terms(ALL - {"dear:1"}, TERMS.allowed)
+            gone = VersionPolicy(ALL - {"dear:1"}, POLICY.allowed)
             history.accepted[1] = gone
-            history.in_force.append(InForce(3.1, "a1", 1, gone))
-            history.granted[3] = replace(history.granted[3], after=3)
+            history.configurations_applied.append(ConfigurationApplied(3.1, "a1", 1, gone))
+            history.attempts_granted[3] = replace(history.attempts_granted[3], applied_count=3)
         case "a withdrawal that a host did not apply":
-            history.accepted[1] = Terms(ALL - {"dear:1"}, TERMS.allowed)
-            history.in_force.append(InForce(3.1, "a1", 1, TERMS))
+            history.accepted[1] = VersionPolicy(ALL - {"dear:1"}, POLICY.allowed)
+            history.configurations_applied.append(ConfigurationApplied(3.1, "a1", 1, POLICY))
         case "a late withdrawal":
             withdraw(history, 10.0)
         case "a late withdrawal, host out of reach":
@@ -108,11 +111,11 @@
             move_session(history)
         case "a session that moves, an owner silent":
             move_session(history)
-            history.disturbed.append(Disturbed(2.0, "shop/s", "silent"))
+            history.session_disruptions.append(SessionDisruption(2.0, "shop/s", "silent"))
         case "a session that moves, silent later":
             move_session(history)
-            history.disturbed.append(Disturbed(2.0, "shop/another", "silent"))
-            history.disturbed.append(Disturbed(2.6, "shop/s", "silent"))
+            history.session_disruptions.append(SessionDisruption(2.0, "shop/another", "silent"))
+            history.session_disruptions.append(SessionDisruption(2.6, "shop/s", "silent"))
         case "a pinned version not used":
             history.invokes[1] = replace(history.invokes[1], pinned="dear:1")
         case "a truncated answer":
@@ -121,15 +124,17 @@
             history.generations[0] = replace(FIRST, engine_id="c9")
             history.answers[0] = answer(history.generations[0], "c1", 1.5)
         case "another version's answer":
-            history.generations[3] = replace(BETTER, version="cheap:1")
-            history.bills[2] = BillRecorded("c3", 10.0)
+            history.generations[3] = replace(CASCADE_SECOND, version="cheap:1")
+            history.bills[2] = RecordedBill("c3", 10.0)
         case "an answer of nothing":
             history.answers[0] = replace(history.answers[0], text="")
-            history.bills[0] = BillRecorded("c1", 0.0)
+            history.bills[0] = RecordedBill("c1", 0.0)
         case "an answer of two generations":
-            history.answers[2] = replace(history.answers[2], text=POOR.token(0) + BETTER.token(1))
+            history.answers[2] = replace(
+                history.answers[2], text=CASCADE_FIRST.token(0) + CASCADE_SECOND.token(1)
+            )
         case "a broken answer of two generations":
-            mixed = POOR.token(0) + BETTER.token(1)
+            mixed = CASCADE_FIRST.token(0) + CASCADE_SECOND.token(1)
             history.answers[2] = ChatAnswer(3.5, "c3", ChatEnd.BROKEN, mixed)
         case "two answers":
             history.answers.append(history.answers[0])
@@ -139,20 +144,20 @@
             del history.bills[0]
         case "a lost bill that only its host had":
             del history.bills[0]
-            history.kept_alone.add("c1")
+            history.unreplicated_bills.add("c1")
         case "a bill of another usage":
-            history.bills[0] = BillRecorded("c1", 6.0)
+            history.bills[0] = RecordedBill("c1", 6.0)
         case "a cascade's first answer not billed":
-            history.bills[2] = BillRecorded("c3", 500.0)
+            history.bills[2] = RecordedBill("c3", 500.0)
         case "a bill of what never ran":
-            history.bills.append(BillRecorded("c4", 3.0))
+            history.bills.append(RecordedBill("c4", 3.0))
         case "a bill of what never ran, by a peer":
-            history.bills.append(BillRecorded("c4", 3.0))
-            history.finished_by_peers.add("c4")
+            history.bills.append(RecordedBill("c4", 3.0))
+            history.bills_adopted_by_peers.add("c4")
         case "a refusal of what began":
-            history.began.append(Began(4.1, "c4", 4, "cheap:1"))
+            history.generation_starts.append(GenerationStarted(4.1, "c4", 4, "cheap:1"))
         case "a message that failed":
-            history.failed.append("FirstToken 'c1'")
+            history.failed_messages.append("FirstToken 'c1'")
         case _:
             raise AssertionError(f"no such fault: {fault}")
 
@@ -170,8 +175,8 @@
 
 @then("no rule of chats is broken")
 def step_no_rule(context):
-    broken = [(r.seed, v) for r in context.results for v in r.violations]
-    assert not broken, broken
+    violations = [(r.seed, v) for r in context.results for v in r.violations]
+    assert not violations, violations
 
 
 @when("the schedules of chats {one:d}, {two:d} and {three:d} are run twice")
--- a/standins/histories/__init__.py
+++ b/standins/histories/__init__.py
@@ -1,21 +1,21 @@
-"""Histories of concurrent runs under faults, in virtual time, and the rules that they must keep."""
+"""Simulates concurrent requests under injected faults and checks the recorded histories."""
 
 from standins.histories._chat_events import (
-    Began,
+    AttemptGranted,
     ChatAnswer,
     ChatEnd,
     ChatHistory,
     ChatInvoke,
-    Disturbed,
+    ConfigurationApplied,
     Generation,
-    Granted,
-    InForce,
-    Terms,
-    Withdrawn,
+    GenerationStarted,
+    SessionDisruption,
+    VersionPolicy,
+    VersionWithdrawn,
 )
 from standins.histories._chat_rules import check_chats
 from standins.histories._chat_schedule import ChatResult, run_chats
-from standins.histories._events import Answer, AnswerKind, BillRecorded, Effect, History, Invoke
+from standins.histories._events import Answer, AnswerKind, Effect, History, Invoke, RecordedBill
 from standins.histories._loop import VirtualLoop, run_virtual
 from standins.histories._rules import Violation, check_history
 from standins.histories._schedule import RunResult, run_schedule
@@ -23,25 +23,25 @@
 __all__ = [
     "Answer",
     "AnswerKind",
-    "Began",
-    "BillRecorded",
+    "AttemptGranted",
     "ChatAnswer",
     "ChatEnd",
     "ChatHistory",
     "ChatInvoke",
     "ChatResult",
-    "Disturbed",
+    "ConfigurationApplied",
     "Effect",
     "Generation",
-    "Granted",
+    "GenerationStarted",
     "History",
-    "InForce",
     "Invoke",
+    "RecordedBill",
     "RunResult",
-    "Terms",
+    "SessionDisruption",
+    "VersionPolicy",
+    "VersionWithdrawn",
     "Violation",
     "VirtualLoop",
-    "Withdrawn",
     "check_chats",
     "check_history",
     "run_chats",
--- a/standins/histories/_chat_events.py
+++ b/standins/histories/_chat_events.py
@@ -1,31 +1,31 @@
-"""The events of a history of chats: what callers, hosts, engines and the log saw."""
+"""Events recorded while simulated chats run, as callers, hosts, engines and the log see them."""
 
 import enum
 from dataclasses import dataclass, field
 
-from standins.histories._events import BillRecorded
+from standins.histories._events import RecordedBill
 
 
 class ChatEnd(enum.Enum):
     """How a chat ended for its caller."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     BROKEN = "broken"
     REFUSED = "refused"
     NOT_RUN = "not_run"
-    LEFT = "left"
+    CALLER_LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What a configuration allows.
+class VersionPolicy:
+    """The versions that a configuration offers and those that each client account may use.
 
     Attributes
     ----------
     offered : frozenset of str
         Versions that are not withdrawn.
     allowed : dict of str to frozenset of str
-        Versions by client account, withdrawn ones among them.
+        Versions by client account, including withdrawn ones.
     """
 
     offered: frozenset[str]
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatInvoke:
-    """A caller sent a chat to a host; ``pinned`` is the version its token names."""
+    """A caller sent a chat to a host; ``pinned`` is the version in its session token."""
 
-    at: float
+    at_s: float
     request_id: str
     account: str
     host: str
@@ -45,35 +45,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """A host put a configuration in force, having read the log up to ``read_to``."""
+class ConfigurationApplied:
+    """A host applied a configuration after reading the log up to offset ``read_to``."""
 
-    at: float
+    at_s: float
     host: str
     read_to: int
-    terms: Terms
+    policy: VersionPolicy
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """A host granted an attempt, when so many events of ``in_force`` were written down.
+class AttemptGranted:
+    """A host granted an attempt after ``applied_count`` configurations were recorded.
 
-    Virtual time stands still while a host takes its steps: only the order tells
-    which of two came first.
+    Virtual time does not advance while a host runs, so timestamps can be equal and
+    only the order of recording shows which of two events came first.
     """
 
-    at: float
+    at_s: float
     request_id: str
     host: str
     version: str
-    after: int
+    applied_count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    """An engine began a generation, or went on with one."""
+class GenerationStarted:
+    """An engine started or resumed a generation."""
 
-    at: float
+    at_s: float
     request_id: str
     generation: int
     version: str
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """An answer of an engine, whose every token names its generation and position."""
+    """An engine's answer, whose tokens each identify their generation and position."""
 
     number: int
     engine_id: str
@@ -100,9 +100,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatAnswer:
-    """What a caller got; ``steps`` counts the answers that the request's price is made of."""
+    """The outcome of a chat and the text that its caller received."""
 
-    at: float
+    at_s: float
     request_id: str
     end: ChatEnd
     text: str = ""
@@ -111,60 +111,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
-    """A version's withdrawal was accepted in the log, until it is offered again."""
+class VersionWithdrawn:
+    """The log accepted a version's withdrawal, which ends at ``until_s``."""
 
-    at: float
+    at_s: float
     version: str
-    until: float
+    until_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbed:
-    """A home of sessions that a host could not ask, or that lost what it kept.
+class SessionDisruption:
+    """A session owner that a host could not query, or that lost its state.
 
     Attributes
     ----------
     session : str
-        The session that it was asked for; empty where it is about all of them.
-    why : str
+        The affected session; empty if all sessions are affected.
+    cause : str
         ``silent``, ``out of sight`` or ``lost its memory``.
     """
 
-    at: float
+    at_s: float
     session: str
-    why: str
+    cause: str
 
 
 @dataclass
 class ChatHistory:
-    """All events of one run, each list in the order of time.
+    """All events of one run, each list in chronological order.
 
     Attributes
     ----------
     accepted : dict of int to Terms
-        What the log says after each of its records, by a fold of the checker's own.
+        The policy after each record of the log by offset, computed independently of the product.
     out_of_reach : dict of str to list of (float, float)
-        When each host reached neither the log nor a peer that reached it.
-    kept_alone, lost_holders, finished_by_peers : set of str
-        Requests whose bill only their host held, whose holders were all killed,
-        and whose open bill peers finished because they took the host for dead.
-    failed : list of str
-        Messages of workers that the host's loop could not answer.
+        Intervals in which a host reached neither the log nor a peer that reached it.
+    unreplicated_bills, bills_with_dead_holders, bills_adopted_by_peers : set of str
+        Requests whose bill only their host held, whose bill's holders were all killed,
+        and whose open bill peers finished because they considered the host dead.
+    failed_messages : list of str
+        Worker messages that the host's loop could not answer.
     """
 
     invokes: list[ChatInvoke] = field(default_factory=list)
-    in_force: list[InForce] = field(default_factory=list)
-    granted: list[Granted] = field(default_factory=list)
-    began: list[Began] = field(default_factory=list)
+    configurations_applied: list[ConfigurationApplied] = field(default_factory=list)
+    attempts_granted: list[AttemptGranted] = field(default_factory=list)
+    generation_starts: list[GenerationStarted] = field(default_factory=list)
     generations: dict[int, Generation] = field(default_factory=dict)
     answers: list[ChatAnswer] = field(default_factory=list)
-    accepted: dict[int, Terms] = field(default_factory=dict)
-    withdrawn: list[Withdrawn] = field(default_factory=list)
-    disturbed: list[Disturbed] = field(default_factory=list)
-    bills: list[BillRecorded] = field(default_factory=list)
+    accepted: dict[int, VersionPolicy] = field(default_factory=dict)
+    version_withdrawals: list[VersionWithdrawn] = field(default_factory=list)
+    session_disruptions: list[SessionDisruption] = field(default_factory=list)
+    bills: list[RecordedBill] = field(default_factory=list)
     out_of_reach: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
-    kept_alone: set[str] = field(default_factory=set)
-    lost_holders: set[str] = field(default_factory=set)
-    finished_by_peers: set[str] = field(default_factory=set)
-    failed: list[str] = field(default_factory=list)
+    unreplicated_bills: set[str] = field(default_factory=set)
+    bills_with_dead_holders: set[str] = field(default_factory=set)
+    bills_adopted_by_peers: set[str] = field(default_factory=set)
+    failed_messages: list[str] = field(default_factory=list)
--- a/standins/histories/_chat_rules.py
+++ b/standins/histories/_chat_rules.py
@@ -1,21 +1,21 @@
-"""The rules that every history of chats must keep."""
+"""Checks a history of chats against the rules on versions, sessions, answers and bills."""
 
 import re
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
 from standins.histories._chat_events import (
+    AttemptGranted,
     ChatAnswer,
     ChatEnd,
     ChatHistory,
-    Granted,
-    Terms,
-    Withdrawn,
+    VersionPolicy,
+    VersionWithdrawn,
 )
 from standins.histories._rules import Violation
 
-# A host that reaches the log, or a peer that does, knows of a withdrawal by then.
-WITHDRAWAL_BOUND_S = 5.0
+# A host that reaches the log, directly or through a peer, applies a withdrawal within this.
+MAX_WITHDRAWAL_DELAY_S = 5.0
 PROMPT_TOKENS = 3
 PRICES = {"cheap:1": 1.0, "mid:1": 10.0, "dear:1": 100.0}
 _TOKEN = re.compile(r"[^/ ]+/(\d+)/\d+ ")
@@ -31,15 +31,16 @@
         *_check_answers(history),
         *_check_bills(history),
         *_check_refusals(history),
-        *(Violation("every message is answered", failed) for failed in history.failed),
+        *(Violation("every message is answered", failed) for failed in history.failed_messages),
     ]
 
 
-def find_excused(history: ChatHistory) -> dict[str, str]:
-    """Return the sessions that have two versions for a reason which the trace shows.
+def find_excused_sessions(history: ChatHistory) -> dict[str, str]:
+    """Return the cause for each session whose change of version the history explains.
 
-    A home that could not be asked, or that lost what it kept, up to the answer
-    that differs. A session whose requests all carried its token has no excuse.
+    A change is excused if, before the differing answer, a session owner could not be
+    queried or lost its state. No cause excuses an answer that ignores a session token,
+    which is a rule of its own.
     """
     first: dict[str, ChatAnswer] = {}
     excused: dict[str, str] = {}
@@ -47,64 +48,64 @@
         known = first.setdefault(session, answer)
         if known.version == answer.version:
             continue
-        for event in history.disturbed:
-            if event.session in ("", session) and event.at <= answer.at:
-                excused[session] = event.why
+        for event in history.session_disruptions:
+            if event.session in ("", session) and event.at_s <= answer.at_s:
+                excused[session] = event.cause
     return excused
 
 
 def _check_configuration(history: ChatHistory) -> Iterator[Violation]:
-    """Find hosts that had something else in force than the log says."""
-    for event in history.in_force:
-        if history.accepted.get(event.read_to) != event.terms:
-            where = f"{event.host} at {event.at:.2f} s, read to {event.read_to}"
+    """Find hosts that applied a configuration other than the log's."""
+    for event in history.configurations_applied:
+        if history.accepted.get(event.read_to) != event.policy:
+            where = f"{event.host} at {event.at_s:.2f} s, read to {event.read_to}"
             yield Violation("what is in force is what the log says", where)
 
 
 def _check_grants(history: ChatHistory) -> Iterator[Violation]:
-    """Find attempts on versions that their account did not allow, or that were withdrawn."""
+    """Find attempts on versions that the account may not use or that were withdrawn."""
     accounts = {invoke.request_id: invoke.account for invoke in history.invokes}
-    for grant, terms in _list_grants(history):
-        allowed = terms.allowed.get(accounts[grant.request_id], frozenset()) if terms else ()
-        where = f"{grant.request_id} on {grant.version} at {grant.host}, {grant.at:.2f} s"
+    for grant, policy in _list_grants(history):
+        allowed = policy.allowed.get(accounts[grant.request_id], frozenset()) if policy else ()
+        where = f"{grant.request_id} on {grant.version} at {grant.host}, {grant.at_s:.2f} s"
         if grant.version not in allowed:
             yield Violation("an attempt's version is allowed", where)
-        elif terms and grant.version not in terms.offered:
+        elif policy and grant.version not in policy.offered:
             yield Violation("no attempt on a withdrawn version", where)
 
 
-def _list_grants(history: ChatHistory) -> Iterator[tuple[Granted, Terms | None]]:
-    """Give each grant with the terms that its host had in force then."""
-    terms: dict[str, Terms] = {}
-    taken = 0
-    for grant in history.granted:
-        for event in history.in_force[taken : grant.after]:
-            terms[event.host] = event.terms
-        taken = grant.after
-        yield grant, terms.get(grant.host)
+def _list_grants(history: ChatHistory) -> Iterator[tuple[AttemptGranted, VersionPolicy | None]]:
+    """Yield each grant with the policy that its host had applied by then."""
+    policies: dict[str, VersionPolicy] = {}
+    applied_count = 0
+    for grant in history.attempts_granted:
+        for event in history.configurations_applied[applied_count : grant.applied_count]:
+            policies[event.host] = event.policy
+        applied_count = grant.applied_count
+        yield grant, policies.get(grant.host)
 
 
 def _check_withdrawals(history: ChatHistory) -> Iterator[Violation]:
-    """Find attempts long after a withdrawal, at hosts that could have known."""
-    for withdrawn in history.withdrawn:
-        for grant in history.granted:
+    """Find attempts granted too long after a withdrawal by hosts that could reach the log."""
+    for withdrawn in history.version_withdrawals:
+        for grant in history.attempts_granted:
             if _is_late(history, withdrawn, grant):
                 where = f"{grant.request_id} on {grant.version} at {grant.host}"
                 yield Violation("a withdrawal is in force soon", where)
 
 
-def _is_late(history: ChatHistory, withdrawn: Withdrawn, grant: Granted) -> bool:
-    since = grant.at - WITHDRAWAL_BOUND_S
-    is_in_time = grant.at < withdrawn.until and withdrawn.at < since
+def _is_late(history: ChatHistory, withdrawn: VersionWithdrawn, grant: AttemptGranted) -> bool:
+    since = grant.at_s - MAX_WITHDRAWAL_DELAY_S
+    is_in_time = grant.at_s < withdrawn.until_s and withdrawn.at_s < since
     if grant.version != withdrawn.version or not is_in_time:
         return False
     outages = history.out_of_reach.get(grant.host, [])
-    return not any(begin < grant.at and end > since for begin, end in outages)
+    return not any(begin < grant.at_s and end > since for begin, end in outages)
 
 
 def _check_sessions(history: ChatHistory) -> Iterator[Violation]:
-    """Find sessions with two versions without a cause, and tokens that were not kept to."""
-    excused = find_excused(history)
+    """Find unexplained changes of a session's version and answers that ignore a pinned version."""
+    excused = find_excused_sessions(history)
     versions: dict[str, set[str]] = defaultdict(set)
     pinned = {invoke.request_id: invoke.pinned for invoke in history.invokes}
     for session, answer in _list_session_answers(history):
@@ -119,12 +120,12 @@
 def _list_session_answers(history: ChatHistory) -> Iterator[tuple[str, ChatAnswer]]:
     sessions = {i.request_id: f"{i.account}/{i.session}" for i in history.invokes if i.session}
     for answer in history.answers:
-        if answer.end is ChatEnd.WHOLE and answer.request_id in sessions:
+        if answer.end is ChatEnd.COMPLETE and answer.request_id in sessions:
             yield sessions[answer.request_id], answer
 
 
 def _check_answers(history: ChatHistory) -> Iterator[Violation]:
-    """Find answers that aren't one whole generation of their own request and version."""
+    """Find answers that mix generations, are incomplete, or belong to another request."""
     for request_id, count in Counter(answer.request_id for answer in history.answers).items():
         if count > 1:
             yield Violation("one answer a chat", request_id)
@@ -132,38 +133,40 @@
         numbers = {int(number) for number in _TOKEN.findall(answer.text)}
         if len(numbers) > 1:
             yield Violation("an answer is of one generation", answer.request_id)
-        elif answer.end is ChatEnd.WHOLE and not _is_whole(history, answer, numbers):
+        elif answer.end is ChatEnd.COMPLETE and not _is_whole(history, answer, numbers):
             yield Violation("a clean end is of a whole answer", answer.request_id)
 
 
 def _is_whole(history: ChatHistory, answer: ChatAnswer, numbers: set[int]) -> bool:
     for number in numbers:
         generation = history.generations[number]
-        is_own = _request_of(generation.engine_id) == answer.request_id
+        is_own = _parse_request_id(generation.engine_id) == answer.request_id
         return is_own and (generation.text, generation.version) == (answer.text, answer.version)
     return False
 
 
-def _request_of(engine_id: str) -> str:
-    """Return the request of an engine's id: a cascade's second step has one of its own."""
+def _parse_request_id(engine_id: str) -> str:
+    """Return the request id without the suffix that marks a cascade's second step."""
     return engine_id.removesuffix(".2")
 
 
 def _check_bills(history: ChatHistory) -> Iterator[Violation]:
-    """Find answered chats without exactly one bill, and bills of another usage."""
+    """Find answered chats without exactly one bill, and bills that do not match the usage."""
     bills = Counter(bill.request_id for bill in history.bills)
     amounts = {bill.request_id: bill.amount for bill in history.bills}
-    ran = {began.request_id for began in history.began}
+    ran = {start.request_id for start in history.generation_starts}
     for request_id, count in bills.items():
         if count > 1:
             yield Violation("one bill a chat", request_id)
-        # A bill of nothing outweighs what peers may have billed for a refused chat.
-        is_paid = amounts[request_id] > 0.0 and request_id not in history.finished_by_peers
+        # Zero bills are allowed: they override bills that peers made for a refused chat.
+        is_paid = amounts[request_id] > 0.0 and request_id not in history.bills_adopted_by_peers
         if request_id not in ran and is_paid:
             yield Violation("only a chat that ran is billed", request_id)
     for answer in history.answers:
-        is_excused = answer.request_id in history.kept_alone | history.lost_holders
-        if answer.end is not ChatEnd.WHOLE:
+        is_excused = (
+            answer.request_id in history.unreplicated_bills | history.bills_with_dead_holders
+        )
+        if answer.end is not ChatEnd.COMPLETE:
             continue
         if not bills[answer.request_id] and not is_excused:
             yield Violation("an answered chat is billed", answer.request_id)
@@ -172,12 +175,12 @@
 
 
 def _is_own_amount(history: ChatHistory, answer: ChatAnswer, amounts: dict[str, float]) -> bool:
-    """Compare a bill with the answer; a cascade's first answer is on the bill too."""
+    """Compare a bill with the usage, which includes the first answer of a cascade."""
     numbers = {int(number) for number in _TOKEN.findall(answer.text)}
     last = [history.generations[number] for number in numbers]
     steps = [*last]
     if any(generation.engine_id.endswith(".2") for generation in last):
-        own = {b.generation for b in history.began if b.request_id == answer.request_id}
+        own = {b.generation for b in history.generation_starts if b.request_id == answer.request_id}
         firsts = [history.generations[n] for n in sorted(own - numbers)]
         steps += [g for g in firsts if not g.engine_id.endswith(".2")][-1:]
     expected = sum(PRICES[step.version] * (PROMPT_TOKENS + step.length) for step in steps)
@@ -185,8 +188,8 @@
 
 
 def _check_refusals(history: ChatHistory) -> Iterator[Violation]:
-    """Find chats that were refused as not run, and began at an engine then or later."""
-    ran = {began.request_id for began in history.began}
+    """Find chats reported as not run for which an engine started a generation at any time."""
+    ran = {start.request_id for start in history.generation_starts}
     for answer in history.answers:
         if answer.end is ChatEnd.NOT_RUN and answer.request_id in ran:
             yield Violation(
--- a/standins/histories/_chat_workers.py
+++ b/standins/histories/_chat_workers.py
@@ -1,4 +1,4 @@
-"""The product's blocking code of a worker, run step by step by the loop in virtual time."""
+"""Runs the product's blocking worker code in threads that follow the virtual-time loop."""
 
 import asyncio
 import queue
@@ -9,23 +9,23 @@
 
 from poplarrun.server import _chats
 
-Waiting = Callable[[], Awaitable[Any]]
+AsyncCall = Callable[[], Awaitable[Any]]
 
 
 class _Aborted(BaseException):
-    """The run is over; a worker of a killed host ends."""
+    """Raised in a worker whose host was killed, when the run is over."""
 
 
 class Worker:
-    """A thread that runs only while the loop waits for it.
+    """A thread that runs only while the loop blocks on it.
 
-    What it waits for, the loop awaits in the worker's process: so it is killed
-    and stopped with its host, and the same seed gives the same order.
+    The loop awaits the worker's asynchronous calls in the host's process. The worker is
+    therefore killed and stopped with its host, and a seed always gives the same order.
     """
 
     def __init__(self, work: Callable[["Worker"], Any]) -> None:
         self._work = work
-        self._asked: queue.SimpleQueue[Waiting | None] = queue.SimpleQueue()
+        self._calls: queue.SimpleQueue[AsyncCall | None] = queue.SimpleQueue()
         self._answers: queue.SimpleQueue[tuple[bool, Any]] = queue.SimpleQueue()
         self._is_aborted = False
         self._result: Any = None
@@ -33,28 +33,28 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     async def run(self) -> Any:
-        """Run the work to its end."""
+        """Run the work to completion and return its result."""
         self._thread.start()
-        while (waiting := self._asked.get()) is not None:
-            self._answers.put((True, await waiting()))
+        while (async_call := self._calls.get()) is not None:
+            self._answers.put((True, await async_call()))
         self._thread.join()
         if self._error is not None:
             raise self._error
         return self._result
 
-    def wait_for(self, waiting: Waiting) -> Any:
-        """Wait for something on the loop; called on the worker's thread."""
+    def wait_for(self, async_call: AsyncCall) -> Any:
+        """Await a call on the loop and return its result; called on the worker's thread."""
         if self._is_aborted:
             raise _Aborted
-        self._asked.put(waiting)
-        goes_on, answer = self._answers.get()
-        if not goes_on:
+        self._calls.put(async_call)
+        is_continuing, answer = self._answers.get()
+        if not is_continuing:
             self._is_aborted = True
             raise _Aborted
         return answer
 
     def abort(self) -> None:
-        """End a worker whose host was killed."""
+        """Stop the thread of a worker whose host was killed."""
         if self._thread.is_alive():
             self._answers.put((False, None))
             self._thread.join()
@@ -68,14 +68,14 @@
         except Exception as error:
             self._error = error
         self._work = lambda _: None
-        self._asked.put(None)
+        self._calls.put(None)
 
 
 _local = threading.local()
 
 
-class _VirtualPauses:
-    """The pauses of the product's workers: virtual in a history, else as they are."""
+class _VirtualSleep:
+    """Replaces ``time``: ``sleep`` takes virtual time on a worker's thread, real time elsewhere."""
 
     @staticmethod
     def sleep(seconds: float) -> None:
@@ -86,5 +86,5 @@
             worker.wait_for(lambda: asyncio.sleep(seconds))
 
 
-# The product's worker pauses by ``time.sleep``, which knows no virtual time.
-_chats.time = _VirtualPauses  # type: ignore[attr-defined]
+# The product's worker calls ``time.sleep``, which would block in real time.
+_chats.time = _VirtualSleep  # type: ignore[attr-defined]
--- a/standins/histories/_chat_world.py
+++ b/standins/histories/_chat_world.py
@@ -1,4 +1,4 @@
-"""The surroundings of hosts that serve chats: peers that announce, and a log with times."""
+"""Simulated dependencies of chat hosts: peers with announcements, a blocking log, a host list."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,16 +17,24 @@
     ReadOutcome,
 )
 from poplarrun.versions import choose_session_replicas
-from standins.histories._chat_engines import LISTED
-from standins.histories._chat_events import ChatHistory, Disturbed
+from standins.histories._chat_engines import LISTED_ENGINES
+from standins.histories._chat_events import ChatHistory, SessionDisruption
 from standins.histories._loop import Process, spawn
-from standins.histories._world import LINK_DELAY_S, LOG, LOG_DELAY_S, SimLog, SimPeers, World, now
+from standins.histories._world import (
+    LINK_DELAY_RANGE_S,
+    LOG,
+    LOG_DELAY_RANGE_S,
+    SimLog,
+    SimPeers,
+    World,
+    now,
+)
 
 SESSION_MESSAGE = "session"
 
 
 class TimedLog(MemoryLog):
-    """A log that knows when each record was taken."""
+    """A log that records when each record was appended."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,26 +49,26 @@
 
 
 class BlockingLog:
-    """The log as a host's threads call it: a call is over at once.
+    """The log client for a host's threads, whose calls return immediately.
 
-    The host's ``_in_thread`` adds the time that it takes, and makes appends
-    by ``SimLog``, whose faults need time.
+    The host's ``_in_thread`` adds the latency and appends through ``SimLog``, because
+    the faults of an append take virtual time.
     """
 
     def __init__(self, world: World, host: str) -> None:
         self._world = world
         self._host = host
-        self._awaited = SimLog(world, host)
-        self._record = ("", b"")
+        self._async_log = SimLog(world, host)
+        self._pending_record = ("", b"")
 
     def append(self, stream: str, data: bytes) -> AppendOutcome:
-        """Note the record, as signed on its way here; ``run`` appends it."""
-        self._record = (stream, data)
+        """Store the signed record, which ``run`` appends."""
+        self._pending_record = (stream, data)
         return AppendUnknown("appends are awaited")
 
     def read(self, stream: str, from_offset: int, limit: int) -> ReadOutcome:
         """Read at most ``limit`` records of a stream from an offset on."""
-        if self._world.log_faults.down or not self._world.passes(self._host, LOG):
+        if self._world.log_faults.down or not self._world.is_connected(self._host, LOG):
             self._world.injected["log read failed"] += 1
             return ReadFailed("no answer")
         return self._world.memory.read(stream, from_offset, limit)
@@ -69,23 +77,23 @@
         """Run a blocking call of a host in virtual time."""
         if call.__name__ == "append":
             call(*arguments)
-            return await self._awaited.append(*self._record)
-        await asyncio.sleep(self._world.random.uniform(*LOG_DELAY_S))
+            return await self._async_log.append(*self._pending_record)
+        await asyncio.sleep(self._world.random.uniform(*LOG_DELAY_RANGE_S))
         result = call(*arguments)
-        await asyncio.sleep(self._world.random.uniform(*LOG_DELAY_S))
+        await asyncio.sleep(self._world.random.uniform(*LOG_DELAY_RANGE_S))
         return result
 
 
 class EngineList:
-    """The platform's host list: all engines, also those that are dead just now."""
+    """The platform's host list: all engines, including unreachable ones."""
 
     def read(self) -> tuple[ListedHost, ...]:
         """Read the whole list."""
-        return LISTED
+        return LISTED_ENGINES
 
 
 class ChatPeers(SimPeers):
-    """Peers with announcements, which write down what sessions' homes did not hear."""
+    """Peers with announcements, which record session owners that a host could not reach."""
 
     def __init__(self, world: World, history: ChatHistory, me: Peer, process: Process) -> None:
         super().__init__(world, me, process)
@@ -102,58 +110,60 @@
         answer = await super().ask(peer, kind, payload, timeout_s)
         if kind == SESSION_MESSAGE:
             account, session = msgspec.msgpack.decode(payload)[:2]
-            self.note_homes(account, session)
+            self.record_undetected_owners(account, session)
             if isinstance(answer, PeerSilent):
-                silent = Disturbed(now(), f"{account}/{session}", "silent")
-                self._history.disturbed.append(silent)
+                silent = SessionDisruption(now(), f"{account}/{session}", "silent")
+                self._history.session_disruptions.append(silent)
         return answer
 
-    def note_homes(self, account: str, session: str) -> None:
-        """Write down that this host doesn't hear all homes of a session."""
-        place = f"{account}/{session}"
-        if choose_session_replicas(account, session, self.live()) != self.list_homes(
+    def record_undetected_owners(self, account: str, session: str) -> None:
+        """Record that this host does not see all owners of a session as live."""
+        session_key = f"{account}/{session}"
+        if choose_session_replicas(account, session, self.live()) != self.list_owners(
             account, session
         ):
-            self._history.disturbed.append(Disturbed(now(), place, "out of sight"))
+            self._history.session_disruptions.append(
+                SessionDisruption(now(), session_key, "out of sight")
+            )
 
-    def list_homes(self, account: str, session: str) -> list[str]:
-        """Return the homes that a session has while every host is heard."""
+    def list_owners(self, account: str, session: str) -> list[str]:
+        """Return the owners that a session has while every host is live."""
         return choose_session_replicas(
             account, session, [m.me for m in self._world.members.values()]
         )
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Tell every host at once; what is lost on the way the log tells later."""
+        """Send to every host without retries; hosts that miss it catch up from the log."""
         for name in sorted(self._world.members):
             spawn(None, self._carry_announcement, name, topic, number)
 
     def highest_announced(self, topic: str) -> int:
-        """Return the highest number announced of a topic; -1 when none was heard."""
+        """Return the highest number received for a topic; -1 if there is none."""
         return self._announced.get(topic, -1)
 
     def on_announced(self, callback: Callable[[str, int], None]) -> None:
-        """Call back with topic and number of each new announcement."""
+        """Register a callback for the topic and number of each new announcement."""
         self._callbacks.append(callback)
 
     def zones(self) -> tuple[ZoneView, ...]:
-        """Return no views: they are for operators."""
+        """Return no zone views, because only operators use them."""
         return ()
 
     def start(self) -> None:
-        """Begin to talk; nothing is needed here."""
+        """Do nothing: simulated peers are connected from the start."""
 
     async def leave(self) -> None:
-        """Leave; nobody does so here."""
+        """Do nothing: simulated hosts never leave."""
 
     async def _carry_announcement(self, peer: str, topic: str, number: int) -> None:
-        await asyncio.sleep(self._world.random.uniform(*LINK_DELAY_S))
+        await asyncio.sleep(self._world.random.uniform(*LINK_DELAY_RANGE_S))
         receiver = self._world.members.get(peer)
-        is_there = receiver is not None and not receiver.process.dead
-        if is_there and self._world.passes(self.me.name, peer):
+        is_running = receiver is not None and not receiver.process.dead
+        if is_running and self._world.is_connected(self.me.name, peer):
             assert isinstance(receiver, ChatPeers)
-            spawn(receiver.process, receiver._hear, topic, number)
+            spawn(receiver.process, receiver._receive_announcement, topic, number)
 
-    async def _hear(self, topic: str, number: int) -> None:
+    async def _receive_announcement(self, topic: str, number: int) -> None:
         if number <= self.highest_announced(topic):
             return
         self._announced[topic] = number
--- a/standins/histories/_events.py
+++ b/standins/histories/_events.py
@@ -1,25 +1,25 @@
-"""The events of a history: what callers, services and the log saw."""
+"""Events recorded while simulated operations run, as callers, services and the log see them."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class AnswerKind(enum.Enum):
-    """What a caller was told."""
+    """The outcome that a caller received."""
 
     RAN = "ran"
     REPLAYED = "replayed"
     NOT_RUN = "not_run"
     IN_PROGRESS = "in_progress"
     UNKNOWN = "unknown"
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
 
 
 @dataclass(frozen=True, slots=True)
 class Invoke:
     """A caller sent a request to a host."""
 
-    at: float
+    at_s: float
     request_id: str
     key: str
     host: str
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A caller was answered; ``NOTHING`` when its host died or it went away.
+    """A caller received an answer.
 
     Attributes
     ----------
     body : str
-        The answer's text, where there is one.
+        The answer's text, if there is one.
     reason : str
         Error kind of a refusal.
     """
 
-    at: float
+    at_s: float
     request_id: str
     kind: AnswerKind
     body: str = ""
@@ -46,26 +46,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """A service ran a call.
+    """A service executed a call.
 
     Attributes
     ----------
     body : str
-        What it answers.
-    sent_at : float
-        When the call's bytes were handed over.
+        The service's answer.
+    sent_at_s : float
+        When the host started to send the call.
     """
 
-    at: float
+    at_s: float
     request_id: str
     key: str
     body: str
-    sent_at: float = 0.0
+    sent_at_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class BillRecorded:
-    """A bill stands in the statement that the log gives."""
+class RecordedBill:
+    """A bill in the statement that is built from the log."""
 
     request_id: str
     amount: float
@@ -78,24 +78,24 @@
     Attributes
     ----------
     invokes, answers, effects, bills : list
-        The events by kind; no list of bills where the run has no billing.
-    kept_alone : set of str
-        Requests answered while neither peers nor the log could take the bill:
-        it is lost if that host dies before either is back.
-    lost_holders : set of str
+        The events by kind; ``bills`` is None if the run has no billing.
+    unreplicated_bills : set of str
+        Requests answered while neither peers nor the log could store the bill:
+        it is lost if the host dies before either is available again.
+    bills_with_dead_holders : set of str
         Requests whose bills were held by three hosts that were all killed
-        within seconds: more than the copies are made for.
-    deadlines : dict of str to float
-        When each request must have been sent, by its id.
-    final : dict of str to AnswerKind
-        What a last repeat of each key was told, after all faults had ended.
+        within seconds, which is more failures than replication tolerates.
+    send_deadlines_s : dict of str to float
+        Latest time at which each request may be sent to the service, by request id.
+    final_answers : dict of str to AnswerKind
+        The answer to the last retry of each key, after all faults had ended.
     """
 
     invokes: list[Invoke] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
-    bills: list[BillRecorded] | None = None
-    kept_alone: set[str] = field(default_factory=set)
-    lost_holders: set[str] = field(default_factory=set)
-    deadlines: dict[str, float] = field(default_factory=dict)
-    final: dict[str, AnswerKind] = field(default_factory=dict)
+    bills: list[RecordedBill] | None = None
+    unreplicated_bills: set[str] = field(default_factory=set)
+    bills_with_dead_holders: set[str] = field(default_factory=set)
+    send_deadlines_s: dict[str, float] = field(default_factory=dict)
+    final_answers: dict[str, AnswerKind] = field(default_factory=dict)
--- a/standins/histories/_hosts.py
+++ b/standins/histories/_hosts.py
@@ -1,4 +1,4 @@
-"""An entry host in a history: the real decisions, with coroutines as workers."""
+"""Runs the product's handling of operations on a simulated host, with coroutines as workers."""
 
 import asyncio
 import random
@@ -26,13 +26,21 @@
 from poplarrun.versions import VersionManager
 from standins.histories._events import Answer, AnswerKind
 from standins.histories._loop import Process, spawn
-from standins.histories._world import Keep, SimCall, SimLog, SimPeers, SimService, World, now
+from standins.histories._world import (
+    ReplicatedBill,
+    SimCall,
+    SimLog,
+    SimPeers,
+    SimService,
+    World,
+    now,
+)
 
 API_KEY = "shop-key"
 SERVICE = "orders"
 OPERATION = "place"
 TIMEOUT_S = 4
-EPOCH_S = 1_000_000.0
+WALL_CLOCK_OFFSET_S = 1_000_000.0
 DOCUMENT = f"""
 accounts:
   shop: {{keys: ["{hash_key(API_KEY)}"], services: ["*"]}}
@@ -45,8 +53,8 @@
     for zone, state in (("a", HostState.LIVE), ("b", HostState.LIVE), ("c", HostState.LIVE))
 )
 
-# Where a worker stands; a schedule can kill or stop its host at each.
-POINTS = (
+# Points of a worker's execution at which a schedule can kill or stop the host.
+WORKER_POINTS = (
     "before claim",
     "after claim",
     "before sending",
@@ -54,22 +62,22 @@
     "after answer",
     "billed",
 )
-Reached = Callable[["SimHost", str], Awaitable[None]]
+OnReached = Callable[["SimHost", str], Awaitable[None]]
 
 
-def wall() -> float:
-    """Return the virtual time as seconds since some epoch."""
-    return EPOCH_S + now()
+def wall_time() -> float:
+    """Return the virtual wall-clock time in seconds since an arbitrary epoch."""
+    return WALL_CLOCK_OFFSET_S + now()
 
 
 class SimHost:
-    """One host: its process, its parts, and its workers."""
+    """One host: its process, the product's components and its workers."""
 
     def __init__(
-        self, world: World, all_hosts: dict[str, "SimHost"], name: str, incarnation: int
+        self, world: World, hosts: dict[str, "SimHost"], name: str, incarnation: int
     ) -> None:
         self.name = name
-        self._all = all_hosts
+        self._hosts = hosts
         self.zone = name[0]
         self.process = Process(name)
         me = Peer(name, self.zone, "local", incarnation)
@@ -79,35 +87,35 @@
         log = SimLog(world, name)
         endpoints = EndpointTable(self.zone, random.Random(f"{name}{incarnation}"))
         endpoints.apply_host_list(ENDPOINTS)
-        # Without a source of its own the router's back-off would differ from run to run.
+        # An unseeded source would make the router's retry delays differ from run to run.
         source = random.Random(f"router {name}{incarnation}")
         versions = VersionManager(me, random.Random(name))
         self._router = Router(endpoints, Metrics(), versions, random_source=source)
         self._router.context.configuration = Configuration(offset=0, document=_document())
         self._operations = self._router.operations
-        self._operations.use_clocks(now, wall)
-        self.claims = ClaimManager(self.peers, log, now, wall)
-        self.billing = BillReplicator(self.peers, log, now, wall)
+        self._operations.use_clocks(now, wall_time)
+        self.claims = ClaimManager(self.peers, log, now, wall_time)
+        self.billing = BillReplicator(self.peers, log, now, wall_time)
         self._operations.claims = self.claims
         self._operations.peers = self.peers
-        spawn(self.process, self.tend)
+        spawn(self.process, self.run_billing)
 
-    async def run(self, request_id: str, key: str, reached: Reached) -> Answer:
-        """Run one request as a worker does, and record what its caller is told."""
-        await reached(self, "before claim")
+    async def run(self, request_id: str, key: str, on_reached: OnReached) -> Answer:
+        """Run one request as a worker does, and record its answer."""
+        await on_reached(self, "before claim")
         fingerprint = compute_fingerprint(SERVICE, OPERATION, key.encode())
         request = BeginOperation(request_id, API_KEY, SERVICE, OPERATION, key, fingerprint)
-        self._world.history.deadlines[request_id] = now() + TIMEOUT_S
+        self._world.history.send_deadlines_s[request_id] = now() + TIMEOUT_S
         step = await self._operations.begin(request)
         if isinstance(step, OperationGrant):
-            await reached(self, "after claim")
+            await on_reached(self, "after claim")
         while isinstance(step, OperationGrant):
-            call = await self._service.prepare(request_id, key)
+            call = await self._service.connect(request_id, key)
             if call is None:
                 step = await self._retry(request_id, "connect")
             else:
-                step = await self._exchange(request_id, call, reached)
-        answer = _answer_of(request_id, step)
+                step = await self._exchange(request_id, call, on_reached)
+        answer = _create_answer(request_id, step)
         self._world.history.answers.append(answer)
         return answer
 
@@ -117,37 +125,37 @@
             await asyncio.sleep(step.delay_s)
         return step
 
-    async def tend(self) -> None:
-        """Tend the bills for ever, as the host's task does."""
+    async def run_billing(self) -> None:
+        """Replicate bills periodically, as the host's task does."""
         while True:
             await self.billing.run_round()
             await asyncio.sleep(1.0)
 
-    async def _keep_bills(self) -> None:
+    async def _replicate_bills(self) -> None:
         context = self._router.context
         bills, context.bills = context.bills, []
         for bill in bills:
             if await self.billing.replicate(bill) is BillDurability.HOST_ALONE:
-                self._world.history.kept_alone.add(bill.id)
-            holders = tuple(h.process for h in self._all.values() if h.billing.has_bill(bill.id))
-            self._world.keeps.append(Keep(bill.id, now(), holders))
+                self._world.history.unreplicated_bills.add(bill.id)
+            holders = tuple(h.process for h in self._hosts.values() if h.billing.has_bill(bill.id))
+            self._world.replicated_bills.append(ReplicatedBill(bill.id, now(), holders))
 
     async def _exchange(
-        self, request_id: str, call: SimCall, reached: Reached
+        self, request_id: str, call: SimCall, on_reached: OnReached
     ) -> OperationGrant | ServiceResponse | Refusal:
-        await reached(self, "before sending")
-        handed = self._operations.send(SendOperation(request_id, call))
-        if not isinstance(handed, SendResult):
-            return handed
-        await reached(self, "after sending")
-        body = await call.answer(handed.timeout_s)
+        await on_reached(self, "before sending")
+        send_result = self._operations.send(SendOperation(request_id, call))
+        if not isinstance(send_result, SendResult):
+            return send_result
+        await on_reached(self, "after sending")
+        body = await call.answer(send_result.timeout_s)
         if body is None:
             return await self._retry(request_id, "broken")
-        await reached(self, "after answer")
+        await on_reached(self, "after answer")
         answer = ServiceResponse(200, body.encode(), "text/plain")
         self._operations.end(EndOperation(request_id, answer))
-        await self._keep_bills()
-        await reached(self, "billed")
+        await self._replicate_bills()
+        await on_reached(self, "billed")
         return answer
 
 
@@ -159,7 +167,7 @@
             raise ValueError(problems)
 
 
-def _answer_of(request_id: str, step: ServiceResponse | Replay | Refusal) -> Answer:
+def _create_answer(request_id: str, step: ServiceResponse | Replay | Refusal) -> Answer:
     match step:
         case ServiceResponse(body=body):
             return Answer(now(), request_id, AnswerKind.RAN, body.decode())
@@ -169,10 +177,10 @@
             return Answer(now(), request_id, AnswerKind.IN_PROGRESS)
         case Refusal(kind=kind):
             not_run = response_for(kind).not_run is NotRun.YES
-            told = AnswerKind.NOT_RUN if not_run else AnswerKind.UNKNOWN
-            return Answer(now(), request_id, told, reason=kind.value)
+            answer_kind = AnswerKind.NOT_RUN if not_run else AnswerKind.UNKNOWN
+            return Answer(now(), request_id, answer_kind, reason=kind.value)
 
 
-async def step_aside() -> None:
-    """Give the loop the moment in which a halted process stops."""
+async def yield_to_loop() -> None:
+    """Yield to the loop, so that a halted process stops."""
     await asyncio.sleep(0)
--- a/standins/histories/_loop.py
+++ b/standins/histories/_loop.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time, whose tasks belong to hosts that can be stopped or killed."""
+"""An event loop in virtual time whose tasks belong to processes that can be stopped or killed."""
 
 import asyncio
 import contextvars
@@ -8,63 +8,63 @@
 
 
 class Process:
-    """What a host's tasks run in.
+    """A simulated process in which a host's tasks run.
 
     Attributes
     ----------
     paused, dead : bool
-        While either holds, no task of the process takes a step.
-    last_step_at : float, optional
-        When it was killed, or stopped before that and never resumed.
+        While either is true, no task of the process runs.
+    last_step_at_s : float, optional
+        When the process was killed, or when it was last stopped if it has not been resumed.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.paused = False
         self.dead = False
-        self.last_step_at: float | None = None
-        self._halted: list[asyncio.Future[None]] = []
-        self._stopped_at = 0.0
+        self.last_step_at_s: float | None = None
+        self._resume_futures: list[asyncio.Future[None]] = []
+        self._stopped_at_s = 0.0
         self._stops: list[tuple[float, float]] = []
 
     @property
     def is_halted(self) -> bool:
-        """Whether no task may take a step now."""
+        """Whether the process is stopped or dead, so that no task may run."""
         return self.paused or self.dead
 
-    def kill(self, at: float) -> None:
-        """Let no task take a step any more."""
+    def kill(self, at_s: float) -> None:
+        """Stop all tasks for good."""
         self.dead = True
-        self.last_step_at = self.last_step_at or at
+        self.last_step_at_s = self.last_step_at_s or at_s
 
-    def stop(self, at: float) -> None:
-        """Let no task take a step until ``resume``."""
+    def stop(self, at_s: float) -> None:
+        """Stop all tasks until ``resume``."""
         if not self.paused:
-            self._stopped_at = at
+            self._stopped_at_s = at_s
         self.paused = True
-        self.last_step_at = at
+        self.last_step_at_s = at_s
 
-    def ran_after(self, at: float) -> float:
-        """Return for how long a dead process ran after a moment, stops left out."""
-        end = at if self.last_step_at is None else self.last_step_at
-        stopped = sum(max(0.0, min(to, end) - max(begin, at)) for begin, to in self._stops)
-        return end - at - stopped
+    def running_time_after(self, at_s: float) -> float:
+        """Return how long a dead process ran after a time, in seconds, excluding stops."""
+        end_s = at_s if self.last_step_at_s is None else self.last_step_at_s
+        stopped = sum(max(0.0, min(to, end_s) - max(begin, at_s)) for begin, to in self._stops)
+        return end_s - at_s - stopped
 
-    def halt_task(self) -> asyncio.Future[None]:
-        """Return what a task that may not go on waits for."""
-        halted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._halted.append(halted)
-        return halted
+    def create_resume_future(self) -> asyncio.Future[None]:
+        """Return a future that completes when the process resumes."""
+        resumed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._resume_futures.append(resumed)
+        return resumed
 
     def resume(self) -> None:
-        """Let the tasks go on where they stopped."""
+        """Continue the tasks where they stopped."""
         if self.paused:
-            self._stops.append((self._stopped_at, asyncio.get_running_loop().time()))
+            self._stops.append((self._stopped_at_s, asyncio.get_running_loop().time()))
         self.paused = False
         if not self.dead:
-            self.last_step_at = None
-        halted, self._halted = self._halted, []
-        for future in halted:
+            self.last_step_at_s = None
+        futures, self._resume_futures = self._resume_futures, []
+        for future in futures:
             if not future.done():
                 future.set_result(None)
 
@@ -77,8 +77,8 @@
     return _current.get()
 
 
-class _Gate(Coroutine[Any, Any, Any]):
-    """Runs a coroutine step by step, and none while its process is halted."""
+class _ProcessCoroutine(Coroutine[Any, Any, Any]):
+    """Wraps a coroutine, which is suspended while its process is halted."""
 
     def __init__(self, inner: Coroutine[Any, Any, Any], process: Process) -> None:
         self._inner = inner
@@ -89,9 +89,9 @@
 
     def send(self, value: Any) -> Any:
         if self._process.is_halted:
-            halted = self._process.halt_task()
-            halted._asyncio_future_blocking = True
-            return halted
+            resumed = self._process.create_resume_future()
+            resumed._asyncio_future_blocking = True
+            return resumed
         return self._inner.send(value)
 
     def throw(self, *error: Any) -> Any:
@@ -105,20 +105,20 @@
 
 
 class _InstantSelector(selectors.SelectSelector):
-    """Moves the clock on instead of waiting."""
+    """Advances the virtual clock instead of waiting."""
 
     loop: "VirtualLoop"
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("every task waits for something that never comes")
+            raise RuntimeError("deadlock: every task waits and no timer is scheduled")
         if timeout > 0:
             self.loop.now += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time passes only when nothing is left to do at this moment.
+    """An event loop whose time advances only when no callback is ready.
 
     Attributes
     ----------
@@ -132,7 +132,7 @@
         selector.loop = self
         super().__init__(selector)
         self.set_task_factory(_make_task)
-        self.set_exception_handler(_ignore)
+        self.set_exception_handler(_handle_exception)
 
     def time(self) -> float:
         """Return the virtual time."""
@@ -143,12 +143,12 @@
     loop: asyncio.AbstractEventLoop, inner: Coroutine[Any, Any, Any], **options: Any
 ) -> asyncio.Task[Any]:
     process = _current.get()
-    gated = inner if process is None else _Gate(inner, process)
+    gated = inner if process is None else _ProcessCoroutine(inner, process)
     return asyncio.Task(gated, loop=loop, **options)
 
 
-def _ignore(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Keep the tasks of killed processes, which never end, off standard error."""
+def _handle_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Raise exceptions; ignore the reports on unfinished tasks of killed processes."""
     if "exception" in context:
         raise context["exception"]
 
@@ -156,14 +156,14 @@
 def spawn(
     process: Process | None, make: Callable[..., Coroutine[Any, Any, Any]], *arguments: Any
 ) -> asyncio.Task[Any]:
-    """Start a task in a process, or outside of all."""
+    """Start a task in a process, or in none."""
     context = contextvars.copy_context()
     context.run(_current.set, process)
     return context.run(lambda: asyncio.get_running_loop().create_task(make(*arguments)))
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run something to its end on a loop of its own, in virtual time."""
+    """Run a coroutine to completion on a new virtual-time loop."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
--- a/standins/histories/_rules.py
+++ b/standins/histories/_rules.py
@@ -1,4 +1,4 @@
-"""The rules that every history must keep."""
+"""Checks a history of operations against the rules on effects, answers and bills."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -6,12 +6,12 @@
 
 from standins.histories._events import AnswerKind, Effect, History
 
-TOLD_RAN = (AnswerKind.RAN, AnswerKind.REPLAYED)
+RAN_KINDS = (AnswerKind.RAN, AnswerKind.REPLAYED)
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that a history breaks, and where."""
+    """A rule that a history breaks, and the request, key or event that breaks it."""
 
     rule: str
     subject: str
@@ -29,7 +29,7 @@
 
 
 def _check_effects(history: History) -> Iterator[Violation]:
-    """Find second effects of a key, effects of no request, and calls sent too late."""
+    """Find repeated effects of a key, effects without a request, and calls sent too late."""
     for key, count in Counter(effect.key for effect in history.effects).items():
         if count > 1:
             yield Violation("at most one effect a key", f"{key}: {count}")
@@ -37,12 +37,12 @@
     for effect in history.effects:
         if (effect.request_id, effect.key) not in invoked:
             yield Violation("an effect belongs to a request", effect.request_id)
-        elif effect.sent_at > history.deadlines.get(effect.request_id, effect.sent_at):
+        elif effect.sent_at_s > history.send_deadlines_s.get(effect.request_id, effect.sent_at_s):
             yield Violation("nothing is sent after its deadline", effect.request_id)
 
 
 def _check_refusals(history: History) -> Iterator[Violation]:
-    """Find requests that were refused as not run and have an effect, then or later."""
+    """Find requests reported as not run that have an effect at any time."""
     ran = {effect.request_id for effect in history.effects}
     for answer in history.answers:
         if answer.kind is AnswerKind.NOT_RUN and answer.request_id in ran:
@@ -50,7 +50,7 @@
 
 
 def _check_answers(history: History) -> Iterator[Violation]:
-    """Find answers that aren't the whole answer of their own key's effect, or come twice."""
+    """Find repeated answers and answers that differ from the effect of their key."""
     keys = {invoke.request_id: invoke.key for invoke in history.invokes}
     effects: dict[str, Effect] = {effect.key: effect for effect in history.effects}
     for request_id, count in Counter(a.request_id for a in history.answers).items():
@@ -60,7 +60,7 @@
         if answer.request_id not in keys:
             yield Violation("an answer belongs to a request", answer.request_id)
             continue
-        if answer.kind not in TOLD_RAN:
+        if answer.kind not in RAN_KINDS:
             continue
         effect = effects.get(keys[answer.request_id])
         if effect is None:
@@ -70,7 +70,7 @@
 
 
 def _check_bills(history: History) -> Iterator[Violation]:
-    """Find requests that ran without a bill or with two, and bills of what didn't run."""
+    """Find requests that ran without exactly one bill, and bills of requests that did not run."""
     if history.bills is None:
         return
     bills = Counter(bill.request_id for bill in history.bills)
@@ -81,16 +81,18 @@
         if request_id not in ran:
             yield Violation("only what ran is billed", request_id)
     for answer in history.answers:
-        is_excused = answer.request_id in history.kept_alone | history.lost_holders
+        is_excused = (
+            answer.request_id in history.unreplicated_bills | history.bills_with_dead_holders
+        )
         if answer.kind is AnswerKind.RAN and not bills[answer.request_id] and not is_excused:
             yield Violation("what was answered is billed", answer.request_id)
 
 
 def _check_final(history: History) -> Iterator[Violation]:
-    """Find keys that are not settled after the faults, or told as they aren't."""
+    """Find keys without a final outcome after the faults, or with one that is not true."""
     effects = {effect.key for effect in history.effects}
-    for key, kind in history.final.items():
-        if kind not in (*TOLD_RAN, AnswerKind.UNKNOWN):
+    for key, kind in history.final_answers.items():
+        if kind not in (*RAN_KINDS, AnswerKind.UNKNOWN):
             yield Violation("each key is settled at last", f"{key}: {kind.value}")
-        if kind in TOLD_RAN and key not in effects:
+        if kind in RAN_KINDS and key not in effects:
             yield Violation("what is told as ran has run", key)
--- a/standins/histories/_schedule.py
+++ b/standins/histories/_schedule.py
@@ -1,4 +1,4 @@
-"""Seeded schedules: callers that repeat, faults that strike, and the history they make."""
+"""Seeded schedules of operations: callers that retry while faults are injected."""
 
 import asyncio
 import random
@@ -8,27 +8,27 @@
 
 from poplarrun.billing import SHARDS, BillFold, stream_of
 from poplarrun.log import Page
-from standins.histories._events import AnswerKind, BillRecorded, History, Invoke
-from standins.histories._hosts import POINTS, SimHost, step_aside
+from standins.histories._events import AnswerKind, History, Invoke, RecordedBill
+from standins.histories._hosts import WORKER_POINTS, SimHost, yield_to_loop
 from standins.histories._loop import VirtualLoop, spawn
 from standins.histories._rules import Violation, check_history
-from standins.histories._world import LOG, Keep, LogFaults, ServiceFaults, World, now
+from standins.histories._world import LOG, LogFaults, ReplicatedBill, ServiceFaults, World, now
 
 HOSTS = ("a1", "a2", "b1", "b2", "c1", "c2")
 ZONES = ("a", "b", "c")
-KEYS = 30
-FAULTS_END_S = 14.0
-QUIET_S = 26.0
-BILLING_S = 10.0
-# Copies of a bill beside that of its host.
-COPIES = 2
-# A holder must live for so long to append a bill or copy it anew: the longest
-# outage here (5 s), detection, and a batch.
-RECOPY_S = 8.0
-MANY = 100_000
+KEY_COUNT = 30
+FAULTS_END_AT_S = 14.0
+RECOVERED_AT_S = 26.0
+BILLING_GRACE_S = 10.0
+# Copies of a bill in addition to its host's.
+PEER_COPIES = 2
+# Time that a holder needs to append a bill or replicate it again: the longest
+# outage in these schedules (5 s), failure detection, and a batch.
+RECOPY_WINDOW_S = 8.0
+READ_LIMIT = 100_000
 MAX_ATTEMPTS = 4
-FINAL_ATTEMPTS = 30
-# What fails whatever is asked for; the schedules of chats have these too.
+MAX_FINAL_ATTEMPTS = 30
+# Faults that affect every kind of request; the schedules of chats use them too.
 COMMON_FAULTS = (
     "kill at a point",
     "stop at a point",
@@ -55,7 +55,7 @@
 
 @dataclass
 class RunResult:
-    """What one schedule gave."""
+    """The result of one schedule."""
 
     seed: int
     faults: tuple[str, ...]
@@ -65,7 +65,7 @@
 
 
 def choose_faults(seed: int, faults: tuple[str, ...] = FAULTS) -> tuple[str, ...]:
-    """Return the kinds of fault of a schedule: one alone, two together, or all."""
+    """Return the kinds of fault of a schedule: one, two or all, depending on the seed."""
     match seed % 3:
         case 0:
             return (faults[(seed // 3) % len(faults)],)
@@ -80,10 +80,10 @@
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
-        run = _Operations(seed)
+        run = _OperationSchedule(seed)
         loop.run_until_complete(run.run())
     finally:
-        drop_tasks(loop)
+        close_tasks(loop)
         asyncio.set_event_loop(None)
     result = RunResult(seed, run.faults, run.world.history, run.world.injected)
     result.violations = check_history(run.world.history)
@@ -91,56 +91,56 @@
 
 
 class Schedule:
-    """The faults of one seed; what runs meanwhile is up to the classes below.
+    """Injects the faults of one seed; subclasses define the workload.
 
     Attributes
     ----------
     points : tuple of str
-        Where a planned kill or stop can strike a worker.
+        Points of a worker's execution at which a planned kill or stop can occur.
     """
 
-    points = POINTS
+    points = WORKER_POINTS
 
     def __init__(self, seed: int, faults: tuple[str, ...] = FAULTS) -> None:
         self.faults = choose_faults(seed, faults)
         self._random = random.Random(seed)
         self.world = World(random.Random(f"world {seed}"))
         self.hosts: dict[str, Any] = {}
-        self._requests = 0
-        self._points: dict[str, int] = {}
+        self._request_count = 0
+        self._planned_faults: dict[str, int] = {}
 
     def make_host(self, name: str, incarnation: int) -> Any:
         """Start a host."""
         raise NotImplementedError
 
-    async def _reach(self, host: Any, point: str) -> None:
-        """Kill or stop the host of a worker that reaches a planned point."""
+    async def _on_reached(self, host: Any, point: str) -> None:
+        """Kill or stop a host whose worker reaches a point with a planned fault."""
         for action in ("kill", "stop"):
             planned = f"{action} {point}"
-            if self._points.get(planned, 0) > 0:
-                self._points[planned] -= 1
+            if self._planned_faults.get(planned, 0) > 0:
+                self._planned_faults[planned] -= 1
                 self.world.injected[planned] += 1
                 spawn(None, self._kill if action == "kill" else self._stop, host)
-                await step_aside()
-                await step_aside()
+                await yield_to_loop()
+                await yield_to_loop()
 
-    async def _strike(self) -> None:
-        """Let faults of this schedule strike until their end."""
-        while now() < FAULTS_END_S:
+    async def _inject_random_faults(self) -> None:
+        """Inject random faults of this schedule until the fault phase ends."""
+        while now() < FAULTS_END_AT_S:
             await asyncio.sleep(self._random.uniform(0.2, 4.0))
-            lasts_s = self._random.uniform(0.3, 5.0)
-            await self._inject(self._random.choice(self.faults), lasts_s)
+            duration_s = self._random.uniform(0.3, 5.0)
+            await self._inject(self._random.choice(self.faults), duration_s)
 
-    async def _inject(self, fault: str, lasts_s: float) -> None:
+    async def _inject(self, fault: str, duration_s: float) -> None:
         world = self.world
         host = self.hosts[self._random.choice(HOSTS)]
-        inside = self.choose_inside(host.name)
-        outside = [n for n in HOSTS if n not in inside]
+        isolated = self.choose_isolated_hosts(host.name)
+        others = [n for n in HOSTS if n not in isolated]
         world.injected[fault] += 1
         match fault:
             case "kill at a point" | "stop at a point":
                 planned = f"{fault.split()[0]} {self._random.choice(self.points)}"
-                self._points[planned] = self._points.get(planned, 0) + 1
+                self._planned_faults[planned] = self._planned_faults.get(planned, 0) + 1
             case "kill":
                 await self._kill(host)
             case "stop":
@@ -148,53 +148,53 @@
             case "cut host from log":
                 world.cut([host.name], [LOG])
             case "cut zone from log":
-                world.cut(inside, [LOG])
+                world.cut(isolated, [LOG])
             case "cut zone from zones":
-                world.cut(inside, outside)
+                world.cut(isolated, others)
             case "cut zone from both":
-                world.cut(inside, [*outside, LOG])
+                world.cut(isolated, [*others, LOG])
             case "cut one link":
                 world.cut([host.name], [self._random.choice([n for n in HOSTS if n != host.name])])
             case _:
-                self._spoil(fault)
-        await asyncio.sleep(lasts_s)
-        self._mend()
+                self._set_fault(fault)
+        await asyncio.sleep(duration_s)
+        self._clear_faults()
 
-    def choose_inside(self, name: str) -> list[str]:
-        """Return the hosts that a cut parts from the others; some of any zones."""
+    def choose_isolated_hosts(self, name: str) -> list[str]:
+        """Return the hosts that a partition isolates: a random set from any zones."""
         return [n for n in HOSTS if n[0] == self._random.choice(ZONES)] or [name]
 
-    def _spoil(self, fault: str) -> None:
+    def _set_fault(self, fault: str) -> None:
         log, service = self.world.log_faults, self.world.service_faults
         match fault:
             case "log down":
                 log.down = True
             case "log slow":
-                log.slow_s = self._random.uniform(0.2, 4.0)
+                log.added_delay_s = self._random.uniform(0.2, 4.0)
             case "log loses answers":
-                log.lost_answers = 0.5
+                log.answer_loss_probability = 0.5
             case "log holds appends":
-                log.held = 0.5
+                log.late_append_probability = 0.5
             case "service refuses":
-                service.refused = 0.7
+                service.refusal_probability = 0.7
             case "service dies before":
-                service.dies_before = 0.5
+                service.failure_before_probability = 0.5
             case "service dies after":
-                service.dies_after = 0.5
+                service.failure_after_probability = 0.5
             case "service slow":
-                service.slow_s = self._random.uniform(0.5, 6.0)
+                service.added_delay_s = self._random.uniform(0.5, 6.0)
 
-    def _mend(self) -> None:
-        self.world.heal()
+    def _clear_faults(self) -> None:
+        self.world.restore_links()
         self.world.log_faults = LogFaults()
         self.world.service_faults = ServiceFaults()
 
     def _end_faults(self) -> None:
-        self._mend()
-        self._points.clear()
+        self._clear_faults()
+        self._planned_faults.clear()
 
     async def _kill(self, host: Any) -> None:
-        """Kill a process; another one takes its place under the same name."""
+        """Kill a process, then start another one under the same name."""
         if host.process.dead:
             return
         host.process.kill(now())
@@ -213,94 +213,98 @@
         host.process.resume()
 
 
-class _Operations(Schedule):
-    """Keyed operations whose callers repeat."""
+class _OperationSchedule(Schedule):
+    """Runs keyed operations whose callers retry."""
 
     def make_host(self, name: str, incarnation: int) -> SimHost:
         """Start a host."""
         return SimHost(self.world, self.hosts, name, incarnation)
 
     async def run(self) -> None:
-        """Run callers and faults together, then settle every key."""
+        """Run callers and faults concurrently, then determine the outcome of every key."""
         self.hosts |= {name: self.make_host(name, 1) for name in HOSTS}
         callers = [
-            spawn(None, self._call, f"key-{n}", self._random.uniform(0, FAULTS_END_S - 2))
-            for n in range(KEYS)
+            spawn(None, self._run_caller, f"key-{n}", self._random.uniform(0, FAULTS_END_AT_S - 2))
+            for n in range(KEY_COUNT)
         ]
-        strikes = [spawn(None, self._strike) for _ in range(max(3, len(self.faults)))]
-        await asyncio.gather(*strikes)
+        injections = [
+            spawn(None, self._inject_random_faults) for _ in range(max(3, len(self.faults)))
+        ]
+        await asyncio.gather(*injections)
         self._end_faults()
         await asyncio.gather(*callers)
-        await asyncio.sleep(max(0.0, QUIET_S - now()))
-        for number in range(KEYS):
-            await self._settle(f"key-{number}")
-        await asyncio.sleep(BILLING_S)
+        await asyncio.sleep(max(0.0, RECOVERED_AT_S - now()))
+        for number in range(KEY_COUNT):
+            await self._determine_outcome(f"key-{number}")
+        await asyncio.sleep(BILLING_GRACE_S)
         self._read_bills()
 
     def _read_bills(self) -> None:
-        bills: list[BillRecorded] = []
+        bills: list[RecordedBill] = []
         for shard in range(SHARDS):
-            # Statements add the streams up, so a bill in two of them shows as two.
+            # Statements are the sum of the streams, so a bill in two streams counts twice.
             fold = BillFold()
-            page = self.world.memory.read(stream_of(shard), 0, MANY)
+            page = self.world.memory.read(stream_of(shard), 0, READ_LIMIT)
             assert isinstance(page, Page)
             for entry in page.entries:
                 fold.fold(entry)
-            bills += [BillRecorded(bill.id, bill.amount) for bill in fold.list_bills()]
+            bills += [RecordedBill(bill.id, bill.amount) for bill in fold.list_bills()]
         self.world.history.bills = bills
-        self.world.history.lost_holders = {
-            keep.bill_id for keep in self.world.keeps if all_died(keep)
+        self.world.history.bills_with_dead_holders = {
+            replicated.bill_id
+            for replicated in self.world.replicated_bills
+            if are_all_holders_killed(replicated)
         }
         self.world.injected["bills finished for a dead host"] = sum(
             h.billing.finished_for_peers for h in self.hosts.values()
         )
 
-    async def _call(self, key: str, at: float) -> None:
-        """Send a request, now and then at two hosts at once, and repeat while not answered."""
-        await asyncio.sleep(at)
+    async def _run_caller(self, key: str, at_s: float) -> None:
+        """Send a request, sometimes to two hosts at once, and retry until it is answered."""
+        await asyncio.sleep(at_s)
         for _ in range(MAX_ATTEMPTS):
             count = 2 if self._random.random() < 0.4 else 1
             names = self._random.sample(HOSTS, count)
-            kinds = await asyncio.gather(*(self._attempt(name, key) for name in names))
+            kinds = await asyncio.gather(*(self._send_request(name, key) for name in names))
             is_done = any(kind in (AnswerKind.RAN, AnswerKind.REPLAYED) for kind in kinds)
             if is_done and self._random.random() < 0.7:
                 return
             await asyncio.sleep(self._random.uniform(0, 1.5))
 
-    async def _attempt(self, name: str, key: str) -> AnswerKind:
+    async def _send_request(self, name: str, key: str) -> AnswerKind:
         host = self.hosts[name]
         if host.process.dead:
-            return AnswerKind.NOTHING
-        self._requests += 1
-        request_id = f"r{self._requests}"
+            return AnswerKind.NO_ANSWER
+        self._request_count += 1
+        request_id = f"r{self._request_count}"
         self.world.history.invokes.append(Invoke(now(), request_id, key, name))
-        task = spawn(host.process, host.run, request_id, key, self._reach)
-        patience_s = self._random.uniform(0.3, 8.0)
-        await asyncio.wait([task], timeout=patience_s)
-        return task.result().kind if task.done() else AnswerKind.NOTHING
-
-    async def _settle(self, key: str) -> None:
-        for _ in range(FINAL_ATTEMPTS):
-            kind = await self._attempt(self._random.choice(HOSTS), key)
-            self.world.history.final[key] = kind
+        task = spawn(host.process, host.run, request_id, key, self._on_reached)
+        timeout_s = self._random.uniform(0.3, 8.0)
+        await asyncio.wait([task], timeout=timeout_s)
+        return task.result().kind if task.done() else AnswerKind.NO_ANSWER
+
+    async def _determine_outcome(self, key: str) -> None:
+        for _ in range(MAX_FINAL_ATTEMPTS):
+            kind = await self._send_request(self._random.choice(HOSTS), key)
+            self.world.history.final_answers[key] = kind
             if kind in (AnswerKind.RAN, AnswerKind.REPLAYED, AnswerKind.UNKNOWN):
                 return
             await asyncio.sleep(0.5)
 
 
-def all_died(keep: Keep) -> bool:
-    """Tell whether three hosts held a bill, and none ran long enough to pass it on.
+def are_all_holders_killed(bill: ReplicatedBill) -> bool:
+    """Return whether a bill's holders, at least three, all died before replicating it again.
 
-    Time for which a host was stopped doesn't count: one that is resumed only to
-    be killed has done nothing for the bill.
+    Time during which a host was stopped does not count, because a host that is resumed
+    only to be killed could not replicate the bill.
     """
-    dead = [process for process in keep.holders if process.dead]
-    is_soon = [process.ran_after(keep.at) < RECOPY_S for process in dead]
-    return len(dead) == len(keep.holders) > COPIES and all(is_soon)
+    dead = [process for process in bill.holders if process.dead]
+    died_early = [process.running_time_after(bill.at_s) < RECOPY_WINDOW_S for process in dead]
+    return len(dead) == len(bill.holders) > PEER_COPIES and all(died_early)
 
 
-def drop_tasks(loop: VirtualLoop) -> None:
-    """Forget the tasks of killed processes."""
+def close_tasks(loop: VirtualLoop) -> None:
+    """Close the loop and the unfinished tasks of killed processes."""
     for task in asyncio.all_tasks(loop):
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         task.get_coro().close()
