--- a/examples/installation.py
+++ b/examples/installation.py
@@ -18,9 +18,9 @@
     with Installation(hosts=2) as installation:
         installation.publish()
         for number in (1, 2):
-            runner = installation.add_runner(f"engine-{number}", "engines")
-            runner.confidence = {"small": 10, "large": 95}
-            installation.add_runner(f"stock-{number}", "stock")
+            endpoint = installation.add_endpoint(f"engine-{number}", "engines")
+            endpoint.confidence = {"small": 10, "large": 95}
+            installation.add_endpoint(f"stock-{number}", "stock")
         for number in (0, 1):
             installation.start_host(number)
         check(True, "platform: 2 hosts ready, 2 model engines and 2 endpoints of the stock")
@@ -29,10 +29,10 @@
 
 
 def _draft(installation: Installation, check: Check) -> None:
-    for runner in installation.runners.values():
-        if runner.is_engine:
+    for endpoint in installation.endpoints.values():
+        if endpoint.is_engine:
             # The first answer is dropped for a larger model, whose endpoint breaks off.
-            runner.faults.extend([Fault.SLOW, Fault.CUT])
+            endpoint.faults.extend([Fault.SLOW, Fault.CUT])
     answer = installation.call("/draft/brief", 0, X_Model="*")
     is_large = answer.body.count(b"data: large") == answer.body.count(b"data:")
     events = answer.body.count(b"\n\n")
@@ -43,15 +43,15 @@
 
 
 def _order(installation: Installation, check: Check) -> None:
-    for runner in installation.runners.values():
-        if not runner.is_engine:
-            runner.faults.append(Fault.LOST)
+    for endpoint in installation.endpoints.values():
+        if not endpoint.is_engine:
+            endpoint.faults.append(Fault.LOST)
     answer = installation.call("/order/ring", 1, body=b"one ring")
     ran = sum(
-        seen.is_run
-        for runner in installation.runners.values()
-        for seen in runner.seen
-        if not runner.is_engine
+        request.is_executed
+        for endpoint in installation.endpoints.values()
+        for request in endpoint.received_requests
+        if not endpoint.is_engine
     )
     check(
         answer.status == 502 and ran == 1,
--- a/features/environment.py
+++ b/features/environment.py
@@ -158,8 +158,8 @@
     """The users' platform with one host, one model engine and one plain service."""
     with Installation() as installation:
         installation.publish()
-        installation.add_runner("engine-1", "engines")
-        installation.add_runner("stock-1", "stock")
+        installation.add_endpoint("engine-1", "engines")
+        installation.add_endpoint("stock-1", "stock")
         installation.start_host()
         context.installation = installation
         yield installation
@@ -170,8 +170,8 @@
     """The users' platform with a host in each of two zones."""
     with Installation(hosts=2) as installation:
         installation.publish()
-        installation.add_runner("engine-1", "engines")
-        installation.add_runner("stock-1", "stock")
+        installation.add_endpoint("engine-1", "engines")
+        installation.add_endpoint("stock-1", "stock")
         for number in range(2):
             installation.start_host(number)
         context.installation = installation
@@ -183,13 +183,13 @@
     """The users' platform with three hosts in one zone."""
     with Installation(hosts=3, zones="a") as installation:
         installation.publish()
-        installation.add_runner("engine-1", "engines")
-        installation.add_runner("stock-0", "stock")
+        installation.add_endpoint("engine-1", "engines")
+        installation.add_endpoint("stock-0", "stock")
         for number in range(3):
-            installation.start_host(number, is_awaited=False)
+            installation.start_host(number, wait_until_ready=False)
         for number in range(3):
             installation.wait_for(
-                lambda number=number: installation.ready_status(number) == 200,
+                lambda number=number: installation.fetch_readiness_status(number) == 200,
                 f"host {number} is ready",
             )
         context.installation = installation
--- a/features/steps/explanations.py
+++ b/features/steps/explanations.py
@@ -41,8 +41,8 @@
 @when('all endpoints of "{service}" break off the draft "{request_id}"')
 def step_break_off(context, service, request_id):
     set_faults(context, service, "CUT", 9)
-    for runner in context.runners:
-        runner.events = 20
+    for endpoint in context.endpoints:
+        endpoint.event_count = 20
     context.installation.call("/draft/brief", X_Model="*", X_Attempt_Id=request_id)
 
 
@@ -88,7 +88,7 @@
 
 @then("no log line contains the body or a key, and each request line has its id")
 def step_no_secrets(context):
-    text = context.installation.log_of()
+    text = context.installation.read_log()
     assert not [secret for secret in context.secrets if secret in text], text
     lines = [json.loads(line) for line in text.splitlines()]
     request_lines = [line for line in lines if line["message"].startswith("request: ")]
@@ -97,7 +97,7 @@
 
 @then('the metrics have the latencies "{names}"')
 def step_latencies(context, names):
-    text = context.installation.read_metrics()
+    text = context.installation.fetch_metrics()
     missing = [
         name
         for name in names.split(", ")
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from standins.installation import Fault
-from standins.installation._installation import HOST_NAME, KEY
+from standins.installation._installation import API_KEY, HOST_NAME
 
 FLOOD_TIMEOUT_MS = 60_000
 EVENT = re.compile(rb"id: (\d+)\ndata: (\w+) \d+\n\n")
@@ -25,7 +25,7 @@
     context.installation.wait_for(has_status, f"{path} is answered with {status}")
 
 
-def open_raw(context, path, key=KEY, attempt="raw-1", within_ms=4000):
+def open_raw(context, path, key=API_KEY, attempt="raw-1", within_ms=4000):
     host, _, port = context.installation.caller_address().rpartition(":")
     connection = socket.create_connection((host, int(port)), timeout=10)
     send_raw(connection, path, key, attempt, within_ms)
@@ -73,7 +73,7 @@
 
 @then("the endpoint received the path, the body and the request id unchanged")
 def step_unchanged(context):
-    look, order = context.installation.runners["stock-1"].seen
+    look, order = context.installation.endpoints["stock-1"].received_requests
     assert (look.method, look.target) == (b"GET", b"/lookup/ring?size=5"), look
     assert (order.method, order.body) == (b"POST", b"one ring"), order
     assert [s.headers["x-attempt-id"] for s in (look, order)] == ["look-1", "order-1"]
@@ -82,9 +82,9 @@
 
 @then('the endpoint received the account "{account}" and no API key')
 def step_account(context, account):
-    for seen in context.installation.runners["stock-1"].seen:
-        assert seen.headers["x-tenant"] == account
-        assert "authorization" not in seen.headers
+    for request in context.installation.endpoints["stock-1"].received_requests:
+        assert request.headers["x-tenant"] == account
+        assert "authorization" not in request.headers
 
 
 @when("a caller requests a draft")
@@ -106,14 +106,14 @@
 
 @given('the model "{one}" has confidence {low:d} and the model "{other}" {high:d}')
 def step_confidence(context, one, low, other, high):
-    for runner in context.installation.runners.values():
-        runner.confidence = {one: low, other: high}
+    for endpoint in context.installation.endpoints.values():
+        endpoint.confidence = {one: low, other: high}
 
 
 @then('a retry for "{reason}" is counted')
 def step_counters(context, reason):
     assert (
-        f'poplarrun_retries_total{{reason="{reason}"}} 1.0' in context.installation.read_metrics()
+        f'poplarrun_retries_total{{reason="{reason}"}} 1.0' in context.installation.fetch_metrics()
     )
 
 
@@ -136,7 +136,9 @@
 
 @then("no endpoint received either request")
 def step_unseen(context):
-    assert not any(runner.seen for runner in context.installation.runners.values())
+    assert not any(
+        endpoint.received_requests for endpoint in context.installation.endpoints.values()
+    )
 
 
 @when('the operators add a route for "{path}", and an older configuration is written after it')
@@ -155,7 +157,7 @@
     del config["services"]
     context.installation.append("keyed.op", "config", json.dumps(config).encode())
     text = "Ignoring a malformed configuration document."
-    context.installation.wait_for(lambda: text in context.installation.log_of(), text)
+    context.installation.wait_for(lambda: text in context.installation.read_log(), text)
 
 
 @then('a call of "{path}" is answered with {status:d}')
@@ -171,15 +173,15 @@
     installation.config["tenants"][0]["apiKeys"].remove(key)
     installation.publish()
     text = f'"version": {installation.config["version"]}'
-    installation.wait_for(lambda: text in installation.log_of(), "the version is in force")
-    context.before = len(installation.runners["stock-1"].seen)
+    installation.wait_for(lambda: text in installation.read_log(), "the version is in force")
+    context.before = len(installation.endpoints["stock-1"].received_requests)
     send_raw(context.connection, "/order/ring", key, "raw-2")
 
 
 @then("the caller's next request is answered with 401 and reaches no endpoint")
 def step_revoked(context):
     assert read_status(context.connection) == 401
-    assert len(context.installation.runners["stock-1"].seen) == context.before
+    assert len(context.installation.endpoints["stock-1"].received_requests) == context.before
     context.connection.close()
 
 
@@ -211,33 +213,33 @@
 @given('a second endpoint "{instance_id}" of "{service}"')
 def step_second(context, instance_id, service):
     installation = context.installation
-    runner = installation.add_runner(instance_id, service)
+    endpoint = installation.add_endpoint(instance_id, service)
     text = f'"endpoint": "{instance_id}"'
-    installation.wait_for(lambda: text in installation.log_of(), f"{instance_id} is known")
-    assert runner.lifetime == instance_id
+    installation.wait_for(lambda: text in installation.read_log(), f"{instance_id} is known")
+    assert endpoint.instance_id == instance_id
 
 
 @when('the endpoint "{instance_id}" announces that it is leaving')
 def step_leaves(context, instance_id):
     installation = context.installation
-    runner = installation.runners[instance_id]
-    runner.is_leaving = True
-    installation.list_runner(runner)
+    endpoint = installation.endpoints[instance_id]
+    endpoint.is_draining = True
+    installation.publish_endpoint(endpoint)
     text = '"change": "leaving"'
-    installation.wait_for(lambda: text in installation.log_of(), f"{instance_id} leaves")
-    context.before = len(runner.seen)
-    context.leaving = runner
+    installation.wait_for(lambda: text in installation.read_log(), f"{instance_id} leaves")
+    context.before = len(endpoint.received_requests)
+    context.leaving = endpoint
 
 
 @then('{count:d} more lookups all reach "{instance_id}"')
 def step_all_reach(context, count, instance_id):
     step_answered_by(context, count, instance_id)
-    assert len(context.leaving.seen) == context.before
+    assert len(context.leaving.received_requests) == context.before
 
 
 @when('an unlisted endpoint takes over the address of "{instance_id}"')
 def step_taken_over(context, instance_id):
-    context.installation.runners[instance_id].lifetime = "somebody-else"
+    context.installation.endpoints[instance_id].instance_id = "somebody-else"
 
 
 @then('{count:d} lookups are answered by "{instance_id}"')
@@ -250,8 +252,8 @@
 
 @given("the endpoints stream slowly")
 def step_slow_streams(context):
-    for runner in context.installation.runners.values():
-        runner.faults.extend([Fault.SLOW] * 9)
+    for endpoint in context.installation.endpoints.values():
+        endpoint.faults.extend([Fault.SLOW] * 9)
 
 
 @when("a host is asked to stop while a caller's draft is running")
@@ -263,7 +265,7 @@
     context.statuses = []
     while data := connection.recv(65536):
         received += data
-        context.statuses.append(installation.ready_status())
+        context.statuses.append(installation.fetch_readiness_status())
     context.received = received
     context.code = installation.processes[0].wait(timeout=15)
 
@@ -294,31 +296,31 @@
 
 @when("the settings file becomes invalid and the host receives SIGHUP")
 def step_invalid_settings(context):
-    context.installation.spoil_settings()
+    context.installation.write_invalid_settings()
     context.installation.signal_host(0, "SIGHUP")
 
 
 @when("the settings file becomes invalid without a signal")
 def step_invalid_settings_silently(context):
-    context.installation.spoil_settings()
+    context.installation.write_invalid_settings()
 
 
 @then('the log contains "{text}"')
 def step_log(context, text):
-    context.installation.wait_for(lambda: text in context.installation.log_of(), text)
+    context.installation.wait_for(lambda: text in context.installation.read_log(), text)
 
 
 @given('an endpoint "{instance_id}" of the version "{version}"')
 def step_version(context, instance_id, version):
-    context.installation.add_runner(instance_id, "engines", version=version)
+    context.installation.add_endpoint(instance_id, "engines", version=version)
     text = f'"endpoint": "{instance_id}"'
-    context.installation.wait_for(lambda: text in context.installation.log_of(), text)
+    context.installation.wait_for(lambda: text in context.installation.read_log(), text)
 
 
 @given('an endpoint "{instance_id}" of the version "{version}" that fails each request')
 def step_bad_version(context, instance_id, version):
     step_version(context, instance_id, version)
-    context.installation.runners[instance_id].faults.extend([Fault.ERROR] * 1000)
+    context.installation.endpoints[instance_id].faults.extend([Fault.ERROR] * 1000)
 
 
 @when(
@@ -335,7 +337,7 @@
 
 
 def _phase(context):
-    entry = context.installation.store.topic("keyed.status").newest().get("rollout/engines")
+    entry = context.installation.store.topic("keyed.status").latest_entries().get("rollout/engines")
     return None if entry is None else json.loads(entry[1])["phase"]
 
 
@@ -362,21 +364,23 @@
     installation.config["routes"][0]["timeoutMs"] = FLOOD_TIMEOUT_MS
     installation.publish()
     text = f'"version": {installation.config["version"]}'
-    installation.wait_for(lambda: text in installation.log_of(), "the version is in force")
-    runner = installation.runners["engine-1"]
-    runner.events = events
-    runner.faults.extend([Fault.FLOOD] * drafts)
+    installation.wait_for(lambda: text in installation.read_log(), "the version is in force")
+    endpoint = installation.endpoints["engine-1"]
+    endpoint.event_count = events
+    endpoint.faults.extend([Fault.FLOOD] * drafts)
 
 
 @when("{count:d} callers request drafts and read nothing until the endpoint is blocked")
 def step_read_nothing(context, count):
-    runner = context.installation.runners["engine-1"]
+    endpoint = context.installation.endpoints["engine-1"]
     context.before_mb = memory_mb(context)
     context.connections = [
         open_raw(context, "/draft/brief", attempt=f"flood-{number}", within_ms=FLOOD_TIMEOUT_MS)
         for number in range(count)
     ]
-    context.installation.wait_for(lambda: len(runner.seen) == count, "all drafts run")
+    context.installation.wait_for(
+        lambda: len(endpoint.received_requests) == count, "all drafts run"
+    )
     # The endpoint is blocked when it has sent nothing more between two measurements.
     context.installation.wait_for(lambda: is_steady(context), "the endpoint is blocked")
 
--- a/features/steps/gateway_faults.py
+++ b/features/steps/gateway_faults.py
@@ -7,30 +7,35 @@
 
 
 def executions_of(context, service):
-    runners = [r for r in context.installation.runners.values() if r.service == service]
-    return [seen for runner in runners for seen in runner.seen if seen.is_run]
+    endpoints = [r for r in context.installation.endpoints.values() if r.service == service]
+    return [
+        request
+        for endpoint in endpoints
+        for request in endpoint.received_requests
+        if request.is_executed
+    ]
 
 
 def set_faults(context, service, fault, count=1):
     """Set a fault at all endpoints of a service, since the host chooses among them."""
-    context.runners = [r for r in context.installation.runners.values() if r.service == service]
-    if count > 1 or len(context.runners) == 1:
-        for runner in context.runners:
-            runner.faults.extend([Fault[fault]] * count)
+    context.endpoints = [r for r in context.installation.endpoints.values() if r.service == service]
+    if count > 1 or len(context.endpoints) == 1:
+        for endpoint in context.endpoints:
+            endpoint.faults.extend([Fault[fault]] * count)
         return
     # The endpoints share one fault, which the first one to be sent a request uses.
-    shared = context.runners[0].faults
-    for runner in context.runners:
-        runner.faults = shared
+    shared = context.endpoints[0].faults
+    for endpoint in context.endpoints:
+        endpoint.faults = shared
     shared.append(Fault[fault])
 
 
 @when('the endpoints of "{service}" answer the next {count:d} {request} with the fault "{fault}"')
 def step_many_faults(context, service, count, request, fault):
     set_faults(context, service, fault, count)
-    for runner in context.runners:
+    for endpoint in context.endpoints:
         # More events than all attempts together send before they abort.
-        runner.events = 20
+        endpoint.event_count = 20
     _send_request(context, request.rstrip("s"))
 
 
@@ -70,7 +75,7 @@
 
 @then("the second endpoint was asked to resume after event {number:d}")
 def step_resumed(context, number):
-    asked = [s.headers.get("last-event-id") for r in context.runners for s in r.seen]
+    asked = [s.headers.get("last-event-id") for r in context.endpoints for s in r.received_requests]
     assert sorted(asked, key=str) == [str(number), None], asked
 
 
@@ -94,27 +99,32 @@
 def step_disconnect_early(context, service):
     set_faults(context, service, "MUTE")
     connection = open_raw(context, "/draft/brief")
-    runner = context.installation.runners["engine-1"]
-    context.installation.wait_for(lambda: runner.seen and runner.seen[0].is_run, "it runs")
+    endpoint = context.installation.endpoints["engine-1"]
+    context.installation.wait_for(
+        lambda: endpoint.received_requests and endpoint.received_requests[0].is_executed, "it runs"
+    )
     connection.close()
     context.left_at = time.monotonic()
 
 
 @then("its endpoint is disconnected within half a second")
 def step_disconnected(context):
-    runner = context.installation.runners["engine-1"]
+    endpoint = context.installation.endpoints["engine-1"]
     context.installation.wait_for(
-        lambda: any(seen.is_left for seen in runner.seen), "the caller has disconnected"
+        lambda: any(request.is_disconnected for request in endpoint.received_requests),
+        "the caller has disconnected",
     )
 
 
 @when('all endpoints of "{service}" are removed')
 def step_all_removed(context, service):
     installation = context.installation
-    for instance_id in [r.lifetime for r in installation.runners.values() if r.service == service]:
-        installation.remove_runner(instance_id)
+    for instance_id in [
+        r.instance_id for r in installation.endpoints.values() if r.service == service
+    ]:
+        installation.remove_endpoint(instance_id)
     text = "Endpoints were removed."
-    installation.wait_for(lambda: text in installation.log_of(), text)
+    installation.wait_for(lambda: text in installation.read_log(), text)
 
 
 @then("a lookup is answered with {status:d} within one second")
--- a/features/steps/gateway_peers.py
+++ b/features/steps/gateway_peers.py
@@ -8,14 +8,14 @@
 
 @when("the store rejects host {number:d} for longer than API keys may be trusted")
 def step_turned_away(context, number):
-    context.installation.turn_away(number)
+    context.installation.reject_store_calls(number)
     time.sleep(PAST_BOUND_S)
 
 
 @when('the endpoint "{new}" replaces "{old}"')
 def step_replaced(context, new, old):
-    context.installation.add_runner(new, "stock")
-    context.installation.remove_runner(old)
+    context.installation.add_endpoint(new, "stock")
+    context.installation.remove_endpoint(old)
 
 
 @when("host {number:d} is killed and API keys may be trusted no longer")
@@ -48,13 +48,13 @@
 @then('soon all calls of "{path}" at host {number:d} reach "{instance_id}"')
 def step_reach(context, path, number, instance_id):
     installation = context.installation
-    runner = installation.runners[instance_id]
+    endpoint = installation.endpoints[instance_id]
 
     def reach():
-        before = len(runner.seen)
+        before = len(endpoint.received_requests)
         for _ in range(5):
             installation.call(path, number)
-        return len(runner.seen) == before + 5
+        return len(endpoint.received_requests) == before + 5
 
     installation.wait_for(reach, f"all calls reach {instance_id}")
 
--- a/features/steps/shared_reading.py
+++ b/features/steps/shared_reading.py
@@ -199,7 +199,7 @@
 
 @when('the store rejects host {number:d} and "{new}" replaces "{old}"')
 def step_reject(context, number, new, old):
-    context.installation.turn_away(number)
+    context.installation.reject_store_calls(number)
     replace(context.installation, new, old)
 
 
@@ -209,8 +209,8 @@
 
 
 def replace(installation, new, old):
-    installation.add_runner(new, "stock")
-    installation.remove_runner(old)
+    installation.add_endpoint(new, "stock")
+    installation.remove_endpoint(old)
 
 
 @then('soon all calls of "{path}" at hosts "{numbers}" reach "{instance_id}"')
--- a/standins/installation/__init__.py
+++ b/standins/installation/__init__.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' platform: store, endpoints, settings, and hosts as processes."""
+"""A simulated users' platform: store, endpoints and settings, with hosts as real processes."""
 
+from standins.installation._endpoint import Endpoint, Fault
 from standins.installation._installation import Answer, Installation
-from standins.installation._runner import Fault, Runner
 from standins.installation._store import Store
 
-__all__ = ["Answer", "Fault", "Installation", "Runner", "Store"]
+__all__ = ["Answer", "Endpoint", "Fault", "Installation", "Store"]
--- a/standins/installation/_runner.py
+++ b/standins/installation/_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint of the platform: a model engine that streams, or a plain service."""
+"""A simulated endpoint of the platform: a streaming model engine or a plain service."""
 
 import asyncio
 import contextlib
@@ -9,76 +9,76 @@
 
 from poplarrun.transport import CallerConnection, CallerServer, RequestHead
 
-EVENT_S = 0.01
-FLOOD_BYTES = 4096
+EVENT_INTERVAL_S = 0.01
+FLOOD_EVENT_BYTES = 4096
 
 
 class Fault(enum.Enum):
-    """What an endpoint does with one request, if not its work."""
+    """How an endpoint mishandles one request."""
 
-    NOT_RUN = "says that it did not run it"
-    ERROR = "runs it and fails"
-    LOST = "runs it and loses the answer"
-    CUT = "breaks off in the middle"
-    OTHER_ID = "answers another request"
-    UNSIGNED = "answers without its signature"
-    EXTRA = "answers twice"
-    MUTE = "runs it and says nothing"
-    SLOW = "streams slowly"
-    FLOOD = "streams without a pause, events of 4 KB"
+    NOT_RUN = "rejects the request as not executed"
+    ERROR = "executes the request and answers with an error"
+    LOST = "executes the request and closes the connection without an answer"
+    CUT = "aborts the answer in the middle"
+    OTHER_ID = "answers with another request's id"
+    UNSIGNED = "answers without the instance signature"
+    EXTRA = "sends a second answer"
+    MUTE = "accepts the request and does not answer"
+    SLOW = "streams with long intervals between events"
+    FLOOD = "streams events of 4 KB without an interval"
 
 
 @dataclass
-class Seen:
-    """A request as it reached the endpoint."""
+class ReceivedRequest:
+    """A request that the endpoint received, and whether it was executed or its caller left."""
 
     method: bytes
     target: bytes
     headers: dict[str, str]
     body: bytes
-    is_run: bool = False
-    is_left: bool = False
+    is_executed: bool = False
+    is_disconnected: bool = False
 
 
 @dataclass
-class Runner:
-    """One endpoint.
+class Endpoint:
+    """A simulated endpoint with an HTTP server.
 
     Attributes
     ----------
     confidence : dict of str to int
-        Confidence of each model, 0 to 100.
-    events : int
-        Events of a whole stream.
+        Confidence that each model reports, 0 to 100.
+    event_count : int
+        Number of events in a complete stream.
     faults : deque of Fault
-        What happens to the next requests, one each.
-    seen : list of Seen
-        Requests so far.
+        Faults of the next requests, one per request.
+    received_requests : list of ReceivedRequest
+        All requests received so far.
     """
 
-    lifetime: str
+    instance_id: str
     service: str
     address: str
     zone: str = "a"
     version: str = "v1"
-    places: int = 8
+    slots: int = 8
     is_engine: bool = False
-    is_leaving: bool = False
-    started_ms: int = 1_000
-    events: int = 5
+    is_draining: bool = False
+    started_at_ms: int = 1_000
+    event_count: int = 5
     confidence: dict[str, int] = field(default_factory=dict)
     faults: deque[Fault] = field(default_factory=deque)
-    seen: list[Seen] = field(default_factory=list)
+    received_requests: list[ReceivedRequest] = field(default_factory=list)
     sequence: int = 0
-    crashes: list[BaseException | None] = field(default_factory=list)
+    handler_errors: list[BaseException | None] = field(default_factory=list)
 
     async def start(self) -> None:
-        """Listen."""
-        self._server = CallerServer(self._serve, self.crashes.append)
+        """Start the HTTP server."""
+        self._server = CallerServer(self._serve, self.handler_errors.append)
         await self._server.listen(self.address)
 
-    def record(self) -> bytes:
-        """Return its record in the store."""
+    def encode_record(self) -> bytes:
+        """Return the endpoint's next record for the store, encoded as JSON."""
         self.sequence += 1
         return json.dumps(
             {
@@ -86,36 +86,36 @@
                 "address": self.address,
                 "zone": self.zone,
                 "version": self.version,
-                "slots": self.places,
-                "phase": "draining" if self.is_leaving else "ready",
+                "slots": self.slots,
+                "phase": "draining" if self.is_draining else "ready",
                 "coldLeftMs": 0,
                 "sequence": self.sequence,
-                "born": self.started_ms,
+                "born": self.started_at_ms,
             }
         ).encode()
 
     async def _serve(self, caller: CallerConnection, head: RequestHead, body: bytes) -> None:
         headers = {name.decode().lower(): value.decode() for name, value in head.headers}
-        seen = Seen(head.method, head.target, headers, body)
-        self.seen.append(seen)
-        if headers.get("x-expect-instance") != self.lifetime:
-            caller.respond(421, [(b"X-Instance-Id", self.lifetime.encode())], b"")
+        request = ReceivedRequest(head.method, head.target, headers, body)
+        self.received_requests.append(request)
+        if headers.get("x-expect-instance") != self.instance_id:
+            caller.respond(421, [(b"X-Instance-Id", self.instance_id.encode())], b"")
             return
         fault = self.faults.popleft() if self.faults else None
         if fault is Fault.NOT_RUN:
             caller.respond(503, [(b"X-Not-Executed", b"1")], b"")
             return
-        seen.is_run = True
+        request.is_executed = True
         try:
             await self._run(caller, headers, fault)
         except asyncio.CancelledError:
-            seen.is_left = True
+            request.is_disconnected = True
             raise
 
     async def _run(
         self, caller: CallerConnection, headers: dict[str, str], fault: Fault | None
     ) -> None:
-        answer_headers = self._headers(headers, fault)
+        answer_headers = self._create_headers(headers, fault)
         match fault:
             case Fault.LOST:
                 caller.abort_response()
@@ -130,19 +130,21 @@
                 await caller.send_chunk(b"half")
                 caller.abort_response()
             case _:
-                caller.respond(200, answer_headers, b"answer of " + self.lifetime.encode())
+                caller.respond(200, answer_headers, b"answer of " + self.instance_id.encode())
                 if fault is Fault.EXTRA and caller._transport is not None:
                     caller._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
 
-    def _headers(self, headers: dict[str, str], fault: Fault | None) -> list[tuple[bytes, bytes]]:
+    def _create_headers(
+        self, headers: dict[str, str], fault: Fault | None
+    ) -> list[tuple[bytes, bytes]]:
         request_id = "another" if fault is Fault.OTHER_ID else headers["x-attempt-id"]
-        found = [(b"X-Attempt-Id", request_id.encode())]
+        created = [(b"X-Attempt-Id", request_id.encode())]
         if fault is not Fault.UNSIGNED:
-            found.append((b"X-Instance-Signature", f"signed-{self.lifetime}".encode()))
+            created.append((b"X-Instance-Signature", f"signed-{self.instance_id}".encode()))
         confidence = self.confidence.get(headers.get("x-model", ""))
         if confidence is not None:
-            found.append((b"X-Confidence", str(confidence).encode()))
-        return found
+            created.append((b"X-Confidence", str(confidence).encode()))
+        return created
 
     async def _stream(
         self,
@@ -154,18 +156,18 @@
         first = int(headers.get("last-event-id", "0")) + 1
         caller.start_stream(200, answer_headers)
         model = headers.get("x-model", "")
-        for number in range(first, self.events + 1):
+        for number in range(first, self.event_count + 1):
             event = f"id: {number}\ndata: {model} {number}\n\n".encode()
             if fault is Fault.FLOOD:
-                await caller.send_chunk(b": " + b"x" * FLOOD_BYTES + b"\n" + event)
+                await caller.send_chunk(b": " + b"x" * FLOOD_EVENT_BYTES + b"\n" + event)
                 continue
             if fault is Fault.CUT and number == first + 2:
                 await caller.send_chunk(event[:7])
-                # The half event must be on its way before the connection is reset.
-                await asyncio.sleep(EVENT_S)
+                # The partial event must be sent before the connection is reset.
+                await asyncio.sleep(EVENT_INTERVAL_S)
                 caller.abort_response()
                 return
             await caller.send_chunk(event)
-            await asyncio.sleep(EVENT_S * (40 if fault is Fault.SLOW else 1))
+            await asyncio.sleep(EVENT_INTERVAL_S * (40 if fault is Fault.SLOW else 1))
         with contextlib.suppress(ConnectionError):
             caller.end_response()
--- a/standins/installation/_installation.py
+++ b/standins/installation/_installation.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback: store and endpoints here, hosts as processes."""
+"""Runs a users' platform on loopback: store and endpoints in this process, hosts as processes."""
 
 import asyncio
 import http.client
@@ -18,20 +18,20 @@
 import yaml
 
 from standins._ports import free_port
-from standins.installation._runner import Runner
+from standins.installation._endpoint import Endpoint
 from standins.installation._store import Store
 
-START_TIMEOUT_S = 20.0
-POLL_S = 0.02
+WAIT_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
 CALL_TIMEOUT_S = 15.0
-KEY = "counter-key"
+API_KEY = "counter-key"
 HOST_NAME = "shop.example"
-SIZES = ("small", "large")
+MODEL_NAMES = ("small", "large")
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What a caller got; status 0 for a connection that closed without an answer."""
+    """A caller's answer; status 0 means that the connection closed without one."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -39,17 +39,17 @@
     is_whole: bool = True
 
 
-def _address() -> str:
+def _allocate_address() -> str:
     return f"127.0.0.1:{free_port()}"
 
 
 class Installation:
-    """Store, endpoints and hosts of the users' platform.
+    """A users' platform with a store, endpoints and hosts.
 
     Parameters
     ----------
     zones : str
-        Names of the hosts' zones in turn, a letter each.
+        Zone names, one letter each, which hosts are assigned to in turn.
 
     Attributes
     ----------
@@ -60,8 +60,8 @@
     def __init__(self, hosts: int = 1, zones: str = "abc") -> None:
         self._zones = zones
         self.store = Store()
-        self.runners: dict[str, Runner] = {}
-        self.config = self._first_config()
+        self.endpoints: dict[str, Endpoint] = {}
+        self.config = self._create_initial_config()
         self._folder = tempfile.TemporaryDirectory(prefix="poplarrun-installation-")
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
@@ -78,25 +78,25 @@
         for process in self.processes.values():
             process.kill()
             process.wait()
-        self.run(self._end_tasks())
+        self.run(self._cancel_tasks())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._folder.cleanup()
 
     @staticmethod
-    async def _end_tasks() -> None:
-        """End what still waits, such as calls that a silent store never answers."""
+    async def _cancel_tasks() -> None:
+        """Cancel pending tasks, such as calls that a silent store never answers."""
         waiting = asyncio.all_tasks() - {asyncio.current_task()}
         for task in waiting:
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run something on the loop of the stand-ins."""
+        """Run a coroutine on the loop of the store and endpoints; return its result."""
         return asyncio.run_coroutine_threadsafe(work, self._loop).result(CALL_TIMEOUT_S)
 
     def append(self, topic: str, key: str, value: bytes) -> None:
-        """Write a record, as operators and endpoints do."""
+        """Append a record to a topic, as operators and endpoints do."""
 
         async def write() -> None:
             self.store.topic(topic).append(key, value)
@@ -104,28 +104,30 @@
         self.run(write())
 
     def publish(self) -> None:
-        """Write the configuration with the next version."""
+        """Write the configuration with a higher version; versions need not be consecutive."""
         self.config["version"] += 3
         self.append("keyed.op", "config", json.dumps(self.config).encode())
 
-    def add_runner(self, lifetime: str, service: str, **more: Any) -> Runner:
-        """Start an endpoint and list it."""
-        runner = Runner(lifetime, service, _address(), is_engine=service == "engines", **more)
-        self.run(runner.start())
-        self.runners[lifetime] = runner
-        self.list_runner(runner)
-        return runner
+    def add_endpoint(self, instance_id: str, service: str, **options: Any) -> Endpoint:
+        """Start an endpoint and write its record to the store."""
+        endpoint = Endpoint(
+            instance_id, service, _allocate_address(), is_engine=service == "engines", **options
+        )
+        self.run(endpoint.start())
+        self.endpoints[instance_id] = endpoint
+        self.publish_endpoint(endpoint)
+        return endpoint
 
-    def list_runner(self, runner: Runner) -> None:
-        """Write an endpoint's record."""
-        self.append("keyed.servers", runner.lifetime, runner.record())
+    def publish_endpoint(self, endpoint: Endpoint) -> None:
+        """Write an endpoint's record to the store."""
+        self.append("keyed.servers", endpoint.instance_id, endpoint.encode_record())
 
-    def remove_runner(self, lifetime: str) -> None:
-        """Take an endpoint's record away."""
-        self.append("keyed.servers", lifetime, b"")
+    def remove_endpoint(self, instance_id: str) -> None:
+        """Delete an endpoint's record from the store; the endpoint keeps running."""
+        self.append("keyed.servers", instance_id, b"")
 
-    def start_host(self, number: int = 0, is_awaited: bool = True) -> None:
-        """Start a host's process, and wait until it is ready."""
+    def start_host(self, number: int = 0, wait_until_ready: bool = True) -> None:
+        """Start a host's process and, by default, wait until it is ready."""
         path = self._write_settings(number)
         environment = {**os.environ, "POPLARRUN_NODE_FILE": str(path)}
         log = self.log_path(number).open("ab")
@@ -136,34 +138,36 @@
             stderr=subprocess.STDOUT,
         )
         log.close()
-        if is_awaited:
-            self.wait_for(lambda: self.ready_status(number) == 200, f"host {number} is ready")
+        if wait_until_ready:
+            self.wait_for(
+                lambda: self.fetch_readiness_status(number) == 200, f"host {number} is ready"
+            )
 
-    def log_of(self, number: int = 0) -> str:
-        """Return what a host wrote."""
+    def read_log(self, number: int = 0) -> str:
+        """Return what a host wrote to standard output and standard error."""
         return self.log_path(number).read_text()
 
     def log_path(self, number: int = 0) -> Path:
-        """Return where a host's output is kept."""
+        """Return the path of a host's output."""
         return Path(self._folder.name) / f"host-{number}.log"
 
     def signal_host(self, number: int, name: str) -> None:
         """Send a signal to a host's process."""
         self.processes[number].send_signal(getattr(signal, name))
 
-    def spoil_settings(self, number: int = 0) -> None:
-        """Overwrite a host's settings file with one that lacks fields."""
+    def write_invalid_settings(self, number: int = 0) -> None:
+        """Overwrite a host's settings file with one that lacks required fields."""
         (Path(self._folder.name) / f"host-{number}.yaml").write_text("nodeName: edge\n")
 
-    def ready_status(self, number: int = 0) -> int:
-        """Return the status with which a host answers the balancer; 0 for none."""
+    def fetch_readiness_status(self, number: int = 0) -> int:
+        """Return the status of a host's readiness check; 0 if it does not answer."""
         try:
             return self._call(self._addresses[number]["readiness"], "GET", "/readyz", {}).status
         except OSError:
             return 0
 
-    def read_metrics(self, number: int = 0) -> str:
-        """Return a host's counters and histograms."""
+    def fetch_metrics(self, number: int = 0) -> str:
+        """Return a host's metrics in the text format."""
         address = f"127.0.0.1:{self._addresses[number]['metrics']}"
         return self._call(address, "GET", "/metrics", {}).body.decode()
 
@@ -171,12 +175,12 @@
         self,
         path: str,
         number: int = 0,
-        key: str = KEY,
+        key: str = API_KEY,
         body: bytes = b"",
         method: str = "POST",
         **headers: str,
     ) -> Answer:
-        """Send a request as a caller does; names of headers have ``_`` for ``-``."""
+        """Send a request as a caller does; in names of headers, ``_`` stands for ``-``."""
         sent = {
             "Host": HOST_NAME,
             "X-Attempt-Id": f"req-{time.monotonic_ns():x}",
@@ -186,22 +190,24 @@
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
         return self._call(self.caller_address(number), method, path, sent, body)
 
-    def turn_away(self, number: int) -> None:
-        """Have the store refuse all calls of one host."""
-        self.store.turned_away.add(self._addresses[number]["store"])
+    def reject_store_calls(self, number: int) -> None:
+        """Make the store reject all calls of one host."""
+        self.store.rejecting_addresses.add(self._addresses[number]["store"])
 
     def caller_address(self, number: int = 0) -> str:
-        """Return where a host serves callers."""
+        """Return the address at which a host serves callers."""
         return self._addresses[number]["frontend"]
 
-    def wait_for(self, is_so: Callable[[], bool], what: str) -> None:
-        """Wait until something holds."""
-        until = time.monotonic() + START_TIMEOUT_S
-        while not is_so():
-            if time.monotonic() > until:
-                logs = "\n".join(self.log_of(number)[-2000:] for number in self.processes)
-                raise AssertionError(f"not within {START_TIMEOUT_S:.0f} s: {what}\n{logs}")
-            time.sleep(POLL_S)
+    def wait_for(self, condition: Callable[[], bool], description: str) -> None:
+        """Wait until a condition is true; raise AssertionError with the hosts' logs on timeout."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
+        while not condition():
+            if time.monotonic() > deadline:
+                logs = "\n".join(self.read_log(number)[-2000:] for number in self.processes)
+                raise AssertionError(
+                    f"timed out after {WAIT_TIMEOUT_S:.0f} s: {description}\n{logs}"
+                )
+            time.sleep(POLL_INTERVAL_S)
 
     def _call(
         self, address: str, method: str, path: str, headers: dict[str, str], body: bytes = b""
@@ -210,11 +216,11 @@
         try:
             connection.request(method, path, body, headers)
             response = connection.getresponse()
-            found = {name.lower(): value for name, value in response.getheaders()}
+            answer_headers = {name.lower(): value for name, value in response.getheaders()}
             try:
-                return Answer(response.status, found, response.read())
+                return Answer(response.status, answer_headers, response.read())
             except http.client.IncompleteRead as error:
-                return Answer(response.status, found, error.partial, False)
+                return Answer(response.status, answer_headers, error.partial, False)
         except (http.client.RemoteDisconnected, ConnectionResetError):
             return Answer(0, is_whole=False)
         finally:
@@ -222,10 +228,10 @@
 
     def _host_addresses(self, number: int) -> dict[str, Any]:
         return {
-            "frontend": _address(),
-            "readiness": _address(),
-            "controlPlane": _address(),
-            "store": _address(),
+            "frontend": _allocate_address(),
+            "readiness": _allocate_address(),
+            "controlPlane": _allocate_address(),
+            "store": _allocate_address(),
             "metrics": free_port(),
             "zone": self._zones[number % len(self._zones)],
         }
@@ -257,7 +263,7 @@
         return path
 
     @staticmethod
-    def _first_config() -> dict[str, Any]:
+    def _create_initial_config() -> dict[str, Any]:
         models = [{"name": "small", "cost": 0.008}, {"name": "large", "cost": 0.12}]
         engine = {"slots": 8, "kvCapacity": 400_000, "models": models}
         times = {"timeoutMs": 4000, "targetLatencyMs": 1000, "maxAttempts": 3}
@@ -271,7 +277,7 @@
                     "pathPrefix": "/draft/",
                     "type": "streaming",
                     "service": "engines",
-                    "sizes": list(SIZES),
+                    "sizes": list(MODEL_NAMES),
                     "resumable": True,
                     "gapGoalMs": 1000,
                 },
@@ -296,5 +302,5 @@
                 {"name": "stock", "healthPath": "/healthz", "maxConns": 100},
             ],
             "limits": {"maxHeaderBytes": 4096, "maxBodyBytes": 10_000},
-            "tenants": [{"name": "shop", "apiKeys": [KEY, "second-key"]}],
+            "tenants": [{"name": "shop", "apiKeys": [API_KEY, "second-key"]}],
         }
