--- a/features/steps/documents.py
+++ b/features/steps/documents.py
@@ -89,9 +89,9 @@
 @then("docs/operating/counters.md documents exactly the counters in the code")
 def step_counters(context):
     found = counters.find_counters()
-    assert len(found.names) > 80 and not found.unclear, found.unclear
-    lacking, unknown = counters.compare(found, counters.list_explained())
-    assert not lacking, f"undocumented in docs/operating/counters.md: {lacking}"
+    assert len(found.names) > 80 and not found.unresolved, found.unresolved
+    missing, unknown = counters.compare(found, counters.list_explained())
+    assert not missing, f"undocumented in docs/operating/counters.md: {missing}"
     assert not unknown, f"documented, but not in the code: {unknown}"
 
 
@@ -106,12 +106,12 @@
 
 @when("it is compared with docs/operating/counters.md")
 def step_compare_counters(context):
-    context.lacking, _ = counters.compare(context.found, counters.list_explained())
+    context.missing, _ = counters.compare(context.found, counters.list_explained())
 
 
 @then('the counters "{names}" are undocumented')
 def step_lacking(context, names):
-    assert context.lacking == names.split(", "), context.lacking
+    assert context.missing == names.split(", "), context.missing
 
 
 @then("no name of the platform's protocols occurs in poplarrun/ outside poplarrun/platform/")
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,7 +1,7 @@
 """Renders docs/CAPACITY.md from the committed measurements: ``make capacity``.
 
-A changed slope changes the page. What has no slope yet is said to be not
-measured; nothing is guessed.
+The page follows the measured slopes; a value without a slope is rendered as not
+measured and never estimated.
 """
 
 import json
@@ -11,13 +11,21 @@
 from pathlib import Path
 
 from bench.figures import MEASUREMENTS
-from scripts.capacity_roles import BUDGETS, FAILURES, INTRODUCTION, LIMITS, ROLES, SIZES, Measured
+from scripts.capacity_roles import (
+    BUDGETS,
+    FAILURES,
+    INTRODUCTION,
+    LIMITS,
+    ROLES,
+    SIZES,
+    ScaledMeasurement,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs" / "CAPACITY.md"
 NOT_MEASURED = "not measured"
-# With two points a line fits exactly, and says nothing of its error.
-POINTS_FOR_AN_ERROR = 3
+# A line fits two points exactly, so that its error is unknown.
+MIN_POINTS_FOR_ERROR = 3
 
 
 @dataclass(frozen=True)
@@ -28,18 +36,18 @@
     slope: float
     slope_error: float | None
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the line's value at a size."""
         return self.intercept + self.slope * size
 
     def error_at(self, size: float) -> float | None:
-        """Return the error that the slope's own error makes at a size."""
+        """Return the error of the value at a size that the slope's error causes."""
         return None if self.slope_error is None else self.slope_error * size
 
 
 @dataclass(frozen=True)
 class MeasuredSlope:
-    """One slope as a bench wrote it."""
+    """A measured slope, as a bench recorded it."""
 
     bench: str
     name: str
@@ -53,20 +61,20 @@
         """The line through the points."""
         return fit_line(self.points)
 
-    def at(self, size: float) -> tuple[float, float | None]:
+    def value_at(self, size: float) -> tuple[float, float | None]:
         """Return the value at a size and its error.
 
-        A size that was measured itself gives its own point, without the line.
+        A size that was itself measured gives the measured value, without an error.
         """
-        for measured, value in self.points:
-            if measured == size:
+        for measured_size, value in self.points:
+            if measured_size == size:
                 return value, None
-        return self.fit.at(size), self.fit.error_at(size)
+        return self.fit.value_at(size), self.fit.error_at(size)
 
 
 @dataclass(frozen=True)
 class MeasuredFigure:
-    """One figure as a bench wrote it, measured at the two-year size itself."""
+    """A figure measured directly at the two-year size, as a bench recorded it."""
 
     value: float
     spread: float
@@ -78,12 +86,12 @@
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     slope, intercept = statistics.linear_regression(sizes, values)
-    if len(points) < POINTS_FOR_AN_ERROR:
+    if len(points) < MIN_POINTS_FOR_ERROR:
         return Fit(intercept, slope, None)
     mean = statistics.fmean(sizes)
     spread = sum((size - mean) ** 2 for size in sizes)
-    rest = sum((v - intercept - slope * s) ** 2 for s, v in points)
-    return Fit(intercept, slope, (rest / (len(points) - 2) / spread) ** 0.5)
+    residual = sum((v - intercept - slope * s) ** 2 for s, v in points)
+    return Fit(intercept, slope, (residual / (len(points) - 2) / spread) ** 0.5)
 
 
 def read_slopes(folder: Path = MEASUREMENTS) -> dict[tuple[str, str], MeasuredSlope]:
@@ -112,22 +120,22 @@
     return figures
 
 
-def show(value: float, unit: str, error: float | None = None) -> str:
-    """Write a value with three figures, and its error when it is known."""
-    text = _three_figures(value)
+def format_value(value: float, unit: str, error: float | None = None) -> str:
+    """Format a value with three significant digits, and its error if it is known."""
+    text = _format_three_digits(value)
     if error is not None and error >= abs(value) / 1000:
-        text += f" ± {_three_figures(error)}"
+        text += f" ± {_format_three_digits(error)}"
     return f"{text} {unit}".strip()
 
 
-def _three_figures(value: float) -> str:
+def _format_three_digits(value: float) -> str:
     if abs(value) >= 1000:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-class Page:
-    """The page's text, and the values that its cells stand for."""
+class CapacityPage:
+    """Renders the capacity page and resolves the measurements in its cells."""
 
     def __init__(
         self,
@@ -137,12 +145,12 @@
         self._slopes = slopes
         self._figures = figures
 
-    def find(self, measured: Measured) -> MeasuredFigure | None:
-        """Return what a cell stands for; None while nothing is measured."""
+    def resolve(self, measured: ScaledMeasurement) -> MeasuredFigure | None:
+        """Return the value of a measurement; None if it has not been measured."""
         key = (measured.bench, measured.name)
         slope = self._slopes.get(key)
         if slope is not None:
-            value, error = slope.at(SIZES[slope.size].value)
+            value, error = slope.value_at(SIZES[slope.size].value)
             found = MeasuredFigure(value, error or 0.0, slope.unit)
         elif key in self._figures:
             found = self._figures[key]
@@ -151,85 +159,97 @@
         factor, unit = measured.factor, measured.unit or found.unit
         return MeasuredFigure(found.value * factor, found.spread * factor, unit)
 
-    def value_of(self, measured: Measured) -> float | None:
-        """Return a measured cell's value; None while nothing is measured."""
-        found = self.find(measured)
+    def value_of(self, measured: ScaledMeasurement) -> float | None:
+        """Return the number of a measurement; None if it has not been measured."""
+        found = self.resolve(measured)
         return None if found is None else found.value
 
-    def cell(self, content: Measured | str | None) -> str:
-        """Write one cell."""
+    def format_cell(self, content: ScaledMeasurement | str | None) -> str:
+        """Format the content of one cell."""
         match content:
             case None:
                 return NOT_MEASURED
             case str():
                 return content
-        found = self.find(content)
-        return NOT_MEASURED if found is None else show(found.value, found.unit, found.spread)
+        found = self.resolve(content)
+        return (
+            NOT_MEASURED if found is None else format_value(found.value, found.unit, found.spread)
+        )
 
     def render(self) -> str:
         """Return the whole page."""
-        parts = [INTRODUCTION, self._sizes(), self._roles(), self._budgets(), LIMITS]
-        parts += [self._failures(), self._all_slopes()]
+        parts = [
+            INTRODUCTION,
+            self._render_sizes(),
+            self._render_roles(),
+            self._render_budgets(),
+            LIMITS,
+        ]
+        parts += [self._render_failures(), self._render_slopes()]
         return "\n\n".join(part.strip() for part in parts) + "\n"
 
-    def _sizes(self) -> str:
-        rows = [[name, show(size.value, ""), size.origin] for name, size in SIZES.items()]
-        return "## Sizes of one host\n\n" + table(["Size", "Value", "From"], rows)
+    def _render_sizes(self) -> str:
+        rows = [[name, format_value(size.value, ""), size.origin] for name, size in SIZES.items()]
+        return "## Sizes of one host\n\n" + format_table(["Size", "Value", "From"], rows)
 
-    def _roles(self) -> str:
+    def _render_roles(self) -> str:
         texts = ["## Roles"]
         for role in ROLES:
-            rows = [[name, self.cell(content)] for name, content in role.cells().items()]
-            texts.append(f"### {role.name}\n\n" + table(["", "At the two-year size"], rows))
+            rows = [[name, self.format_cell(content)] for name, content in role.list_rows().items()]
+            texts.append(f"### {role.name}\n\n" + format_table(["", "At the two-year size"], rows))
         return "\n\n".join(texts)
 
-    def _budgets(self) -> str:
+    def _render_budgets(self) -> str:
         rows = []
         for budget in BUDGETS:
             values = {name: self.value_of(m) for name, m in budget.parts.items()}
             known = {name: value for name, value in values.items() if value is not None}
             missing = [name for name, value in values.items() if value is None]
             total = sum(known.values())
-            parts = ", ".join(f"{name} {_three_figures(v)}" for name, v in known.items())
-            verdict = budget.judge(total, missing)
-            rows.append([budget.name, show(budget.limit, budget.unit), parts or "-", verdict])
-        return "## Against the budget\n\n" + table(
+            parts = ", ".join(f"{name} {_format_three_digits(v)}" for name, v in known.items())
+            verdict = budget.format_verdict(total, missing)
+            rows.append(
+                [budget.name, format_value(budget.limit, budget.unit), parts or "-", verdict]
+            )
+        return "## Against the budget\n\n" + format_table(
             ["Budget of one host", "Limit", "Measured parts", "Verdict"], rows
         )
 
-    def _failures(self) -> str:
+    def _render_failures(self) -> str:
         rows = [[f.event, f.load, f.messages, f.time] for f in FAILURES]
-        return "## Failures worked through\n\n" + table(
+        return "## Failures worked through\n\n" + format_table(
             ["Event", "Load moved", "Messages", "Time"], rows
         )
 
-    def _all_slopes(self) -> str:
+    def _render_slopes(self) -> str:
         rows = []
         for slope in self._slopes.values():
             fit = slope.fit
             points = " ".join(f"({s:.4g}, {v:.4g})" for s, v in slope.points)
             per = f"{slope.unit} per {slope.size}"
-            line = f"{fit.intercept:.3g} + {show(fit.slope, per, fit.slope_error)}"
+            line = f"{fit.intercept:.3g} + {format_value(fit.slope, per, fit.slope_error)}"
             size = SIZES.get(slope.size)
-            at = show(slope.at(size.value)[0], slope.unit) if size else "no size given"
-            rows.append([slope.bench, slope.name, points, line, at, f"`{slope.command}`"])
+            value = (
+                format_value(slope.value_at(size.value)[0], slope.unit) if size else "no size given"
+            )
+            rows.append([slope.bench, slope.name, points, line, value, f"`{slope.command}`"])
         head = ["Bench", "Slope", "Points", "Fit", "At the two-year size", "Command"]
-        return "## Every measured slope\n\n" + table(head, rows)
+        return "## Every measured slope\n\n" + format_table(head, rows)
 
 
 def render_page() -> str:
     """Render the page from the committed measurements."""
-    return Page(read_slopes(), read_figures()).render()
+    return CapacityPage(read_slopes(), read_figures()).render()
 
 
-def table(head: list[str], rows: list[list[str]]) -> str:
-    """Write a Markdown table."""
+def format_table(head: list[str], rows: list[list[str]]) -> str:
+    """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
 def main() -> int:
-    """Write the page; with ``--check`` only compare it. Return the exit code."""
+    """Write the page, or compare it if ``--check`` is given; return the exit code."""
     text = render_page()
     if "--check" in sys.argv:
         return 0 if PAGE.exists() and PAGE.read_text() == text else 1
--- a/scripts/capacity_roles.py
+++ b/scripts/capacity_roles.py
@@ -1,7 +1,7 @@
-"""What docs/CAPACITY.md says: sizes, roles, budgets and failures.
+"""The content of docs/CAPACITY.md: sizes, roles, budgets and failures.
 
-Cells are ``Measured``, extrapolated from a slope, or a text that is worked out
-from the sizes and the periods below; None is written as not measured.
+A cell is a ``ScaledMeasurement``, a text that is computed from the sizes and intervals
+below, or None, which is rendered as not measured.
 """
 
 from dataclasses import dataclass, field
@@ -15,33 +15,33 @@
 VERSIONS = 26
 REQUESTS_PER_S = 3500
 TOKENS_PER_S = 1_500_000
-BETWEEN_TOKENS_S = 0.042
+TOKEN_INTERVAL_S = 0.042
 CHANGES_PER_DAY = 910
 SECONDS_PER_DAY = 86_400
 ACCOUNTS = 100
 HOST_REQUESTS_PER_S = REQUESTS_PER_S / HOSTS
 HOST_TOKENS_PER_S = TOKENS_PER_S / HOSTS
-HOST_STREAMS = HOST_TOKENS_PER_S * BETWEEN_TOKENS_S
+HOST_STREAMS = HOST_TOKENS_PER_S * TOKEN_INTERVAL_S
 HOSTS_PER_ZONE = HOSTS / ZONES
-# Each engine is polled by one host of its zone; each host polls one more, the one
-# heard of least recently.
+# Each engine is polled by one host of its zone. In addition each host polls the engine
+# with the oldest load report.
 POLLED_ENDPOINTS = ENDPOINTS / HOSTS + 1
-# Periods of the tasks of poplarrun/server/_host.py.
-LOAD_POLL_S = 0.25
+# Intervals of the tasks in poplarrun/server/_host.py.
+LOAD_POLL_INTERVAL_S = 0.25
 LOG_STREAMS_FOLLOWED = 2
-HOST_LIST_POLL_S = 0.5
-# A roll-out's trial: its share of the sessions, the operators' time between the requests of a
-# session, and the encoded size of a question with its answer.
-TRIAL_SHARE = 0.08
-SESSION_S = 6.5
-KEEPERS = 3
-QUESTION_BYTES = 43 + 8
-TRIED_REQUESTS_PER_S = HOST_REQUESTS_PER_S * TRIAL_SHARE
+HOST_LIST_POLL_INTERVAL_S = 0.5
+# A roll-out's trial: its fraction of the sessions, the configured time between the requests of
+# a session, and the encoded sizes of a query to an owner and of its answer.
+TRIAL_FRACTION = 0.08
+SESSION_REQUEST_INTERVAL_S = 6.5
+SESSION_OWNERS = 3
+SESSION_MESSAGE_BYTES = 43 + 8
+TRIAL_REQUESTS_PER_S = HOST_REQUESTS_PER_S * TRIAL_FRACTION
 
 
 @dataclass(frozen=True)
 class Size:
-    """The value of a size at one host, and where it comes from."""
+    """A size of the system as one host sees it, and the origin of its value."""
 
     value: float
     origin: str
@@ -49,23 +49,23 @@
 
 SIZES = {
     "hosts": Size(HOSTS, "given"),
-    "endpoints": Size(ENDPOINTS, "given, all runners"),
+    "endpoints": Size(ENDPOINTS, "given, all endpoints"),
     "versions": Size(VERSIONS, "given"),
     "requests/s": Size(HOST_REQUESTS_PER_S, f"{REQUESTS_PER_S} requests/s over {HOSTS} hosts"),
     "tokens/s": Size(HOST_TOKENS_PER_S, f"{TOKENS_PER_S} tokens/s over {HOSTS} hosts"),
-    "client accounts": Size(ACCOUNTS, "taken: about 10 today, not given"),
+    "client accounts": Size(ACCOUNTS, "assumed: about 10 today, not given"),
     "publications": Size(CHANGES_PER_DAY, "given, one day"),
     "polled engines": Size(POLLED_ENDPOINTS, "as polled endpoints"),
     "polled endpoints": Size(
-        POLLED_ENDPOINTS, f"{ENDPOINTS} runners over {HOSTS} hosts, and one more each"
+        POLLED_ENDPOINTS, f"{ENDPOINTS} endpoints over {HOSTS} hosts, and one more each"
     ),
-    "open streams": Size(HOST_STREAMS, f"tokens/s x {BETWEEN_TOKENS_S} s between tokens"),
+    "open streams": Size(HOST_STREAMS, f"tokens/s x {TOKEN_INTERVAL_S} s between tokens"),
 }
 
 
 @dataclass(frozen=True)
-class Measured:
-    """A measured slope, extrapolated, or a figure of that size itself, times a factor."""
+class ScaledMeasurement:
+    """A reference to a measured slope, which is extrapolated, or a figure, times a factor."""
 
     bench: str
     name: str
@@ -73,18 +73,22 @@
     unit: str = ""
 
 
-Cell = Measured | str | None
+Cell = ScaledMeasurement | str | None
 
-# Membership, summaries and configuration of all zones, measured at 392 hosts.
-HOSTS_BYTES = Measured("hosts", "bytes_both_ways_most_per_s_at_392_in_7_zones")
-HOSTS_CORES = Measured("hosts", "core_percent_at_392_in_7_zones", factor=0.01, unit="cores")
-HOSTS_IN_FORCE = Measured("hosts", "in_force_s_at_392_in_7_zones")
-HOSTS_MEMORY = Measured("hosts", "memory_kb", factor=0.001, unit="MB of Python objects")
+# Membership, summaries and configuration across all zones, measured with 392 hosts.
+MEMBERSHIP_BYTES = ScaledMeasurement("hosts", "bytes_both_ways_most_per_s_at_392_in_7_zones")
+MEMBERSHIP_CORES = ScaledMeasurement(
+    "hosts", "core_percent_at_392_in_7_zones", factor=0.01, unit="cores"
+)
+CONFIGURATION_DELAY = ScaledMeasurement("hosts", "in_force_s_at_392_in_7_zones")
+MEMBERSHIP_MEMORY = ScaledMeasurement(
+    "hosts", "memory_kb", factor=0.001, unit="MB of Python objects"
+)
 
 
 @dataclass(frozen=True)
 class Role:
-    """One role of a host."""
+    """A role of a host and its cost per resource."""
 
     name: str
     mechanism: str
@@ -96,7 +100,7 @@
     memory: Cell = None
     appends: Cell = None
 
-    def cells(self) -> dict[str, Cell]:
+    def list_rows(self) -> dict[str, Cell]:
         """Return the rows of the role's table."""
         return {
             "State": self.state,
@@ -112,15 +116,15 @@
 
 @dataclass(frozen=True)
 class Budget:
-    """One line of the budget, with the slopes that add up to it."""
+    """A resource limit of one host and the measurements that add up to its use."""
 
     name: str
     limit: float
     unit: str
-    parts: dict[str, Measured] = field(default_factory=dict)
+    parts: dict[str, ScaledMeasurement] = field(default_factory=dict)
 
-    def judge(self, total: float, missing: list[str]) -> str:
-        """Say whether it holds, and by how much it does not."""
+    def format_verdict(self, total: float, missing: list[str]) -> str:
+        """Return a text on whether the limit holds and which fraction or multiple of it is used."""
         if total > self.limit:
             return f"does not hold: {total / self.limit:.1f} times the limit"
         if missing or not self.parts:
@@ -130,7 +134,7 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """An event, and what it moves."""
+    """A failure and the load, messages and time that it causes."""
 
     event: str
     load: str
@@ -138,52 +142,59 @@
     time: str
 
 
-# Processor time of the host that sends a zone's orders: its share of the engines is measured.
-ORDER_LOOKS = Measured("orders", "looks at 119 engines every 5 s", factor=0.01, unit="cores")
-ORDER_PLANS = Measured(
+# Processor time of the host that sends a zone's engine orders, measured with its zone's engines.
+ENGINE_CHECK_CORES = ScaledMeasurement(
+    "orders", "looks at 119 engines every 5 s", factor=0.01, unit="cores"
+)
+ENGINE_PLAN_CORES = ScaledMeasurement(
     "orders", "plan, 119 engines, a zone's share, at a plan a second", factor=0.01, unit="cores"
 )
-ORDER_LOOK_S = 5.0
-LEASE_RENEWAL_S = 4.0
+ENGINE_CHECK_INTERVAL_S = 5.0
+LEASE_RENEWAL_INTERVAL_S = 4.0
 
-LOAD_POLLS_PER_S = POLLED_ENDPOINTS / LOAD_POLL_S
+LOAD_POLLS_PER_S = POLLED_ENDPOINTS / LOAD_POLL_INTERVAL_S
 LOG_READS_PER_S = LOG_STREAMS_FOLLOWED / min(MAX_POLL_INTERVAL_S, SHARED_POLL_INTERVAL_S * HOSTS)
 
-# One host of each zone reads each of two topics of the store, by reads that it holds back;
-# part of poplarrun/peers/_duty.py and the operators' bound of 2 s.
-HELD_READ_S = 0.8
-READS_PER_S = 2 * ZONES / HELD_READ_S
+# One host of each zone reads each of two topics of the store by long polls, whose timeout
+# follows from poplarrun/peers/_read_schedule.py and the operators' propagation bound of 2 s.
+LONG_POLL_TIMEOUT_S = 0.8
+READS_PER_S = 2 * ZONES / LONG_POLL_TIMEOUT_S
 
 ROLES = (
     Role(
         "Gateway (choice of an endpoint, on the users' platform)",
-        "each request weighs at most 48 drawn endpoints and the home; one loop carries and decides",
-        "finding the usable endpoints and the home among all of a service",
+        "each request compares at most 48 randomly drawn endpoints and the prefix's owner; "
+        "one loop transfers and decides",
+        "finding the usable endpoints and the owner among all of a service",
         state="prompt parts of 45 s, at most 4,000 an endpoint",
         messages=f"{HOST_REQUESTS_PER_S:.1f} requests, {HOST_TOKENS_PER_S:,.0f} token events",
-        processor=Measured(
+        processor=ScaledMeasurement(
             "gateway", "choice_by_endpoints", factor=HOST_REQUESTS_PER_S * 1e-6, unit="cores"
         ),
         appends="0: no record per request",
     ),
     Role(
         "Gateway (digests between hosts)",
-        "pynng, msgspec; two relays a zone add up loads and evidence, found by rendezvous hashing",
-        "the sum over all endpoints, 18 bytes each, that a relay sends to each host of its zone: "
-        "18 KB/s a host at 830 endpoints, which the bench's two endpoints don't show",
+        "pynng, msgspec; two aggregators a zone, by rendezvous hashing, sum loads and evidence",
+        "the sum over all endpoints, 18 bytes each, that an aggregator sends to each host of its "
+        "zone: 18 KB/s a host at 830 endpoints, which the bench's two endpoints don't show",
         state="the sum of each zone, the list of all hosts",
-        messages=Measured("peers", "messages_by_hosts", unit="messages/s"),
-        bytes_per_s=Measured("peers", "bytes_by_hosts", unit="bytes/s with two endpoints named"),
-        processor=Measured("peers", "core_by_hosts", unit="cores"),
+        messages=ScaledMeasurement("peers", "messages_by_hosts", unit="messages/s"),
+        bytes_per_s=ScaledMeasurement(
+            "peers", "bytes_by_hosts", unit="bytes/s with two endpoints named"
+        ),
+        processor=ScaledMeasurement("peers", "core_by_hosts", unit="cores"),
         appends=f"1 a start; {READS_PER_S:.1f} reads a second of 2,000 by two readers a zone",
     ),
     Role(
         "Gateway (sessions during a roll-out)",
-        "three keepers for each session, by rendezvous hashing over the hosts of the book",
-        "connections: each question may go to any host, and 128 are kept open",
-        state=f"{TRIED_REQUESTS_PER_S * SESSION_S * KEEPERS:.0f} held sessions",
-        messages=f"{TRIED_REQUESTS_PER_S * KEEPERS * 2:.1f} questions and answers during a trial",
-        bytes_per_s=f"{TRIED_REQUESTS_PER_S * KEEPERS * QUESTION_BYTES:.0f} bytes/s",
+        "three owners for each session, by rendezvous hashing over the known hosts",
+        "connections: each query may go to any host, and 128 are kept open",
+        state=f"{TRIAL_REQUESTS_PER_S * SESSION_REQUEST_INTERVAL_S * SESSION_OWNERS:.0f} "
+        "sessions in memory",
+        messages=f"{TRIAL_REQUESTS_PER_S * SESSION_OWNERS * 2:.1f} "
+        "queries and answers during a trial",
+        bytes_per_s=f"{TRIAL_REQUESTS_PER_S * SESSION_OWNERS * SESSION_MESSAGE_BYTES:.0f} bytes/s",
         appends="0: nothing of a session is stored",
     ),
     Role(
@@ -192,19 +203,19 @@
         "the interpreter lock of one process: one core carries all threads of a host",
         state=f"{HOST_STREAMS:.0f} open streams, 2,000 explanations",
         messages=f"{HOST_REQUESTS_PER_S:.1f} requests, {HOST_TOKENS_PER_S:,.0f} token events",
-        processor=Measured("path", "cores_by_tokens"),
-        memory=Measured("path", "memory_by_streams"),
+        processor=ScaledMeasurement("path", "cores_by_tokens"),
+        memory=ScaledMeasurement("path", "memory_by_streams"),
         appends="0: no record per request",
     ),
     Role(
         "Entry (knowing the endpoints)",
-        f"one host of a zone polls an engine's load every {LOAD_POLL_S} s and passes it on; choice "
-        "by corrected load and prefix",
+        f"one host of a zone polls an engine's load every {LOAD_POLL_INTERVAL_S} s "
+        "and shares it; choice by corrected load and prefix",
         "bytes of the reports that are passed on, which grow with the endpoints",
-        state=Measured("load", "endpoint table"),
+        state=ScaledMeasurement("load", "endpoint table"),
         messages=f"{LOAD_POLLS_PER_S:.1f} load reports polled",
-        processor=Measured("path", "cores_by_endpoints"),
-        memory=Measured("path", "memory_by_endpoints"),
+        processor=ScaledMeasurement("path", "cores_by_endpoints"),
+        memory=ScaledMeasurement("path", "memory_by_endpoints"),
         appends="0",
     ),
     Role(
@@ -212,15 +223,18 @@
         "the hosts take turns to read the log's stream, announce what came, and fold it; "
         "publications are whole small records",
         f"{HOSTS} hosts x {LOG_READS_PER_S:g} log reads a second, roll-outs included",
-        state=Measured("config", "record_by_accounts", unit="bytes, the document in force"),
-        messages=f"{LOG_READS_PER_S:g} log reads, {1 / HOST_LIST_POLL_S:.0f} host list reads",
-        bytes_per_s=Measured(
+        state=ScaledMeasurement(
+            "config", "record_by_accounts", unit="bytes, the document in force"
+        ),
+        messages=f"{LOG_READS_PER_S:g} log reads, "
+        f"{1 / HOST_LIST_POLL_INTERVAL_S:.0f} host list reads",
+        bytes_per_s=ScaledMeasurement(
             "config",
             "record_by_accounts",
             factor=CHANGES_PER_DAY / SECONDS_PER_DAY,
             unit="bytes/s, without the empty reads",
         ),
-        processor=Measured(
+        processor=ScaledMeasurement(
             "config",
             "fold_by_accounts",
             factor=CHANGES_PER_DAY / SECONDS_PER_DAY / 1000,
@@ -229,13 +243,13 @@
         appends=f"{CHANGES_PER_DAY / SECONDS_PER_DAY:.3f} ({CHANGES_PER_DAY} changes a day)",
     ),
     Role(
-        "Roll-out steward",
+        "Rollout controller",
         "one owner a version by rendezvous hashing; always-valid tests over merged summaries",
-        "the evidence of every host has to reach the steward",
-        state=Measured("versions", "evidence summary of a host, 3 classes"),
+        "the evidence of every host has to reach the controller",
+        state=ScaledMeasurement("versions", "evidence summary of a host, 3 classes"),
         messages="one summary a second a host to its zone, merged between zones",
         bytes_per_s="at most 2,000, the bound of all summaries of a host",
-        processor=Measured(
+        processor=ScaledMeasurement(
             "versions", "choice, median", factor=HOST_REQUESTS_PER_S / 1e6, unit="cores"
         ),
     ),
@@ -243,43 +257,50 @@
         "Shard owner of claims",
         "32 streams by hash of the key; the owner group-commits, the fold decides",
         "32 shards x 5 group commits a second = 160 appends a second while all are busy; the rate "
-        "of keyed operations is not given: 1 a second a host is taken",
+        "of keyed operations is not given: 1 a second a host is assumed",
         state="keys of one hour",
-        bytes_per_s=Measured("outcomes", "claims_busiest_stream", unit="bytes/s, busiest stream"),
-        processor=Measured("outcomes", "claims_cpu", factor=1e-6, unit="cores"),
-        appends=Measured("outcomes", "claims_appends", unit="appends/s"),
+        bytes_per_s=ScaledMeasurement(
+            "outcomes", "claims_busiest_stream", unit="bytes/s, busiest stream"
+        ),
+        processor=ScaledMeasurement("outcomes", "claims_cpu", factor=1e-6, unit="cores"),
+        appends=ScaledMeasurement("outcomes", "claims_appends", unit="appends/s"),
     ),
     Role(
         "Shard owner of billing",
         "open bills on two peers, batches to sharded streams, the fold drops repeats of an id",
         "bytes of the copies to peers; appends were measured at 1 bill a second a host only",
-        bytes_per_s=Measured(
+        bytes_per_s=ScaledMeasurement(
             "outcomes", "bills_sent", factor=HOST_REQUESTS_PER_S, unit="bytes/s a host"
         ),
-        processor=Measured("outcomes", "bills_cpu", factor=HOST_REQUESTS_PER_S / 1e6, unit="cores"),
-        appends=Measured("outcomes", "bills_appends", unit="appends/s at 1 bill/s a host"),
+        processor=ScaledMeasurement(
+            "outcomes", "bills_cpu", factor=HOST_REQUESTS_PER_S / 1e6, unit="cores"
+        ),
+        appends=ScaledMeasurement("outcomes", "bills_appends", unit="appends/s at 1 bill/s a host"),
     ),
     Role(
         "Snapshot writer",
         "the fold's state is published again well before the retention horizon",
         "a start without a snapshot folds a whole day of publications: see the slope "
         "start_by_publications",
-        state=Measured("config", "record_by_accounts", unit="bytes, the document in force"),
-        processor=Measured("config", "fold_by_accounts", unit="ms for each snapshot read"),
+        state=ScaledMeasurement(
+            "config", "record_by_accounts", unit="bytes, the document in force"
+        ),
+        processor=ScaledMeasurement("config", "fold_by_accounts", unit="ms for each snapshot read"),
     ),
     Role(
         "Sender of engine orders (one host of a zone)",
         "one lease a zone, whose record's offset is the fencing number; an order is an engine's "
         "whole set of versions; the sender reads each engine in turn and orders again",
-        "plans and looks grow with the engines of a zone: plans are paced to 1% of a core",
+        "plans and checks grow with the engines of a zone: plans are paced to 1% of a core",
         state=f"what is wanted of {ENDPOINTS / ZONES:.0f} engines",
-        messages=f"{ENDPOINTS / ZONES / ORDER_LOOK_S:.0f} looks at engines",
-        bytes_per_s=Measured(
+        messages=f"{ENDPOINTS / ZONES / ENGINE_CHECK_INTERVAL_S:.0f} checks of engines",
+        bytes_per_s=ScaledMeasurement(
             "orders", "demand summary of a host, all 26 versions", unit="bytes a summary of a host"
         ),
-        processor=ORDER_LOOKS,
+        processor=ENGINE_CHECK_CORES,
         memory=None,
-        appends=f"{ZONES / LEASE_RENEWAL_S:.2f}: a renewal each {LEASE_RENEWAL_S:g} s a zone",
+        appends=f"{ZONES / LEASE_RENEWAL_INTERVAL_S:.2f}: "
+        f"a renewal each {LEASE_RENEWAL_INTERVAL_S:g} s a zone",
     ),
     Role(
         "Membership in a zone",
@@ -287,9 +308,9 @@
         "announcements grow with the fleet's changes, not with its size squared",
         state=f"{HOSTS_PER_ZONE:.0f} members",
         messages=None,
-        bytes_per_s=HOSTS_BYTES,
-        processor=HOSTS_CORES,
-        memory=HOSTS_MEMORY,
+        bytes_per_s=MEMBERSHIP_BYTES,
+        processor=MEMBERSHIP_CORES,
+        memory=MEMBERSHIP_MEMORY,
         appends="0",
     ),
     Role(
@@ -317,21 +338,21 @@
         0.048,
         "cores",
         {
-            "knowing the endpoints": Measured("path", "cores_by_endpoints"),
-            "choice of versions": Measured(
+            "knowing the endpoints": ScaledMeasurement("path", "cores_by_endpoints"),
+            "choice of versions": ScaledMeasurement(
                 "versions", "choice, median", factor=HOST_REQUESTS_PER_S / 1e6
             ),
-            "choice of endpoints": Measured(
+            "choice of endpoints": ScaledMeasurement(
                 "load", "decision time", factor=HOST_REQUESTS_PER_S / 1e6
             ),
-            "configuration": Measured(
+            "configuration": ScaledMeasurement(
                 "config", "fold_by_accounts", factor=CHANGES_PER_DAY / SECONDS_PER_DAY / 1000
             ),
-            "claims": Measured("outcomes", "claims_cpu", factor=1e-6),
-            "billing": Measured("outcomes", "bills_cpu", factor=HOST_REQUESTS_PER_S / 1e6),
-            "membership": HOSTS_CORES,
-            "looks at engines (the sender of orders)": ORDER_LOOKS,
-            "plans (the sender of orders)": ORDER_PLANS,
+            "claims": ScaledMeasurement("outcomes", "claims_cpu", factor=1e-6),
+            "billing": ScaledMeasurement("outcomes", "bills_cpu", factor=HOST_REQUESTS_PER_S / 1e6),
+            "membership": MEMBERSHIP_CORES,
+            "checks of engines (the sender of orders)": ENGINE_CHECK_CORES,
+            "plans (the sender of orders)": ENGINE_PLAN_CORES,
         },
     ),
     Budget(
@@ -339,9 +360,9 @@
         128.0,
         "MB",
         {
-            "process with its own endpoints": Measured("path", "memory_by_endpoints"),
-            "endpoint table": Measured("load", "endpoint table", factor=1e-6),
-            "membership": HOSTS_MEMORY,
+            "process with its own endpoints": ScaledMeasurement("path", "memory_by_endpoints"),
+            "endpoint table": ScaledMeasurement("load", "endpoint table", factor=1e-6),
+            "membership": MEMBERSHIP_MEMORY,
         },
     ),
     Budget(
@@ -349,28 +370,28 @@
         9000.0,
         "bytes/s",
         {
-            "load summary of a host, once a second": Measured("load", "load summary"),
-            "configuration": Measured(
+            "load summary of a host, once a second": ScaledMeasurement("load", "load summary"),
+            "configuration": ScaledMeasurement(
                 "config", "record_by_accounts", factor=CHANGES_PER_DAY / SECONDS_PER_DAY
             ),
-            "billing": Measured("outcomes", "bills_sent", factor=HOST_REQUESTS_PER_S),
-            "membership": HOSTS_BYTES,
+            "billing": ScaledMeasurement("outcomes", "bills_sent", factor=HOST_REQUESTS_PER_S),
+            "membership": MEMBERSHIP_BYTES,
         },
     ),
     Budget(
         "Configuration in force",
         11.0,
         "s",
-        {"in force": HOSTS_IN_FORCE},
+        {"in force": CONFIGURATION_DELAY},
     ),
     Budget(
-        "Log appends, all hosts (several hundred; 300 taken)",
+        "Log appends, all hosts (several hundred; 300 assumed)",
         300.0,
         "appends/s",
         {
-            "claims at 1 keyed call/s a host": Measured("outcomes", "claims_appends"),
-            "billing at 1 bill/s a host": Measured("outcomes", "bills_appends"),
-            "roll-outs": Measured("versions", "appends_by_versions"),
+            "claims at 1 keyed call/s a host": ScaledMeasurement("outcomes", "claims_appends"),
+            "billing at 1 bill/s a host": ScaledMeasurement("outcomes", "bills_appends"),
+            "roll-outs": ScaledMeasurement("versions", "appends_by_versions"),
         },
     ),
 )
@@ -379,47 +400,48 @@
 # Capacity at the two-year size
 
 Rendered by `make capacity` from `bench/measurements/*.jsonl`; don't edit it by hand. The size is
-{HOSTS} hosts before {ENDPOINTS} runners, {REQUESTS_PER_S:,} requests and {TOKENS_PER_S:,} tokens a
+{HOSTS} hosts with {ENDPOINTS} endpoints, {REQUESTS_PER_S:,} requests and {TOKENS_PER_S:,} tokens a
 second, {VERSIONS} models and versions, {REGIONS} regions with {ZONES} zones, {CHANGES_PER_DAY}
 changes of configuration a day. Every figure is extrapolated from a measured slope (last table:
 points, fit, standard error, command; the commit that holds this page holds the measurement files),
-or worked out from the sizes and from periods in the code. A cell without a slope says
-"not measured". The figures come from one busy virtual machine with small stand-ins: they show
-how cost grows, not what a given host will spend.
+or computed from the sizes and from intervals in the code. A cell without a slope says
+"not measured". The figures come from one busy virtual machine with small simulated
+services: they show how cost grows, not what a given host will spend.
 """
 
 LIMITS = f"""
 ## What does not hold, and what would change it
 
-- **Shares of account limits.** A host tells 66 bytes an account with four limits. With ten accounts
-  the summaries of a zone's {HOSTS_PER_ZONE:.0f} hosts need most of a minute at a thousand bytes a
-  second; rounds get that long, so a share follows demand that moves in minutes. The change: tell
-  only shares that moved, and give the accounts of a zone to a few of its hosts each.
+- **Shares of account limits.** A host reports 66 bytes an account with four limits. With ten
+  accounts the summaries of a zone's {HOSTS_PER_ZONE:.0f} hosts need most of a minute at a thousand
+  bytes a second. Rounds then take that long, so shares only follow demand that changes over
+  minutes. Possible change: report only shares that changed, and assign each account of a zone to a
+  few of its hosts.
 - **Log reads.** {HOSTS} hosts that each read {LOG_STREAMS_FOLLOWED} streams every
   {MAX_POLL_INTERVAL_S:g} s make {HOSTS * LOG_READS_PER_S:,.0f} reads a second; whether the log \
 serves
   so many is not given. One host reads a stream every {SHARED_POLL_INTERVAL_S} s and announces \
 what came, so the
-  others could read more rarely still; they don't, for announcements can be lost.
-- **Bytes.** The two large parts are membership with its summaries, counted both ways at the busiest
-  host, and the copies of open bills at two peers. Copies that are sent in batches, or smaller
-  summaries, would lower them.
-- **At rest.** The intercept of `cores_by_endpoints` is what a host without a request spends, its
-  polls of the log's streams, the host list, the rating service and its engines among it. Longer
-  periods, or one read for several streams, would lower it.
+  others could read less often; they don't, because announcements can be lost.
+- **Bytes.** The two largest parts are membership with its summaries, counted both ways at the
+  busiest host, and the copies of open bills at two peers. Copies sent in batches, or smaller
+  summaries, would reduce them.
+- **Idle cost.** The intercept of `cores_by_endpoints` is the cost of a host without requests,
+  including its polls of the log's streams, the host list, the rating service and its engines.
+  Longer intervals, or one read for several streams, would reduce it.
 - **Data path.** One process carries a host's streams under one interpreter lock. The slope of
-  processor time by tokens says how near {HOST_TOKENS_PER_S:,.0f} tokens a second come to a core.
+  processor time by tokens shows how close {HOST_TOKENS_PER_S:,.0f} tokens a second come to a core.
 """
 
-_SHARE = HOST_REQUESTS_PER_S / (HOSTS_PER_ZONE - 1)
-_ZONE_REQUESTS = REQUESTS_PER_S / ZONES
+_EXTRA_REQUESTS_PER_S = HOST_REQUESTS_PER_S / (HOSTS_PER_ZONE - 1)
+_ZONE_REQUESTS_PER_S = REQUESTS_PER_S / ZONES
 
 FAILURES = (
     Failure(
         "One host fails (7 on an ordinary day)",
         f"{HOST_REQUESTS_PER_S:.1f} requests/s over the other {HOSTS_PER_ZONE - 1:.0f} hosts of "
-        f"the zone, {_SHARE:.2f} more each; {HOST_STREAMS:.0f} open streams break, callers ask "
-        "again",
+        f"the zone, {_EXTRA_REQUESTS_PER_S:.2f} more each; {HOST_STREAMS:.0f} open "
+        "streams break, and callers retry",
         "one announcement passes through the fleet; 32 claim shards and the roll-outs that it "
         "owned move",
         "about 4.5 s: suspicion of 3 s after probes of 0.5 to 1.5 s (periods in the code; see "
@@ -433,11 +455,11 @@
     ),
     Failure(
         "A zone is lost (every other month)",
-        f"{_ZONE_REQUESTS:.0f} requests/s and {TOKENS_PER_S / ZONES:,.0f} tokens/s over "
+        f"{_ZONE_REQUESTS_PER_S:.0f} requests/s and {TOKENS_PER_S / ZONES:,.0f} tokens/s over "
         f"{HOSTS - HOSTS_PER_ZONE:.0f} hosts: {1 / (ZONES - 1):.0%} more each, "
         f"{HOST_TOKENS_PER_S * ZONES / (ZONES - 1):,.0f} tokens/s",
         f"{HOSTS_PER_ZONE:.0f} announcements in each other zone, in batches",
-        "a zone is taken as silent after 6 s (period in the code)",
+        "a zone is considered lost after 6 s (period in the code)",
     ),
     Failure(
         "The link between the regions is lost (minutes)",
--- a/scripts/counters.py
+++ b/scripts/counters.py
@@ -1,4 +1,4 @@
-"""The counters that the code can emit, and those that the operators' page explains."""
+"""Compares the counter names in the code with those on the operators' page."""
 
 import ast
 import re
@@ -11,9 +11,10 @@
 ROOT = Path(__file__).resolve().parents[1]
 PACKAGE = ROOT / "poplarrun"
 PAGE = ROOT / "docs" / "operating" / "counters.md"
-COUNTING = ("count_event", "count_retry", "_count")
-# What makes an outcome whose reason is counted elsewhere, and the name's beginning there.
-REASONED = {
+COUNTING_FUNCTIONS = ("count_event", "count_retry", "_count")
+# Calls that create an outcome whose reason is counted elsewhere, with the prefix of the
+# counter's name there.
+OUTCOME_PREFIXES = {
     "EngineFailed": "",
     "CallFailed": "",
     "ServiceNotSent": "",
@@ -24,42 +25,42 @@
     "Chosen": "choice_",
     "Single": "choice_",
 }
-# Arguments that hand on such a reason, or a refusal's kind.
-HANDED_ON = ("reason", "failure.reason", "kind")
+# Arguments that pass on such a reason, or a refusal's kind.
+FORWARDED_ARGUMENTS = ("reason", "failure.reason", "kind")
 _FIRST_CELL = re.compile(r"^\| *((?:`[^`]+`(?:, )?)+) *\|", re.MULTILINE)
 
 
 @dataclass
 class Counters:
-    """The names found in the code.
+    """Counter names found in the code.
 
     Attributes
     ----------
     names : set of str
-        Whole names.
-    beginnings : set of str
-        Beginnings of names whose rest is known at run time only.
-    unclear : list of str
-        Places where a name can't be told from the code.
+        Complete names.
+    prefixes : set of str
+        Prefixes of names whose rest is only known at run time.
+    unresolved : list of str
+        Locations of names that can't be determined from the code.
     """
 
     names: set[str] = field(default_factory=set)
-    beginnings: set[str] = field(default_factory=set)
-    unclear: list[str] = field(default_factory=list)
+    prefixes: set[str] = field(default_factory=set)
+    unresolved: list[str] = field(default_factory=list)
 
 
 def find_counters(package: Path = PACKAGE) -> Counters:
-    """Read the refusals, retries and events that the package can count."""
+    """Find the names of refusals, retries and events that the package can count."""
     found = Counters({kind.value for kind in ErrorKind})
     for path in sorted(package.rglob("*.py")):
         tree = ast.parse(path.read_text())
         constants = dict(_list_constants(tree))
         for call in (node for node in ast.walk(tree) if isinstance(node, ast.Call)):
             name = ast.unparse(call.func).rpartition(".")[2]
-            if name in COUNTING and call.args:
-                _take(found, call.args[0], constants, f"{path.name}:{call.lineno}")
-            elif name in REASONED:
-                _take_reasons(found, call, REASONED[name])
+            if name in COUNTING_FUNCTIONS and call.args:
+                _add_name(found, call.args[0], constants, f"{path.name}:{call.lineno}")
+            elif name in OUTCOME_PREFIXES:
+                _add_reasons(found, call, OUTCOME_PREFIXES[name])
     return found
 
 
@@ -70,40 +71,40 @@
 
 
 def compare(found: Counters, explained: set[str]) -> tuple[list[str], list[str]]:
-    """Return what the page lacks, and what it names and the code does not."""
-    lacking = sorted(found.names - explained)
-    for beginning in sorted(found.beginnings):
-        if not any(name.startswith(beginning) for name in explained):
-            lacking.append(f"{beginning}*")
-    begun = tuple(found.beginnings)
-    unknown = sorted(n for n in explained - found.names if not n.startswith(begun))
-    return lacking, unknown
-
-
-def _take(found: Counters, told: ast.expr, constants: dict[str, str], where: str) -> None:
-    match told:
+    """Return the names missing from the page, and the names on the page that the code lacks."""
+    missing = sorted(found.names - explained)
+    for prefix in sorted(found.prefixes):
+        if not any(name.startswith(prefix) for name in explained):
+            missing.append(f"{prefix}*")
+    prefixes = tuple(found.prefixes)
+    unknown = sorted(n for n in explained - found.names if not n.startswith(prefixes))
+    return missing, unknown
+
+
+def _add_name(found: Counters, node: ast.expr, constants: dict[str, str], location: str) -> None:
+    match node:
         case ast.Constant(value=str(name)):
             found.names.add(name)
         case ast.IfExp(body=body, orelse=orelse):
-            _take(found, body, constants, where)
-            _take(found, orelse, constants, where)
-        case ast.JoinedStr(values=[ast.Constant(value=str(beginning)), *_]):
-            found.beginnings.add(beginning)
+            _add_name(found, body, constants, location)
+            _add_name(found, orelse, constants, location)
+        case ast.JoinedStr(values=[ast.Constant(value=str(prefix)), *_]):
+            found.prefixes.add(prefix)
         case ast.Name(id=name) if name in constants:
             found.names.add(constants[name])
-        case _ if ast.unparse(told) in HANDED_ON or "ErrorKind." in ast.unparse(told):
+        case _ if ast.unparse(node) in FORWARDED_ARGUMENTS or "ErrorKind." in ast.unparse(node):
             return
         case _:
-            found.unclear.append(f"{where}: {ast.unparse(told)}")
+            found.unresolved.append(f"{location}: {ast.unparse(node)}")
 
 
-def _take_reasons(found: Counters, call: ast.Call, beginning: str) -> None:
-    for told in [*call.args, *(keyword.value for keyword in call.keywords)]:
-        match told:
+def _add_reasons(found: Counters, call: ast.Call, prefix: str) -> None:
+    for node in [*call.args, *(keyword.value for keyword in call.keywords)]:
+        match node:
             case ast.Constant(value=str(reason)):
-                found.names.add(beginning + re.sub("[ -]", "_", reason))
+                found.names.add(prefix + re.sub("[ -]", "_", reason))
             case ast.JoinedStr(values=[ast.Constant(value=str(start)), *_]):
-                found.beginnings.add(beginning + start)
+                found.prefixes.add(prefix + start)
 
 
 def _list_constants(tree: ast.Module) -> Iterator[tuple[str, str]]:
--- a/scripts/error_table.py
+++ b/scripts/error_table.py
@@ -1,4 +1,4 @@
-"""Writes the table of error kinds into docs/CALLERS.md, between its marks."""
+"""Writes the table of error kinds into docs/CALLERS.md, between its begin and end markers."""
 
 import sys
 from pathlib import Path
@@ -6,9 +6,9 @@
 from poplarrun.errors import ErrorKind, response_for
 
 CALLERS_PAGE = Path(__file__).resolve().parent.parent / "docs" / "CALLERS.md"
-BEGIN = "<!-- error table: python -m scripts.error_table -->"
-END = "<!-- end of error table -->"
-HEAD = "| Code | Status | Type | Not run | Retry-After |\n| --- | --- | --- | --- | --- |"
+BEGIN_MARKER = "<!-- error table: python -m scripts.error_table -->"
+END_MARKER = "<!-- end of error table -->"
+TABLE_HEADER = "| Code | Status | Type | Not run | Retry-After |\n| --- | --- | --- | --- | --- |"
 
 
 def render_error_table() -> str:
@@ -19,14 +19,14 @@
         retry = "-" if answer.retry_after_s is None else f"{answer.retry_after_s:.0f} s"
         cells = (f"`{kind.value}`", str(answer.status), answer.type, answer.not_run.value, retry)
         rows.append("| " + " | ".join(cells) + " |")
-    return "\n".join((BEGIN, HEAD, *rows, END))
+    return "\n".join((BEGIN_MARKER, TABLE_HEADER, *rows, END_MARKER))
 
 
 def main() -> int:
-    """Put the table in its place; return the exit code."""
+    """Replace the table in the page; return the exit code."""
     text = CALLERS_PAGE.read_text()
-    before, _, rest = text.partition(BEGIN)
-    _, _, after = rest.partition(END)
+    before, _, rest = text.partition(BEGIN_MARKER)
+    _, _, after = rest.partition(END_MARKER)
     CALLERS_PAGE.write_text(before + render_error_table() + after)
     return 0
 
--- a/scripts/run_features.py
+++ b/scripts/run_features.py
@@ -1,7 +1,7 @@
-"""Runs all behave features, some at a time, and prints one closing line.
+"""Runs behave features in parallel and prints a summary line.
 
-A scenario that KNOWN-RED.txt names (``feature file: scenario name | ...``) is
-run and printed, and does not turn the verdict.
+Failures of scenarios in KNOWN-RED.txt (``feature file: scenario name | ...``) are
+printed, but do not affect the exit code.
 """
 
 import json
@@ -15,13 +15,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-AT_A_TIME = 4
+MAX_PARALLEL_FEATURES = 4
 FEATURE_TIMEOUT_S = 280
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of one scenario."""
+    """The result of one scenario; a failed run of a file counts as one, too."""
 
     name: str
     passed: bool
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class FeatureRun:
-    """What became of one feature file."""
+    """The results of one feature file, with its output."""
 
     feature: str
     outcomes: list[Outcome]
@@ -45,24 +45,24 @@
         command = [sys.executable, "-m", "behave", "--no-summary", str(path)]
         command += ["--format", "json", "--outfile", str(report), "--format", "plain"]
         try:
-            done = subprocess.run(
+            process = subprocess.run(
                 command, cwd=ROOT, capture_output=True, text=True, timeout=FEATURE_TIMEOUT_S
             )
             features = json.loads(report.read_text())
         except (subprocess.TimeoutExpired, OSError, ValueError) as error:
             return FeatureRun(name, [Outcome(f"{name}: whole file", False, 0.0)], repr(error))
     outcomes = [
-        _outcome(name, element)
+        _create_outcome(name, element)
         for feature in features
         for element in feature.get("elements", [])
         if element["type"] == "scenario"
     ]
-    if not outcomes or (done.returncode != 0 and all(outcome.passed for outcome in outcomes)):
+    if not outcomes or (process.returncode != 0 and all(outcome.passed for outcome in outcomes)):
         outcomes.append(Outcome(f"{name}: whole file", False, 0.0))
-    return FeatureRun(name, outcomes, done.stdout + done.stderr)
+    return FeatureRun(name, outcomes, process.stdout + process.stderr)
 
 
-def _outcome(feature: str, element: dict) -> Outcome:
+def _create_outcome(feature: str, element: dict) -> Outcome:
     results = [step.get("result", {}) for step in element["steps"]]
     seconds = sum(result.get("duration", 0.0) for result in results)
     passed = bool(results) and all(result.get("status") == "passed" for result in results)
@@ -70,13 +70,13 @@
 
 
 def read_known_red() -> set[str]:
-    """Return the names of the scenarios that are known to fail."""
+    """Return the scenarios that are known to fail, as ``feature file: scenario name``."""
     lines = KNOWN_RED.read_text().splitlines()
     return {line.split("|")[0].strip() for line in lines if line.strip()}
 
 
 def main() -> int:
-    """Run everything; return the exit code."""
+    """Run the given feature files, or all of them; return the exit code."""
     arguments = [Path(argument).resolve() for argument in sys.argv[1:]]
     paths = arguments or sorted(ROOT.glob("features/**/*.feature"))
     known_red = read_known_red()
@@ -84,17 +84,17 @@
         print(f"{KNOWN_RED.name} lists {len(known_red)} scenarios, at most {MAX_KNOWN_RED} may")
         return 1
     passed = failed = 0
-    with ThreadPoolExecutor(AT_A_TIME) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL_FEATURES) as pool:
         for run in pool.map(run_feature, paths):
-            bad = [o for o in run.outcomes if not o.passed]
+            failures = [o for o in run.outcomes if not o.passed]
             seconds = sum(outcome.seconds for outcome in run.outcomes)
             print(f"{run.feature}: {len(run.outcomes)} scenarios, {seconds:.1f} s", flush=True)
-            for outcome in bad:
+            for outcome in failures:
                 print(f"  {'known red' if outcome.name in known_red else 'FAILED'}: {outcome.name}")
-            if bad:
+            if failures:
                 print(run.output)
-            passed += len(run.outcomes) - len(bad)
-            failed += sum(outcome.name not in known_red for outcome in bad)
+            passed += len(run.outcomes) - len(failures)
+            failed += sum(outcome.name not in known_red for outcome in failures)
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not passed else 0
 
--- a/scripts/unexplained.py
+++ b/scripts/unexplained.py
@@ -1,7 +1,7 @@
-"""Counts the requests of a played day that their hosts' log lines can't explain.
+"""Counts the requests of a simulated day whose end the hosts' log lines don't explain.
 
-``python -m scripts.unexplained LOG...``: each request with a line must have one that
-tells how it ended for its caller, or its host one that it was killed and started anew.
+``python -m scripts.unexplained LOG...``: for each request in the logs there must be a line
+on how it ended for its caller, or a line on the restart of its killed host.
 """
 
 import sys
@@ -9,11 +9,11 @@
 
 from poplarrun.cli._timeline import FINAL_EVENTS, build_timeline, read_log_lines
 
-SHOWN = 10
+MAX_PRINTED_REQUESTS = 10
 
 
 def find_unexplained(paths: list[str]) -> tuple[int, int, list[str]]:
-    """Return how many requests there are, how many failed, and those without an end."""
+    """Return the number of requests, the number of failed ones, and the unexplained requests."""
     lines = list(read_log_lines(paths))
     events: dict[str, set[str]] = defaultdict(set)
     failed: set[str] = set()
@@ -24,7 +24,7 @@
         events[request].add(line.event)
         if line.event in FINAL_EVENTS and line.fields.get("status", 500) >= 400:
             failed.add(request)
-    open_ended = [request for request, seen in events.items() if not seen & FINAL_EVENTS]
+    open_ended = [request for request, names in events.items() if not names & FINAL_EVENTS]
     unexplained = [
         request for request in open_ended if build_timeline(request, lines).restart_line is None
     ]
@@ -33,11 +33,11 @@
 
 def main() -> int:
     """Print the counts; return the exit code."""
-    requests, failed, without_end = find_unexplained(sys.argv[1:])
-    print(f"{requests} requests, {failed} failed, refused or left, {len(without_end)} unexplained")
-    for request in without_end[:SHOWN]:
+    requests, failed, unexplained = find_unexplained(sys.argv[1:])
+    print(f"{requests} requests, {failed} failed, refused or left, {len(unexplained)} unexplained")
+    for request in unexplained[:MAX_PRINTED_REQUESTS]:
         print(f"  {request}")
-    return 1 if without_end else 0
+    return 1 if unexplained else 0
 
 
 if __name__ == "__main__":
