--- a/features/steps/standins.py
+++ b/features/steps/standins.py
@@ -10,8 +10,8 @@
 @given("a stand-in whose control port is taken before it starts")
 def step_taken(context):
     context.stand_in = LogStandIn()
-    context.taken = context.stand_in.control_address
-    host, port = context.taken.split(":")
+    context.taken_address = context.stand_in.control_address
+    host, port = context.taken_address.split(":")
     listener = socket.create_server((host, int(port)))
     context.add_cleanup(listener.close)
 
@@ -24,7 +24,7 @@
 
 @then("it responds at another control port")
 def step_responds(context):
-    assert context.stand_in.control_address != context.taken
+    assert context.stand_in.control_address != context.taken_address
     assert get_json(context.stand_in.control_address, "/faults") is not None
 
 
@@ -35,8 +35,8 @@
 
 @then("any {count:d} in a row differ")
 def step_ports_differ(context, count):
-    for first in range(len(context.ports) - count):
-        assert len(set(context.ports[first : first + count])) == count
+    for start in range(len(context.ports) - count):
+        assert len(set(context.ports[start : start + count])) == count
 
 
 @given("another process has bound {count:d} of the candidate ports")
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside systems, for tests, demo and benches."""
+"""Stand-ins for the outside systems, for tests, the demo and benchmarks."""
 
 from standins.engine import EngineSettings, EngineStandIn
 from standins.hostlist import HostListStandIn
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process: ``python -m standins NAME ...``."""
+"""Command line that runs one stand-in: ``python -m standins KIND ...``."""
 
 import signal
 import threading
@@ -19,18 +19,20 @@
 
 @dataclass
 class Arguments:
-    """Run one stand-in until a signal comes.
+    """Run one stand-in until SIGTERM or SIGINT.
 
     Attributes
     ----------
     kind : str
         engine, service, log, hostlist, ratings or weights.
     port, control_port : int
-        Ports on loopback.
+        Ports on loopback; 0 selects a free one.
     name : str
         Name of a plain service.
     settings : str
-        JSON settings of an engine.
+        Settings of an engine, as JSON.
+    appends_per_s : int
+        Maximum append rate of the log.
     """
 
     kind: Annotated[str, cappa.Arg()]
@@ -42,7 +44,7 @@
 
 
 def make_stand_in(arguments: Arguments) -> StandIn:
-    """Build the stand-in that the arguments name."""
+    """Create the stand-in of the given kind."""
     ports = {"port": arguments.port, "control_port": arguments.control_port}
     match arguments.kind:
         case "engine":
@@ -58,19 +60,19 @@
             return RatingsStandIn(**ports)
         case "weights":
             return WeightsStandIn(**ports)
-        case other:
-            raise cappa.Exit(f"unknown stand-in {other!r}", code=2)
+        case unknown_kind:
+            raise cappa.Exit(f"unknown stand-in {unknown_kind!r}", code=2)
 
 
 def main() -> None:
-    """Start the stand-in, print its addresses, wait for a signal."""
+    """Start the stand-in, print its addresses and stop it on SIGTERM or SIGINT."""
     stand_in = make_stand_in(cappa.parse(Arguments))
-    stopped = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stopped.set())
+    stop_requested = threading.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop_requested.set())
     stand_in.start()
     print(stand_in.address, stand_in.control_address, flush=True)
-    stopped.wait()
+    stop_requested.wait()
     stand_in.stop()
 
 
--- a/standins/_ports.py
+++ b/standins/_ports.py
@@ -1,40 +1,40 @@
-"""Ports on loopback for processes that listen."""
+"""Selection of free ports for processes that listen on loopback."""
 
 import contextlib
 import os
 import random
 import socket
 
-# Below the ports that the system gives to outgoing connections: one of those could take
-# a port between the look at it and the moment when a host listens there, and the host
-# would never start.
+# Below the ephemeral ports of outgoing connections: a connection could bind one of those
+# between its selection and the moment when a host listens there, and the host would
+# never start.
 FIRST_PORT = 12_000
-# Processes that look at once look at different ports, as far as their ids differ.
-PORTS_OF_A_PROCESS = 80
-PROCESSES = 250
+# Processes select from separate ranges, by process id, so that concurrent ones rarely collide.
+PORTS_PER_PROCESS = 80
+PORT_RANGE_COUNT = 250
 
-# Ports that are remembered as given out, the latest last. Those of one installation
-# are given out one after the other and bound only later: forgotten all at once, a port
-# that is not bound yet would be given to another stand-in of the same installation.
-KEPT_GIVEN = 40
+# An installation allocates its ports one after the other and binds them only later. The
+# oldest is forgotten first: if all were forgotten at once, a port that is not bound yet would
+# be allocated again, to another stand-in of the same installation.
+MAX_REMEMBERED_PORTS = 40
 
-_given: dict[int, None] = {}
-_source = random.Random()
+_allocated: dict[int, None] = {}
+_random = random.Random()
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """Return a port that is free now and that this process has not given out before."""
-    first = FIRST_PORT + os.getpid() % PROCESSES * PORTS_OF_A_PROCESS
+    """Return a port that is not bound now and not among those allocated last by this process."""
+    first_port = FIRST_PORT + os.getpid() % PORT_RANGE_COUNT * PORTS_PER_PROCESS
     while True:
-        if len(_given) > KEPT_GIVEN:
-            del _given[next(iter(_given))]
-        port = first + _source.randrange(PORTS_OF_A_PROCESS)
-        if port in _given:
+        if len(_allocated) > MAX_REMEMBERED_PORTS:
+            del _allocated[next(iter(_allocated))]
+        port = first_port + _random.randrange(PORTS_PER_PROCESS)
+        if port in _allocated:
             continue
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind((host, port))
-            # Only what is given out is remembered. Ports that other processes hold would
-            # push those out that are given out and not yet bound.
-            _given[port] = None
+            # Remember allocated ports only. Ports that other processes have bound would
+            # displace allocated ports that are not bound yet.
+            _allocated[port] = None
             return port
--- a/standins/_server.py
+++ b/standins/_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server with a data port and a control port, for all stand-ins."""
+"""HTTP server that all stand-ins share, with a data port and a control port."""
 
 import re
 import threading
@@ -13,17 +13,17 @@
 
 from standins._ports import free_port
 
-DATA_THREADS = 48
-CONTROL_THREADS = 2
-BIND_TRIES = 5
-JSON = "application/json"
-# A dropped connection promises more bytes than it sends, so the reader sees the break.
-PROMISED_BYTES = 1000
+DATA_PORT_THREADS = 48
+CONTROL_PORT_THREADS = 2
+MAX_BIND_ATTEMPTS = 5
+JSON_CONTENT_TYPE = "application/json"
+# A dropped connection announces a longer body than it sends, so that the reader detects it.
+ANNOUNCED_BYTES = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request: path parameters, query, body and headers."""
+    """A request; ``params`` are the path parameters, header names are in lower case with ``_``."""
 
     params: dict[str, str]
     query: dict[str, str]
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One response; an iterator as ``body`` is streamed, ``length`` promises its size."""
+    """A response; an iterator as ``body`` is streamed, ``length`` promises its size in bytes."""
 
     status: int = 200
     body: bytes | Iterator[bytes] = b""
-    content_type: str = JSON
+    content_type: str = JSON_CONTENT_TYPE
     length: int | None = None
 
 
 class DropConnection(Exception):
-    """Raised by a handler: the connection closes without an answer."""
+    """Raised by a handler to close the connection without a complete response."""
 
 
 Handler = Callable[[Request], Response]
@@ -50,7 +50,7 @@
 
 @dataclass
 class Route:
-    """A method and a path with ``{name}`` parts, and what answers it."""
+    """A method, a path pattern with ``{name}`` parameters, and the handler of matching requests."""
 
     method: str
     path: str
@@ -68,21 +68,21 @@
 
 
 class StandIn:
-    """A stand-in: its own port, and a control port that sets its faults.
+    """Base class of the stand-ins: a data port, and a control port that sets faults.
 
     ``PUT /faults`` on the control port merges a JSON object into ``faults``,
-    ``GET /faults`` shows it, ``GET /events`` shows what happened.
+    ``GET /faults`` returns it, ``GET /events`` returns the recorded events.
 
     Parameters
     ----------
     faults : msgspec.Struct
-        The faults that this stand-in knows, all off.
+        Initial faults; its fields are the faults that the stand-in can inject.
     host : str
-        IP to listen on.
+        IP address to listen on.
     port, control_port : int
-        Ports; 0 takes a free one.
+        Ports to listen on; 0 selects a free one.
     threads : int
-        Requests that the data port serves at once.
+        Maximum number of concurrent requests on the data port.
     """
 
     def __init__(
@@ -91,13 +91,15 @@
         host: str = "127.0.0.1",
         port: int = 0,
         control_port: int = 0,
-        threads: int = DATA_THREADS,
+        threads: int = DATA_PORT_THREADS,
     ) -> None:
         self.faults = faults
         self.events: list[dict[str, Any]] = []
         self._data = _make_server(host, port, self.routes(), threads)
-        self._control = _make_server(host, control_port, self._control_routes(), CONTROL_THREADS)
-        self._may_move = {self._data: port == 0, self._control: control_port == 0}
+        self._control = _make_server(
+            host, control_port, self._control_routes(), CONTROL_PORT_THREADS
+        )
+        self._may_change_port = {self._data: port == 0, self._control: control_port == 0}
 
     @property
     def address(self) -> str:
@@ -110,41 +112,41 @@
         return _address(self._control)
 
     def routes(self) -> list[Route]:
-        """Return the data port's routes."""
+        """Return the routes of the data port."""
         raise NotImplementedError
 
     def start(self) -> "StandIn":
-        """Serve in threads of this process."""
+        """Serve both ports in background threads of this process."""
         for server in (self._data, self._control):
             self._bind(server)
             threading.Thread(target=server.serve, daemon=True).start()
         return self
 
     def _bind(self, server: wsgi.Server) -> None:
-        """Bind a port; another process may have taken it since it was looked for."""
-        for tries_left in reversed(range(BIND_TRIES)):
+        """Bind the port, or another if a process has bound it since it was selected."""
+        for attempts_left in reversed(range(MAX_BIND_ATTEMPTS)):
             try:
                 server.prepare()
                 return
             except OSError:
-                if not self._may_move[server] or not tries_left:
+                if not self._may_change_port[server] or not attempts_left:
                     raise
                 host, _ = server.bind_addr
                 server.bind_addr = (host, free_port(host))
 
     def stop(self) -> None:
-        """Stop both ports."""
+        """Stop serving both ports."""
         self._data.stop()
         self._control.stop()
 
     def record(self, kind: str, **fields: Any) -> None:
-        """Add an event to the history."""
+        """Append an event to the list that ``GET /events`` returns."""
         self.events.append({"at": time.time(), "kind": kind, **fields})
 
     def set_faults(self, **changes: Any) -> None:
-        """Merge changes into the faults."""
-        current = msgspec.to_builtins(self.faults)
-        self.faults = msgspec.convert({**current, **changes}, type=type(self.faults))
+        """Set some faults and keep the others."""
+        current_faults = msgspec.to_builtins(self.faults)
+        self.faults = msgspec.convert({**current_faults, **changes}, type=type(self.faults))
 
     def _control_routes(self) -> list[Route]:
         return [
@@ -166,15 +168,15 @@
         (host, port), _application(routes), numthreads=threads, request_queue_size=256
     )
     server.shutdown_timeout = 1
-    server.error_log = _log_nothing
+    server.error_log = _discard_log_line
     server.timeout = 600
-    # Bind now, so that the address is known before the server runs.
+    # Select the port now, so that the address is known before the server starts.
     server.bind_addr = (host, port or free_port(host))
     return server
 
 
-def _log_nothing(*_: Any, **__: Any) -> None:
-    """Keep dropped connections, which the tests order, off standard error."""
+def _discard_log_line(*_: Any, **__: Any) -> None:
+    """Discard the errors of connections that tests drop on purpose."""
 
 
 def _address(server: wsgi.Server) -> str:
@@ -200,20 +202,20 @@
 
 def _dispatch(routes: list[Route], environ: dict[str, Any]) -> Response:
     for route in routes:
-        found = route.pattern.match(environ["PATH_INFO"])
-        if found and route.method == environ["REQUEST_METHOD"]:
+        path_match = route.pattern.match(environ["PATH_INFO"])
+        if path_match and route.method == environ["REQUEST_METHOD"]:
             length = int(environ.get("CONTENT_LENGTH") or 0)
             query = {k: v[0] for k, v in parse_qs(environ.get("QUERY_STRING", "")).items()}
             headers = {k[5:].lower(): v for k, v in environ.items() if k.startswith("HTTP_")}
             body = environ["wsgi.input"].read(length) if length else b""
             try:
-                return route.handler(Request(found.groupdict(), query, body, headers))
+                return route.handler(Request(path_match.groupdict(), query, body, headers))
             except DropConnection:
-                return Response(200, _broken_body(), length=PROMISED_BYTES)
+                return Response(200, _truncated_body(), length=ANNOUNCED_BYTES)
     return json_response({"error": "no such path"}, 404)
 
 
-def _broken_body() -> Iterator[bytes]:
-    """Close the connection before the answer is whole."""
+def _truncated_body() -> Iterator[bytes]:
+    """Close the connection before the body is complete."""
     yield b" "
     raise DropConnection
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: batching, prefix cache, streams, orders, reports."""
+"""Stand-in for a model engine: batching, prefix cache, token streams, orders and load reports."""
 
 import hashlib
 import heapq
@@ -13,20 +13,20 @@
 import msgspec
 
 from standins._server import DropConnection, Request, Response, Route, StandIn, json_response
-from standins.held_models import HeldModels, OrderBody
+from standins.loaded_models import LoadedModels, OrderBody
 
 GOOD_WORDS = ("stone", "loan", "ring", "council", "gold", "branch", "shelf", "setting", "report")
 POOR_WORD = "um"
 WORDS_PER_BLOCK = 16
 HASH_BYTES = 7
-KEPT_EVENTS = 1000
-# Threads beside those of the batch: waiting requests, reports and orders.
-WAITING_THREADS = 32
-STREAM_KEPT_S = 30.0
+MAX_CACHE_EVENTS = 1000
+# Server threads in addition to the batch: queued requests, load reports and orders.
+EXTRA_THREADS = 32
+STREAM_TTL_S = 30.0
 
 
 def judge_text(text: str) -> float:
-    """Return the quality that an answer's words carry, 0 to 1."""
+    """Return the quality that is encoded in an answer: the fraction of good words, 0 to 1."""
     words = text.split()
     if not words:
         return 0.0
@@ -34,32 +34,32 @@
 
 
 class EngineFaults(msgspec.Struct):
-    """What an engine can be told to do wrong.
+    """Faults that can be injected into an engine.
 
     Attributes
     ----------
     refuse : bool
         Answer 503 to new streams.
     die_after_tokens : int
-        Break each stream after so many tokens; 0 never.
+        Number of tokens after which a stream breaks; 0 disables the fault.
     break_streams : int
-        How many streams break so; -1 all.
+        Number of streams that break after ``die_after_tokens``; -1 for all.
     freeze_s : float
-        Time that each token takes in addition, in seconds.
+        Additional time per token, in seconds.
     report_lag_s : float
         Age of load reports, in seconds.
     event_delay_s : float
         Age of cache events, in seconds.
     event_loss : float
-        Share of cache events that are dropped.
+        Probability that a cache event is dropped.
     shuffle : bool
-        Send chunks late, repeated and out of order.
+        Send chunks delayed, duplicated and out of order.
     quality : dict of str to float
         Quality by version; overrides the settings.
     empty : bool
-        Answer with no tokens.
+        Generate no tokens.
     refuse_own_resumes : bool
-        Answer 503 to resumes of streams whose KV cache was not imported.
+        Answer 503 when a stream whose KV cache was not imported is resumed.
     """
 
     refuse: bool = False
@@ -76,34 +76,34 @@
 
 
 class EngineSettings(msgspec.Struct):
-    """How an engine performs.
+    """Performance and capabilities of an engine.
 
     Attributes
     ----------
     quality : dict of str to float
-        Quality of the answers by version, ``model:version``; its keys are loaded.
+        Answer quality by version, ``model:version``; the keys are the loaded versions.
     capacity : int
-        Requests in a batch.
+        Maximum number of requests in a batch.
     tokens_per_s : float
-        Rate of one stream in an empty engine.
+        Token rate of one stream in an idle engine.
     slowdown : float
-        Share by which a full batch slows a stream.
+        Fraction by which a full batch reduces the token rate.
     prefill_s_per_token : float
-        Time for each prompt token that is not cached, in seconds.
+        Prefill time per uncached prompt token, in seconds.
     cache_blocks : int
-        Prompt blocks that the prefix cache holds.
+        Capacity of the prefix cache, in blocks.
     checks_fencing : bool
-        Whether an order with an old fencing number is refused.
+        Whether orders with an outdated fencing number are refused.
     poor_share : dict of str to float
-        Share of a version's answers that are poor from end to end.
+        Probability by version that an answer consists of poor words only.
     confidence_noise : float, optional
-        Error of the confidence that it gives with each answer; None gives none.
+        Standard deviation of the error of the reported confidence; None reports none.
     answer_tokens : int
-        Length of an answer, where the call allows it.
+        Length of an answer in tokens, unless the request's limit is lower.
     room : int, optional
-        Versions that its memory holds; None tells of no room.
+        Number of versions that fit into memory; None if the engine doesn't report it.
     load_s : float
-        Time that a load takes, in seconds.
+        Time to load a version, in seconds.
     """
 
     quality: dict[str, float]
@@ -121,7 +121,7 @@
 
 
 class GenerateBody(msgspec.Struct):
-    """The body of a generation."""
+    """Body of a generation request."""
 
     request_id: str
     version: str
@@ -132,7 +132,7 @@
 
 
 class KvBody(msgspec.Struct):
-    """A stream's state, as another engine can take it over."""
+    """KV cache of a stream, in the form in which engines transfer it."""
 
     version: str
     words: list[str]
@@ -142,7 +142,7 @@
 class _Stream:
     version: str
     words: list[str]
-    touched_at: float
+    last_used_at: float
     cancelled: bool = False
     is_poor: bool = False
     imported: bool = False
@@ -150,18 +150,18 @@
 
 @dataclass
 class _Batch:
-    """The running batch and the queue before it, by priority, then arrival."""
+    """The running batch, and the queue for it, ordered by priority and then by arrival."""
 
     capacity: int
     running: int = 0
     queue: list[tuple[int, int]] = field(default_factory=list)
-    order: Iterator[int] = field(default_factory=itertools.count)
+    arrival_numbers: Iterator[int] = field(default_factory=itertools.count)
     changed: threading.Condition = field(default_factory=threading.Condition)
 
     def enter(self, priority: int) -> None:
-        """Wait for a place in the batch."""
+        """Wait for a free slot in the batch and occupy it."""
         with self.changed:
-            ticket = (-priority, next(self.order))
+            ticket = (-priority, next(self.arrival_numbers))
             heapq.heappush(self.queue, ticket)
             while self.running >= self.capacity or self.queue[0] != ticket:
                 self.changed.wait()
@@ -170,14 +170,14 @@
             self.changed.notify_all()
 
     def leave(self) -> None:
-        """Give the place back."""
+        """Release the slot."""
         with self.changed:
             self.running -= 1
             self.changed.notify_all()
 
 
 class EngineStandIn(StandIn):
-    """A model engine whose answers carry their quality in their words."""
+    """A model engine that encodes the quality of an answer in its words."""
 
     def __init__(self, settings: EngineSettings, seed: int = 1, **ports: int) -> None:
         self.settings = settings
@@ -187,9 +187,9 @@
         self._cache: OrderedDict[tuple[str, int], None] = OrderedDict()
         self._cache_events: list[tuple[float, dict[str, object]]] = []
         self._event_numbers = itertools.count(1)
-        self._models = HeldModels(settings.quality, settings.load_s, self.record)
+        self._models = LoadedModels(settings.quality, settings.load_s, self.record)
         self._reports: list[tuple[float, dict[str, object]]] = []
-        threads = settings.capacity + WAITING_THREADS
+        threads = settings.capacity + EXTRA_THREADS
         super().__init__(EngineFaults(), threads=threads, **ports)
 
     def routes(self) -> list[Route]:
@@ -199,7 +199,7 @@
             Route("DELETE", "/v1/generate/{request_id}", self._cancel),
             Route("GET", "/v1/load", self._report_load),
             Route("GET", "/v1/cache-events", self._list_cache_events),
-            Route("POST", "/v1/orders", self._take_order),
+            Route("POST", "/v1/orders", self._execute_order),
             Route("GET", "/v1/models", self._list_models),
             Route("GET", "/v1/kv/{request_id}", self._export_kv),
             Route("PUT", "/v1/kv/{request_id}", self._import_kv),
@@ -214,81 +214,81 @@
             return json_response({"error": "version not loaded"}, 404)
         if body.from_position > 0 and body.request_id not in self._streams:
             return json_response({"error": "no such stream"}, 404)
-        is_own = body.from_position > 0 and not self._streams[body.request_id].imported
-        if is_own and self.faults.refuse_own_resumes:
+        is_local_resume = body.from_position > 0 and not self._streams[body.request_id].imported
+        if is_local_resume and self.faults.refuse_own_resumes:
             return json_response({"error": "refused"}, 503)
-        return Response(200, self._stream(body), "application/x-ndjson")
+        return Response(200, self._run_stream(body), "application/x-ndjson")
 
-    def _stream(self, body: GenerateBody) -> Iterator[bytes]:
+    def _run_stream(self, body: GenerateBody) -> Iterator[bytes]:
         self._batch.enter(body.priority)
-        self._models.open[body.version] += 1
+        self._models.open_streams[body.version] += 1
         try:
             prompt_words = body.prompt.split()
-            cached = self._touch_cache(body.version, prompt_words)
+            cached = self._update_prefix_cache(body.version, prompt_words)
             self.record("start", request_id=body.request_id, version=body.version)
             time.sleep((len(prompt_words) - cached) * self.settings.prefill_s_per_token)
-            yield from self._tokens(body)
-            yield _line(
+            yield from self._generate_tokens(body)
+            yield _encode_line(
                 {
                     "type": "usage",
                     "input_tokens": len(prompt_words),
                     "output_tokens": len(self._streams[body.request_id].words),
                     "cached_tokens": cached,
-                    "confidence": self._confidence(self._streams[body.request_id].words),
+                    "confidence": self._draw_confidence(self._streams[body.request_id].words),
                 }
             )
             self.record("end", request_id=body.request_id)
         finally:
-            self._models.open[body.version] -= 1
+            self._models.open_streams[body.version] -= 1
             self._batch.leave()
-            self._forget_old_streams()
+            self._expire_streams()
 
-    def _tokens(self, body: GenerateBody) -> Iterator[bytes]:
+    def _generate_tokens(self, body: GenerateBody) -> Iterator[bytes]:
         stream = self._streams.setdefault(
             body.request_id, _Stream(body.version, [], time.monotonic())
         )
-        held: list[bytes] = []
-        wanted = 0 if self.faults.empty else min(body.max_tokens, self.settings.answer_tokens)
-        for position in range(body.from_position, wanted):
+        buffered: list[bytes] = []
+        token_count = 0 if self.faults.empty else min(body.max_tokens, self.settings.answer_tokens)
+        for position in range(body.from_position, token_count):
             if stream.cancelled:
                 self.record("cancelled", request_id=body.request_id, tokens=len(stream.words))
                 raise DropConnection
             if position >= len(stream.words):
-                self._sleep_for_token()
-                stream.words.append(self._word(stream))
-            stream.touched_at = time.monotonic()
-            self._break_here(position)
+                self._wait_for_token()
+                stream.words.append(self._next_word(stream))
+            stream.last_used_at = time.monotonic()
+            self._break_stream_if_due(position)
             text = stream.words[position] + " "
-            held.append(_line({"type": "chunk", "position": position, "text": text}))
-            if not self.faults.shuffle or len(held) >= 4 or position == wanted - 1:
-                yield from self._disorder(held)
-                held = []
+            buffered.append(_encode_line({"type": "chunk", "position": position, "text": text}))
+            if not self.faults.shuffle or len(buffered) >= 4 or position == token_count - 1:
+                yield from self._reorder_lines(buffered)
+                buffered = []
 
-    def _disorder(self, lines: list[bytes]) -> list[bytes]:
+    def _reorder_lines(self, lines: list[bytes]) -> list[bytes]:
         if not self.faults.shuffle:
             return lines
-        mixed = [*lines, self._random.choice(lines)]
-        self._random.shuffle(mixed)
-        return mixed
+        reordered = [*lines, self._random.choice(lines)]
+        self._random.shuffle(reordered)
+        return reordered
 
-    def _confidence(self, words: list[str]) -> float | None:
+    def _draw_confidence(self, words: list[str]) -> float | None:
         noise = self.settings.confidence_noise
         if noise is None:
             return None
         return min(1.0, max(0.0, judge_text(" ".join(words)) + self._random.gauss(0.0, noise)))
 
-    def _break_here(self, position: int) -> None:
+    def _break_stream_if_due(self, position: int) -> None:
         after = self.faults.die_after_tokens
         if after and position >= after and self.faults.break_streams != 0:
             self.faults.break_streams -= self.faults.break_streams > 0
             raise DropConnection
 
-    def _sleep_for_token(self) -> None:
+    def _wait_for_token(self) -> None:
         fullness = min(1.0, self._batch.running / self.settings.capacity)
         rate = self.settings.tokens_per_s * (1.0 - self.settings.slowdown * fullness)
         time.sleep(1.0 / rate + self.faults.freeze_s)
 
-    def _word(self, stream: _Stream) -> str:
+    def _next_word(self, stream: _Stream) -> str:
         version = stream.version
         if not stream.words:
             stream.is_poor = self._random.random() < self.settings.poor_share.get(version, 0.0)
@@ -299,16 +299,16 @@
             return self._random.choice(GOOD_WORDS)
         return POOR_WORD
 
-    def _touch_cache(self, version: str, words: list[str]) -> int:
-        """Return how many prompt words were cached; remember the rest."""
+    def _update_prefix_cache(self, version: str, words: list[str]) -> int:
+        """Return the number of cached prompt words; add the missing blocks to the cache."""
         cached = 0
         digest = hashlib.sha256()
-        hit = True
+        is_prefix_cached = True
         for start in range(0, len(words) - WORDS_PER_BLOCK + 1, WORDS_PER_BLOCK):
             digest.update(" ".join(words[start : start + WORDS_PER_BLOCK]).encode())
             block = (version, int.from_bytes(digest.digest()[:HASH_BYTES]))
-            hit = hit and block in self._cache
-            cached += WORDS_PER_BLOCK * hit
+            is_prefix_cached = is_prefix_cached and block in self._cache
+            cached += WORDS_PER_BLOCK * is_prefix_cached
             if block not in self._cache:
                 self._add_cache_event("stored", block)
             self._cache[block] = None
@@ -323,17 +323,17 @@
             version, key = block
             event = {"number": number, "kind": kind, "version": version, "block": key}
             self._cache_events.append((time.monotonic(), event))
-            del self._cache_events[:-KEPT_EVENTS]
+            del self._cache_events[:-MAX_CACHE_EVENTS]
 
     def _list_cache_events(self, request: Request) -> Response:
         after = int(request.query.get("after", "0"))
-        until = time.monotonic() - self.faults.event_delay_s
-        shown = [
+        visible_until = time.monotonic() - self.faults.event_delay_s
+        visible_events = [
             event
             for at, event in self._cache_events
-            if int(str(event["number"])) > after and at <= until
+            if int(str(event["number"])) > after and at <= visible_until
         ]
-        return json_response(shown)
+        return json_response(visible_events)
 
     def _cancel(self, request: Request) -> Response:
         stream = self._streams.get(request.params["request_id"])
@@ -353,23 +353,25 @@
             "tokens_per_s": self.settings.tokens_per_s * (1 - self.settings.slowdown * fullness),
         }
         self._reports.append((now, report))
-        old = [entry for entry in self._reports if entry[0] <= now - self.faults.report_lag_s]
-        at, shown = old[-1] if old else self._reports[0]
+        visible_reports = [
+            entry for entry in self._reports if entry[0] <= now - self.faults.report_lag_s
+        ]
+        at, visible_report = visible_reports[-1] if visible_reports else self._reports[0]
         del self._reports[:-200]
-        return json_response({**shown, "age_s": now - at})
+        return json_response({**visible_report, "age_s": now - at})
 
-    def _take_order(self, request: Request) -> Response:
+    def _execute_order(self, request: Request) -> Response:
         order = msgspec.json.decode(request.body, type=OrderBody)
         if self.settings.checks_fencing and order.fence < self._models.fence:
             self.record("order_refused", fence=order.fence, action=order.action)
             return json_response({"error": "old fencing number", "fence": self._models.fence}, 409)
-        self._models.take(order)
+        self._models.execute(order)
         return json_response({"versions": sorted(self.settings.quality)})
 
     def _list_models(self, _: Request) -> Response:
         if self.settings.room is None:
-            return json_response({"error": "no room is told"}, 404)
-        return json_response(self._models.tell(self.settings.room))
+            return json_response({"error": "the engine does not report its room"}, 404)
+        return json_response(self._models.describe(self.settings.room))
 
     def _export_kv(self, request: Request) -> Response:
         stream = self._streams.get(request.params["request_id"])
@@ -385,12 +387,12 @@
         self.record("imported", request_id=request.params["request_id"], tokens=len(body.words))
         return json_response({"words": len(body.words)})
 
-    def _forget_old_streams(self) -> None:
-        horizon = time.monotonic() - STREAM_KEPT_S
+    def _expire_streams(self) -> None:
+        expired_before = time.monotonic() - STREAM_TTL_S
         for request_id, stream in list(self._streams.items()):
-            if stream.touched_at < horizon:
+            if stream.last_used_at < expired_before:
                 self._streams.pop(request_id, None)
 
 
-def _line(value: object) -> bytes:
+def _encode_line(value: object) -> bytes:
     return msgspec.json.encode(value) + b"\n"
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and entry hosts as processes on loopback, for demo, tests and benches."""
+"""Runs stand-ins and entry hosts as processes on loopback, for the demo, tests and benchmarks."""
 
 import contextlib
 import os
@@ -21,42 +21,42 @@
 
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 10.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 HTTP_TIMEOUT_S = 10.0
-OK = 200
-LOG_TAIL = 2000
+HTTP_OK = 200
+LOG_TAIL_CHARS = 2000
 
 
 def free_address() -> str:
-    """Return an ``ip:port`` on loopback that is free now."""
+    """Return a loopback ``ip:port`` that nothing is bound to at the time of the call."""
     return f"127.0.0.1:{free_port()}"
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout_s: float = 20.0) -> float:
-    """Wait for a condition; return the seconds it took.
+def wait_until(condition: Callable[[], bool], description: str, timeout_s: float = 20.0) -> float:
+    """Poll a condition until it is true; return the elapsed seconds.
 
     Raises
     ------
     TimeoutError
-        Naming what did not come.
+        If the condition is not true within the timeout; contains ``description``.
     """
-    began = time.monotonic()
-    while time.monotonic() < began + timeout_s:
+    started_at = time.monotonic()
+    while time.monotonic() < started_at + timeout_s:
         if condition():
-            return time.monotonic() - began
-        time.sleep(POLL_S)
-    raise TimeoutError(f"not within {timeout_s} s: {what}")
+            return time.monotonic() - started_at
+        time.sleep(POLL_INTERVAL_S)
+    raise TimeoutError(f"timed out after {timeout_s} s: {description}")
 
 
 def get_json(address: str, path: str) -> Any:
-    """Read JSON from an address; None when it does not answer 200."""
+    """Read JSON from an address; None if the request fails or its status is not 200."""
     try:
         response = urllib3.request(
             "GET", f"http://{address}{path}", timeout=HTTP_TIMEOUT_S, retries=False
         )
     except urllib3.exceptions.HTTPError:
         return None
-    return msgspec.json.decode(response.data) if response.status == OK else None
+    return msgspec.json.decode(response.data) if response.status == HTTP_OK else None
 
 
 def put_json(address: str, path: str, value: Any) -> None:
@@ -66,7 +66,7 @@
 
 @dataclass
 class StandInProcess:
-    """A stand-in in a process of its own."""
+    """A stand-in that runs as a separate process."""
 
     kind: str
     arguments: tuple[str, ...] = ()
@@ -80,27 +80,27 @@
         self.process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
     def wait(self) -> None:
-        """Wait until it listens."""
+        """Wait until the process has printed its addresses and serves its control port."""
         assert self.process is not None
         assert self.process.stdout is not None
-        # A stand-in that hangs would else hang whoever waits for it, without a word.
-        is_told, _, _ = select.select([self.process.stdout], [], [], START_TIMEOUT_S)
-        line = self.process.stdout.readline() if is_told else ""
+        # Without the timeout, a stand-in that hangs would block the caller with no error.
+        readable_pipes, _, _ = select.select([self.process.stdout], [], [], START_TIMEOUT_S)
+        line = self.process.stdout.readline() if readable_pipes else ""
         if not line:
-            raise RuntimeError(f"the stand-in {self.kind} did not start")
+            raise RuntimeError(f"the {self.kind} stand-in did not print its addresses")
         self.address, self.control_address = line.split()
         wait_until(
             lambda: get_json(self.control_address, "/faults") is not None, f"{self.kind} listens"
         )
 
     def set_faults(self, **changes: Any) -> None:
-        """Set faults over the control port."""
+        """Change faults through the control port."""
         put_json(self.control_address, "/faults", changes)
 
     def events(self, kind: str | None = None) -> list[dict[str, Any]]:
-        """Return what happened there so far."""
-        found = get_json(self.control_address, "/events") or []
-        return [event for event in found if kind is None or event["kind"] == kind]
+        """Return the events that the stand-in has recorded, optionally of one kind."""
+        events_so_far = get_json(self.control_address, "/events") or []
+        return [event for event in events_so_far if kind is None or event["kind"] == kind]
 
     def kill(self) -> None:
         """Kill the process."""
@@ -109,7 +109,7 @@
 
 @dataclass
 class HostProcess:
-    """An entry host in a process of its own."""
+    """An entry host that runs as a separate process."""
 
     name: str
     zone: str
@@ -125,36 +125,36 @@
             self.process = subprocess.Popen(command, stdout=output, stderr=output)
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer would send callers there."""
+        """Return whether a load balancer would route callers to the host."""
         return get_json(self.address, "/readyz") is not None
 
     def wait_ready(self) -> None:
-        """Wait until the balancer would send callers there.
+        """Wait until a load balancer would route callers to the host.
 
         Raises
         ------
         TimeoutError
-            Naming what the host says it misses, or how its process ended.
+            With the host's readiness response, or its process's exit code and log.
         """
         try:
             wait_until(self.is_ready, f"{self.name} is ready")
         except TimeoutError as error:
-            raise TimeoutError(f"{error}; {self._describe()}") from error
+            raise TimeoutError(f"{error}; {self._describe_unready_state()}") from error
 
-    def _describe(self) -> str:
-        """Return why this host isn't ready, as far as it can be told."""
+    def _describe_unready_state(self) -> str:
+        """Return the exit code, the readiness response or the end of the log."""
         code = self.process.poll() if self.process is not None else None
         if code is not None:
-            return f"it ended with code {code}: {self.log_file.read_text()[-LOG_TAIL:]}"
+            return f"process exit code {code}: {self.log_file.read_text()[-LOG_TAIL_CHARS:]}"
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             answer = urllib3.request(
                 "GET", f"http://{self.address}/readyz", timeout=1, retries=False
             )
             return answer.data.decode(errors="replace")
-        return f"it doesn't answer: {self.log_file.read_text()[-LOG_TAIL:]}"
+        return f"the host does not respond: {self.log_file.read_text()[-LOG_TAIL_CHARS:]}"
 
     def status(self) -> Any:
-        """Return the host's status; None when it is silent."""
+        """Return the host's status; None if it does not respond."""
         return get_json(self.address, "/status")
 
     def signal(self, number: signal.Signals) -> None:
@@ -163,7 +163,7 @@
         os.kill(self.process.pid, number)
 
     def stop(self) -> int:
-        """Ask for a planned stop; return the exit code."""
+        """Request a graceful shutdown; return the exit code."""
         self.signal(signal.SIGTERM)
         assert self.process is not None
         return self.process.wait(timeout=90)
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True)
 class EnginePlan:
-    """An engine to start: its name, its zone and its settings."""
+    """The name, zone and settings of an engine to start."""
 
     name: str
     zone: str
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True)
 class ServicePlan:
-    """A plain service's endpoint to start."""
+    """The name, zone and service of a plain-service endpoint to start."""
 
     name: str
     zone: str
@@ -193,18 +193,18 @@
 
 @dataclass
 class Fleet:
-    """Zones, hosts and the outside systems, on loopback.
+    """Hosts in several zones with stand-ins for the outside systems, on loopback.
 
     Attributes
     ----------
     zones : tuple of str
         Availability zones.
     hosts_per_zone : int
-        Entry hosts of each.
+        Entry hosts in each zone.
     engines, services : list
         Endpoints to start.
     more_settings : dict
-        Further host settings, merged into each host's file.
+        Additional host settings, merged into each host's settings file.
     """
 
     engines: list[EnginePlan]
@@ -233,7 +233,7 @@
         try:
             self.start()
         except BaseException:
-            # Nobody else ends what was started so far; it would run for ever.
+            # The caller has no fleet to stop yet; processes started so far would be left running.
             self.stop()
             raise
         return self
@@ -243,18 +243,18 @@
 
     @property
     def folder(self) -> Path:
-        """Folder of settings, documents and logs; gone after ``stop``."""
+        """Folder of settings, documents and logs, deleted by ``stop``."""
         return Path(self._folder.name)
 
     def start(self) -> None:
-        """Start everything and wait until it listens; no configuration yet."""
+        """Start all processes and wait until they listen; publishes no configuration."""
         stand_ins = self._stand_ins()
         for stand_in in stand_ins:
             stand_in.spawn()
         for stand_in in stand_ins:
             stand_in.wait()
         self.publish_hosts()
-        self._plan_hosts()
+        self._write_host_settings()
         for host in self.hosts.values():
             host.spawn()
         for host in self.hosts.values():
@@ -264,13 +264,16 @@
             )
 
     def stop(self) -> None:
-        """Kill all that was started."""
+        """Kill all processes and delete the folder."""
         for process in (*self.hosts.values(), *self._stand_ins()):
             process.kill()
         self._folder.cleanup()
 
     def publish_hosts(self, **states: str) -> None:
-        """Write the host list; ``states`` sets some endpoints' states, ``gone`` drops one."""
+        """Replace the host list; ``states`` maps endpoint names to states, ``gone`` omits one.
+
+        Endpoints that ``states`` doesn't name are live; names have ``_`` in place of ``-``.
+        """
         hosts = []
         for plan in (*self.engines, *self.services):
             state = states.get(plan.name.replace("-", "_"), "live")
@@ -290,16 +293,18 @@
         put_json(self.host_list.address, "/v1/hosts", {"hosts": hosts})
 
     def publish(self, document: str, name: str = "document.yaml") -> int:
-        """Publish a document with the command line; return its offset."""
+        """Publish a configuration document by the command line; return its log offset."""
         path = self.folder / name
         path.write_text(document)
-        done = self.run_cli("config", "publish", str(path), "--log", self.log.address)
-        if done.returncode != 0:
-            raise RuntimeError(f"publish failed: {done.stdout}{done.stderr}")
-        return int(done.stdout.split()[-1])
+        completed = self.run_cli("config", "publish", str(path), "--log", self.log.address)
+        if completed.returncode != 0:
+            raise RuntimeError(
+                f"`poplarrun config publish` failed: {completed.stdout}{completed.stderr}"
+            )
+        return int(completed.stdout.split()[-1])
 
     def run_cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line."""
+        """Run a ``poplarrun`` command."""
         return subprocess.run(
             [sys.executable, "-m", "poplarrun", *arguments],
             capture_output=True,
@@ -308,38 +313,45 @@
         )
 
     def wait_in_force(self, offset: int) -> float:
-        """Wait until an offset is in force at every running host; return the seconds."""
+        """Wait until every running host has applied an offset; return the elapsed seconds."""
         return wait_until(
-            lambda: all(h.is_ready() and h.status()["offset"] >= offset for h in self._running()),
-            f"offset {offset} is in force",
+            lambda: all(
+                h.is_ready() and h.status()["offset"] >= offset for h in self._running_hosts()
+            ),
+            f"offset {offset} is in force at every running host",
         )
 
     def wait_versions(self, *versions: str) -> float:
-        """Wait until every running host knows a live endpoint of each version."""
+        """Wait until every running host knows a live endpoint of each version.
 
-        def known() -> bool:
-            return all(set(versions) <= _live_versions(host.status()) for host in self._running())
+        Returns the elapsed seconds.
+        """
+
+        def has_versions() -> bool:
+            return all(
+                set(versions) <= _live_versions(host.status()) for host in self._running_hosts()
+            )
 
-        return wait_until(known, f"{versions} known at every host")
+        return wait_until(has_versions, f"every running host knows live endpoints of {versions}")
 
-    def _running(self) -> list[HostProcess]:
+    def _running_hosts(self) -> list[HostProcess]:
         hosts = self.hosts.values()
         return [h for h in hosts if h.process is not None and h.process.poll() is None]
 
     def _stand_ins(self) -> list[StandInProcess]:
         return [self.log, self.host_list, self.ratings, self.weights, *self.endpoints.values()]
 
-    def _plan_hosts(self) -> None:
-        names = [(f"{z}{n}", z) for z in self.zones for n in range(1, self.hosts_per_zone + 1)]
-        peers = {name: free_address() for name, _ in names}
-        for name, zone in names:
+    def _write_host_settings(self) -> None:
+        host_zones = [(f"{z}{n}", z) for z in self.zones for n in range(1, self.hosts_per_zone + 1)]
+        peer_addresses = {name: free_address() for name, _ in host_zones}
+        for name, zone in host_zones:
             address = free_address()
             settings = {
                 "name": name,
                 "zone": zone,
                 "listen": address,
-                "peer_listen": peers[name],
-                "seeds": [peer for other, peer in peers.items() if other != name],
+                "peer_listen": peer_addresses[name],
+                "seeds": [peer for other, peer in peer_addresses.items() if other != name],
                 "platform": {
                     "log": self.log.address,
                     "host_list": self.host_list.address,
--- a/standins/logservice.py
+++ b/standins/logservice.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's append-only log service."""
+"""Stand-in for the platform's append-only log service, with a limited append rate."""
 
 import base64
 import itertools
@@ -14,18 +14,18 @@
 
 
 class LogFaults(msgspec.Struct):
-    """What the log can be told to do wrong.
+    """Faults that can be injected into the log service.
 
     Attributes
     ----------
     down : bool
-        Answer 503 to everything.
+        Answer 503 to all requests.
     append_delay_s, read_delay_s : float
-        Time before each answer, in seconds.
+        Delay of each response, in seconds.
     lose_answers : int
-        That many next appends take effect and get no answer.
+        Number of following appends that take effect but get no response.
     hold_s : float
-        Time for which appends wait before they take effect, in seconds.
+        Delay before each append takes effect, in seconds.
     """
 
     down: bool = False
@@ -36,7 +36,17 @@
 
 
 class LogStandIn(StandIn):
-    """The log over HTTP, with a bound on appends a second."""
+    """An in-memory log that is served over HTTP.
+
+    Parameters
+    ----------
+    appends_per_s : int
+        Maximum append rate; faster appends are delayed.
+    retention : int, optional
+        Number of newest records that each stream keeps; None keeps all.
+    ports : int
+        ``port`` and ``control_port`` of the stand-in.
+    """
 
     def __init__(
         self, appends_per_s: int = DEFAULT_APPENDS_PER_S, retention: int | None = None, **ports: int
@@ -44,13 +54,13 @@
         self.log = MemoryLog()
         self.appends = itertools.count()
         self._lock = threading.Lock()
-        self._interval = 1.0 / appends_per_s
-        self._next_slot = 0.0
+        self._append_interval_s = 1.0 / appends_per_s
+        self._next_append_at = 0.0
         self._retention = retention
         super().__init__(LogFaults(), **ports)
 
     def routes(self) -> list[Route]:
-        """Return the data port's routes."""
+        """Return the routes of the data port."""
         path = "/v1/streams/{stream}/records"
         return [Route("POST", path, self._append), Route("GET", path, self._read)]
 
@@ -58,15 +68,15 @@
         if self.faults.down:
             return json_response({"error": "the log is down"}, 503)
         time.sleep(self.faults.hold_s)
-        self._wait_for_slot()
+        self._limit_append_rate()
         with self._lock:
             outcome = self.log.append(request.params["stream"], request.body)
             next(self.appends)
-            lost = self.faults.lose_answers > 0
-            self.faults.lose_answers -= lost
+            loses_response = self.faults.lose_answers > 0
+            self.faults.lose_answers -= loses_response
         self._truncate(request.params["stream"], outcome)
         time.sleep(self.faults.append_delay_s)
-        if lost:
+        if loses_response:
             raise DropConnection
         match outcome:
             case Appended(offset=offset):
@@ -74,12 +84,12 @@
             case AppendRefused(reason=reason) | AppendUnknown(reason=reason):
                 return json_response({"error": reason}, 503)
 
-    def _wait_for_slot(self) -> None:
+    def _limit_append_rate(self) -> None:
         with self._lock:
             now = time.monotonic()
-            slot = max(now, self._next_slot)
-            self._next_slot = slot + self._interval
-        time.sleep(max(0.0, slot - now))
+            append_at = max(now, self._next_append_at)
+            self._next_append_at = append_at + self._append_interval_s
+        time.sleep(max(0.0, append_at - now))
 
     def _truncate(self, stream: str, outcome: object) -> None:
         if self._retention is not None and isinstance(outcome, Appended):
@@ -90,10 +100,10 @@
         if self.faults.down:
             return json_response({"error": "the log is down"}, 503)
         time.sleep(self.faults.read_delay_s)
-        first = int(request.query.get("from", "0"))
+        from_offset = int(request.query.get("from", "0"))
         limit = int(request.query.get("limit", "500"))
         with self._lock:
-            page = self.log.read(request.params["stream"], first, limit)
+            page = self.log.read(request.params["stream"], from_offset, limit)
         if not isinstance(page, Page):
             return json_response({"error": "unreadable"}, 503)
         entries = [
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service that counts its effects."""
+"""Stand-in for a plain service that records the effect of each operation."""
 
 import threading
 import time
@@ -9,18 +9,18 @@
 
 
 class ServiceFaults(msgspec.Struct):
-    """What a plain service can be told to do wrong.
+    """Faults that can be injected into a plain service.
 
     Attributes
     ----------
     delay_s : float
-        Time before the effect, in seconds.
+        Delay before the effect, in seconds.
     answer_delay_s : float
-        Time between effect and answer, in seconds.
+        Delay between effect and response, in seconds.
     die_before_effect, die_after_effect : int
-        That many next calls break before or after their effect.
+        Number of following calls whose connection breaks before or after the effect.
     refuse : int
-        Status to answer instead of running; 0 runs.
+        HTTP status that refuses each call; 0 runs the calls.
     """
 
     delay_s: float = 0.0
@@ -31,7 +31,7 @@
 
 
 class ServiceStandIn(StandIn):
-    """Runs any operation; each effect is an event with the request's id and body."""
+    """A service that runs any operation and records its effect as an event."""
 
     def __init__(self, name: str, **ports: int) -> None:
         self.name = name
@@ -39,19 +39,19 @@
         super().__init__(ServiceFaults(), **ports)
 
     def routes(self) -> list[Route]:
-        """Return the data port's routes."""
-        return [Route("POST", "/v1/operations/{operation}", self._run)]
+        """Return the routes of the data port."""
+        return [Route("POST", "/v1/operations/{operation}", self._run_operation)]
 
     @property
     def effects(self) -> list[dict[str, object]]:
-        """The effects so far."""
+        """The recorded effects, each with the request's id and body."""
         return [event for event in self.events if event["kind"] == "effect"]
 
-    def _run(self, request: Request) -> Response:
+    def _run_operation(self, request: Request) -> Response:
         if self.faults.refuse:
             return json_response({"error": "refused"}, self.faults.refuse)
         time.sleep(self.faults.delay_s)
-        if self._take("die_before_effect"):
+        if self._consume_fault("die_before_effect"):
             raise DropConnection
         self.record(
             "effect",
@@ -60,15 +60,15 @@
             request_id=request.headers.get("x_request_id", ""),
             body=request.body.decode(errors="replace"),
         )
-        if self._take("die_after_effect"):
+        if self._consume_fault("die_after_effect"):
             raise DropConnection
         time.sleep(self.faults.answer_delay_s)
-        number = len(self.effects)
-        return json_response({"done": request.params["operation"], "effect": number})
+        effect_count = len(self.effects)
+        return json_response({"done": request.params["operation"], "effect": effect_count})
 
-    def _take(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
-            left = int(getattr(self.faults, fault))
-            if left > 0:
-                setattr(self.faults, fault, left - 1)
-            return left > 0
+            remaining = int(getattr(self.faults, fault))
+            if remaining > 0:
+                setattr(self.faults, fault, remaining - 1)
+            return remaining > 0
