--- a/bench/hosts.py
+++ b/bench/hosts.py
@@ -104,12 +104,12 @@
     followers = start_followers(fleet, log)
     tasks = [loop.create_task(follow(follower)) for follower in followers.values()]
     tasks.append(loop.create_task(publish_summaries(fleet)))
-    converge_s = await fleet.wait(fleet.agree, "the hosts agree", 120)
+    converge_s = await fleet.wait_until(fleet.is_converged, "the hosts agree", 120)
     await asyncio.sleep(SETTLE_S)
     publication = Publication("id", -1, "ada", 0.0, DOCUMENT)
     outcome = log.append(CONFIG_STREAM, encode_record(publication))
     assert isinstance(outcome, Appended)
-    in_force_s = await fleet.wait(
+    in_force_s = await fleet.wait_until(
         lambda: all(f.state.offset == outcome.offset for f in followers.values()), "in force", 60
     )
     before = {name: (e.bytes_sent, e.bytes_received) for name, e in fleet.links.items()}
@@ -119,7 +119,7 @@
     sent = [(e.bytes_sent - before[n][0]) / WINDOW_S for n, e in fleet.links.items()]
     both = [s + (e.bytes_received - before[n][1]) / WINDOW_S for s, (n, e) in _pairs(sent, fleet)]
     fleet.kill_host(f"{zones[-1]}{per_zone}")
-    death_s = await fleet.wait(fleet.agree, "the death is known", 120)
+    death_s = await fleet.wait_until(fleet.is_converged, "the death is known", 120)
     for task in tasks:
         task.cancel()
     return Costs(
@@ -139,7 +139,7 @@
     fleet = VirtualFleet(1, "abc")
     fleet.start(per_zone)
     task = asyncio.get_running_loop().create_task(publish_summaries(fleet))
-    await fleet.wait(fleet.agree, "the hosts agree", 120)
+    await fleet.wait_until(fleet.is_converged, "the hosts agree", 120)
     await asyncio.sleep(SETTLE_S)
     memory_kb = tracemalloc.get_traced_memory()[0] / len(fleet.peers) / 1000
     tracemalloc.stop()
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -33,7 +33,7 @@
     encode_demand,
 )
 from standins.fleet import StandInProcess
-from standins.order_world import PLACES, OrderWorld
+from standins.order_world import ENGINE_SLOTS, OrderWorld
 from standins.virtual_time import VirtualTimeLoop
 
 VERSIONS = [VersionId("model", str(number)) for number in range(26)]
@@ -84,7 +84,7 @@
 
 def served_share(held: list[set[VersionId]], demand: dict[VersionId, float]) -> float:
     """Return the share of the demand that the engines have places for, the rarest version first."""
-    free = [float(PLACES)] * len(held)
+    free = [float(ENGINE_SLOTS)] * len(held)
     served = 0.0
     for version in sorted(demand, key=lambda v: sum(v in versions for versions in held)):
         left = demand[version]
@@ -115,7 +115,7 @@
 def demands(seed: int) -> tuple[dict[VersionId, float], dict[VersionId, float]]:
     """Return the demand before and after the shift."""
     source = random.Random(seed)
-    places = zipf(len(VERSIONS), ZONE_ENGINES * PLACES * ASKED_SHARE)
+    places = zipf(len(VERSIONS), ZONE_ENGINES * ENGINE_SLOTS * ASKED_SHARE)
     before, after = list(VERSIONS), list(VERSIONS)
     source.shuffle(before)
     source.shuffle(after)
@@ -148,7 +148,7 @@
         course.orders = sum(len(e.accepted_orders) for e in engines.values()) - orders
 
     loop.run_until_complete(run())
-    loop.end()
+    loop.shut_down()
     return course
 
 
@@ -156,7 +156,7 @@
     """Open the demand's requests at the hosts in turn."""
     hosts = list(world.hosts.values())
     for index, host in enumerate(hosts):
-        host.open_work = [
+        host.open_requests = [
             OpenRequest(version, 1, False)
             for version, places in demand.items()
             for _ in range((round(places) + index) // len(hosts))
@@ -191,7 +191,7 @@
             holders = [versions for versions in held if version in versions]
             for versions in holders:
                 versions[version] = now
-            is_full = len(holders) * PLACES / ROOM < places and len(holders) < ZONE_ENGINES
+            is_full = len(holders) * ENGINE_SLOTS / ROOM < places and len(holders) < ZONE_ENGINES
             if is_full and version not in {c[2] for c in coming}:
                 others = [n for n in range(ZONE_ENGINES) if version not in held[n]]
                 index = source.choice(others)
@@ -215,9 +215,9 @@
     for number in range(engines):
         loaded = sorted(str(v) for v in source.sample(VERSIONS, ROOM))
         holder.apply_models(f"e{number}", EngineModels(ROOM, loaded), 0.0)
-    places = zipf(len(VERSIONS), engines * PLACES * ASKED_SHARE)
+    places = zipf(len(VERSIONS), engines * ENGINE_SLOTS * ASKED_SHARE)
     needs = [VersionNeed(version, p) for version, p in zip(VERSIONS, places, strict=True)]
-    return holder, needs, {f"e{number}": PLACES for number in range(engines)}
+    return holder, needs, {f"e{number}": ENGINE_SLOTS for number in range(engines)}
 
 
 def time_plans(engines: int, seed: int) -> list[float]:
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -49,11 +49,11 @@
 async def watch(hosts: int, zones: str) -> Cost:
     """Return what the hosts of a settled fleet spend."""
     fleet = PeerFleet(SEED, hosts, zones)
-    fleet.run_requests(REQUESTS, BUSY_ENDPOINTS)
-    fleet.talk()
+    fleet.set_in_flight(REQUESTS, BUSY_ENDPOINTS)
+    fleet.start_peering()
     await asyncio.sleep(SETTLED_S)
     began = time.process_time()
-    messages, far_messages = fleet.messages, fleet.far_messages
+    messages, far_messages = fleet.messages, fleet.cross_zone_messages
     sent = fleet.bytes_sent()
     await asyncio.sleep(WATCHED_S)
     spent = [now - before for now, before in zip(fleet.bytes_sent(), sent, strict=True)]
@@ -62,7 +62,7 @@
         sum(spent) / WATCHED_S / hosts,
         max(spent) / WATCHED_S,
         (time.process_time() - began) / WATCHED_S / hosts,
-        (fleet.far_messages - far_messages) / WATCHED_S,
+        (fleet.cross_zone_messages - far_messages) / WATCHED_S,
     )
 
 
--- a/bench/version_cascades.py
+++ b/bench/version_cascades.py
@@ -7,7 +7,7 @@
 from bench.version_costs import HALF, WINDOWS_MET
 from bench.version_traces import ACCOUNT, Account, ClassPlan, Trace, account_of
 from poplarrun.contracts import VersionId
-from standins.version_world import HARDNESS, Served, Traits, VersionWorld
+from standins.version_world import MAX_HARDNESS, Served, Traits, VersionWorld
 
 SEEDS = (1, 2, 3, 4)
 REQUESTS = 8000
@@ -47,7 +47,7 @@
     cheap, _, dear = (versions[version] for version in VERSIONS)
     for _ in range(REQUESTS):
         prompt_tokens = world.random.randint(50, 1500)
-        hardness = world.random.uniform(-HARDNESS, HARDNESS)
+        hardness = world.random.uniform(-MAX_HARDNESS, MAX_HARDNESS)
         spent = 0.0
         chosen = cheap if policy == "fixed" else dear
         served = world.answer(host, PLAN.name, chosen, policy, prompt_tokens, hardness)
--- a/bench/version_costs.py
+++ b/bench/version_costs.py
@@ -34,12 +34,12 @@
     "late by 5 minutes, a tenth lost, 5% too low": RatingTraits(300.0, 0.1, -0.05),
     "late by 5 minutes, a tenth lost, 5% too high": RatingTraits(300.0, 0.1, 0.05),
     "late by 5 minutes, a tenth lost, 5% too low, which is told": RatingTraits(
-        300.0, 0.1, -0.05, told_bias=-0.05
+        300.0, 0.1, -0.05, configured_bias=-0.05
     ),
     "late by 5 minutes, a tenth lost, 5% too high, which is told": RatingTraits(
-        300.0, 0.1, 0.05, told_bias=0.05
+        300.0, 0.1, 0.05, configured_bias=0.05
     ),
-    "down for an hour": RatingTraits(down=(300.0, 3900.0)),
+    "down for an hour": RatingTraits(outage=(300.0, 3900.0)),
 }
 PLANS = {"thistledown": THISTLEDOWN, "anellidoro": ANELLIDORO}
 
@@ -55,7 +55,7 @@
         accounts[SETTLED] = account_of(trace, world.served, LATE_LEARNING)
     for policy in BASELINES:
         accounts[policy] = account_of(trace, run_fixed(trace, seed, REQUESTS, policy))
-    return accounts, world.rated / len(world.served)
+    return accounts, world.rated_count / len(world.served)
 
 
 def bench_costs() -> list[Figure]:
--- a/bench/version_decisions.py
+++ b/bench/version_decisions.py
@@ -9,7 +9,7 @@
 from bench.figures import Figure, Slope
 from bench.version_traces import ACCOUNT, THISTLEDOWN, make_trace, run_poplarrun
 from poplarrun.versions import ChoiceRequest
-from standins.version_world import WorldHost
+from standins.version_world import VersionHost
 
 DECISIONS = 20_000
 VERSIONS = (5, 10, 26)
@@ -18,7 +18,7 @@
 COMMAND = "python -m bench.versions"
 
 
-def learned_host(version_count: int) -> WorldHost:
+def learned_host(version_count: int) -> VersionHost:
     """Return a host that has learnt of some versions."""
     trace = make_trace(1, THISTLEDOWN, version_count)
     return next(iter(run_poplarrun(trace, 1, REQUESTS).hosts.values()))
@@ -34,7 +34,7 @@
     return took
 
 
-def time_decisions(host: WorldHost) -> list[float]:
+def time_decisions(host: VersionHost) -> list[float]:
     """Return what decisions take, in microseconds."""
     work_class = host.configuration.document.classes["digest"]
     request = ChoiceRequest(ACCOUNT, work_class, 500, 1000)
--- a/bench/version_exposure.py
+++ b/bench/version_exposure.py
@@ -111,7 +111,7 @@
     begin = len(world.served)
     if kind == FIRST_STEP:
         world.run(4000, [CLASS], ACCOUNT)
-        return sum(s.version == NEW and s.why != "cascade" for s in world.served[begin:])
+        return sum(s.version == NEW and s.reason != "cascade" for s in world.served[begin:])
     world.run(8000, [CLASS], ACCOUNT, lambda: is_out(world))
     if not is_out(world):
         return None
--- a/bench/version_traces.py
+++ b/bench/version_traces.py
@@ -11,7 +11,7 @@
     VersionId,
     parse_document,
 )
-from standins.version_world import HARDNESS, RatingTraits, Served, Traits, VersionWorld
+from standins.version_world import MAX_HARDNESS, RatingTraits, Served, Traits, VersionWorld
 
 LEARNING_REQUESTS = 2000
 WINDOW = 500
@@ -140,7 +140,7 @@
     for _ in range(requests):
         plan = plans[world.random.choice(list(plans))]
         prompt_tokens = world.random.randint(50, 1500)
-        hardness = world.random.uniform(-HARDNESS, HARDNESS)
+        hardness = world.random.uniform(-MAX_HARDNESS, MAX_HARDNESS)
         chosen = {
             "best": lambda plan=plan: max(
                 by_price, key=lambda v: trace.traits[(plan.name, v)].quality
--- a/features/steps/config_follow.py
+++ b/features/steps/config_follow.py
@@ -114,7 +114,7 @@
 
 @given('a publication "{name}" is in force everywhere')
 def step_first(context, name):
-    wait(context, context.virtual.agree, "the hosts have met", 30)
+    wait(context, context.virtual.is_converged, "the hosts have met", 30)
     step_publish(context, name)
     step_in_force_within(context, 5, name)
 
--- a/features/steps/hosts.py
+++ b/features/steps/hosts.py
@@ -27,12 +27,12 @@
 
 
 def wait(context, condition, what, timeout_s):
-    return run(context, context.virtual.wait(condition, what, timeout_s))
+    return run(context, context.virtual.wait_until(condition, what, timeout_s))
 
 
 def start_fleet(context, zones, hosts, faults=None):
     context.loop = VirtualTimeLoop()
-    context.add_cleanup(context.loop.end)
+    context.add_cleanup(context.loop.shut_down)
     context.virtual = VirtualFleet(5, "abcdefg"[:zones], faults)
 
     async def start():
@@ -56,7 +56,7 @@
 @given("all hosts have discovered each other")
 @when("all hosts have discovered each other")
 def step_met(context):
-    wait(context, context.virtual.agree, "the hosts have discovered each other", 30)
+    wait(context, context.virtual.is_converged, "the hosts have discovered each other", 30)
 
 
 @when("{seconds:d} s pass")
@@ -163,12 +163,12 @@
 
 @then("every host takes exactly the running hosts to be live")
 def step_agree(context):
-    wait(context, context.virtual.agree, "the hosts agree", 10)
+    wait(context, context.virtual.is_converged, "the hosts agree", 10)
 
 
 @then("within {seconds:d} s every host takes exactly the running hosts to be live")
 def step_agree_within(context, seconds):
-    wait(context, context.virtual.agree, "the hosts agree", seconds)
+    wait(context, context.virtual.is_converged, "the hosts agree", seconds)
 
 
 @then("no host sends more than {limit:d} bytes a second of gossip")
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -39,20 +39,20 @@
     clock.__enter__()
     context.add_cleanup(clock.__exit__, None, None, None)
     context.loop = VirtualTimeLoop()
-    context.add_cleanup(context.loop.end)
+    context.add_cleanup(context.loop.shut_down)
     context.missing = []
 
     async def start_exchange():
         context.fleet = PeerFleet(SEED, count, zones)
-        context.fleet.run_requests(requests, 2)
-        context.fleet.talk()
+        context.fleet.set_in_flight(requests, 2)
+        context.fleet.start_peering()
 
     run(context, start_exchange())
 
 
 @given("links that lose {share:f} of the messages")
 def step_lossy(context, share):
-    context.fleet.lose(share)
+    context.fleet.set_loss(share)
 
 
 @when("they have exchanged digests for {seconds:f} s")
@@ -64,7 +64,10 @@
 def step_known(context):
     async def find_wrong():
         hosts = context.fleet.hosts
-        return context.fleet.find_wrong(hosts, hosts), context.fleet.find_wrong_sums()
+        return (
+            context.fleet.find_membership_errors(hosts, hosts),
+            context.fleet.find_in_flight_errors(),
+        )
 
     wrong, sums = run(context, find_wrong())
     assert not wrong, (len(wrong), wrong[:5])
@@ -74,7 +77,7 @@
 @then("one host of each zone reads each topic, and one host does each job")
 def step_readers(context):
     async def count():
-        return context.fleet.count_readers(), context.fleet.count_on_duty()
+        return context.fleet.count_readers(), context.fleet.count_first_ranked()
 
     readers, on_duty = run(context, count())
     assert set(readers.values()) == {1}, readers
@@ -87,17 +90,19 @@
 )
 def step_messages(context, most, far):
     fleet = context.fleet
-    before = fleet.messages, fleet.far_messages
+    before = fleet.messages, fleet.cross_zone_messages
     run(context, asyncio.sleep(MEASURE_WINDOW_S))
     per_host = (fleet.messages - before[0]) / MEASURE_WINDOW_S / len(fleet.hosts)
     assert per_host <= most, per_host
-    assert (fleet.far_messages - before[1]) / MEASURE_WINDOW_S <= far, fleet.far_messages
+    assert (
+        fleet.cross_zone_messages - before[1]
+    ) / MEASURE_WINDOW_S <= far, fleet.cross_zone_messages
 
 
 @when('the aggregators of zone "{zone}" are killed')
 def step_kill_aggregators(context, zone):
     async def kill():
-        aggregators = context.fleet.relays(zone)
+        aggregators = context.fleet.aggregators(zone)
         assert len(aggregators) == 2
         context.fleet.kill(aggregators)
 
@@ -115,7 +120,7 @@
 @when('an aggregator of zone "{zone}" is suspended for {seconds:f} s')
 def step_suspend(context, zone, seconds):
     async def suspend():
-        await context.fleet.suspend(context.fleet.relays(zone)[0], seconds)
+        await context.fleet.suspend(context.fleet.aggregators(zone)[0], seconds)
 
     run(context, suspend())
 
@@ -134,7 +139,7 @@
 def step_halves(context, zone, seconds):
     fleet = context.fleet
     near = [host.address for host in fleet.hosts if host.zone == zone]
-    fleet.cut_apart(near[::2], near[1::2])
+    fleet.cut_hosts(near[::2], near[1::2])
     run(context, asyncio.sleep(seconds))
     parts = {
         len(host.peering.peer_table.zone_peers(context.loop.time())) for host in fleet.hosts[::3]
@@ -145,8 +150,8 @@
 
 def is_settled(context, hosts):
     fleet = context.fleet
-    context.missing += fleet.find_missing(hosts, hosts)
-    return not fleet.find_wrong(hosts, hosts)
+    context.missing += fleet.find_missing_peers(hosts, hosts)
+    return not fleet.find_membership_errors(hosts, hosts)
 
 
 @then("within {seconds:f} s the remaining hosts take exactly each other to be alive")
@@ -168,7 +173,7 @@
         missing = []
         for _ in range(int(seconds / POLL_INTERVAL_S)):
             await asyncio.sleep(POLL_INTERVAL_S)
-            missing += fleet.find_missing(fleet.hosts, fleet.hosts)
+            missing += fleet.find_missing_peers(fleet.hosts, fleet.hosts)
         return missing
 
     missing = run(context, watch())
@@ -180,9 +185,12 @@
     fleet = context.fleet
 
     def is_known():
-        return not fleet.find_wrong(fleet.hosts, fleet.hosts) and not fleet.find_wrong_sums()
+        return (
+            not fleet.find_membership_errors(fleet.hosts, fleet.hosts)
+            and not fleet.find_in_flight_errors()
+        )
 
-    assert run(context, fleet.wait_until(is_known, seconds)), fleet.find_wrong_sums()[:5]
+    assert run(context, fleet.wait_until(is_known, seconds)), fleet.find_in_flight_errors()[:5]
 
 
 @then('within {seconds:f} s all hosts of the zones "{zones}" take zone "{silent}" to be silent')
@@ -287,7 +295,7 @@
     async def find_wrong():
         host, peer = context.fleet.hosts
         alive = [each.address for each in host.peering.peer_table.alive_peers(context.fleet.now)]
-        return alive == [peer.address], context.fleet.find_wrong_sums()
+        return alive == [peer.address], context.fleet.find_in_flight_errors()
 
     is_same, sums = run(context, find_wrong())
     assert is_same and not sums, sums
--- a/features/steps/leases.py
+++ b/features/steps/leases.py
@@ -73,7 +73,7 @@
 @given('{zones:d} zones of {hosts:d} hosts that campaign for the job "{job}"')
 def step_candidates(context, zones, hosts, job):
     start_fleet(context, zones, hosts)
-    wait(context, context.virtual.agree, "the hosts have met", 30)
+    wait(context, context.virtual.is_converged, "the hosts have met", 30)
     context.log = MemoryLog()
     context.lease_hosts = {name: LeaseHost(context, name) for name in context.virtual.peers}
 
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -34,7 +34,9 @@
 
 
 def drain_revisions(context):
-    return [holder.tasks.controller.summarize().revision for holder in context.world.holders("a")]
+    return [
+        holder.tasks.controller.summarize().revision for holder in context.world.lease_holders("a")
+    ]
 
 
 def loads_by_engine(context):
@@ -47,7 +49,7 @@
 )
 def step_world(context, zones, hosts, count, room, versions):
     context.loop = VirtualTimeLoop()
-    context.add_cleanup(context.loop.end)
+    context.add_cleanup(context.loop.shut_down)
     letters = "abcdefg"[:zones]
     engines = {f"{z}-engine-{n}": MemoryEngine(room, set(), load_s=2.0)
                for z in letters for n in range(count)}  # fmt: skip
@@ -74,7 +76,7 @@
 
 @then("the store gave out no weights")
 def step_nothing_handed(context):
-    assert context.world.holders("a")
+    assert context.world.lease_holders("a")
     assert not context.world.store.fetched
 
 
@@ -87,9 +89,14 @@
 @given("the versions are loaded")
 def step_loaded(context):
     for zone in "ab":
-        wait(context, lambda z=zone: set(context.offered) <= context.world.held(z), "loaded", 150)
+        wait(
+            context,
+            lambda z=zone: set(context.offered) <= context.world.loaded_versions(z),
+            "loaded",
+            150,
+        )
     run_for(context, 5)
-    (context.holder,) = context.world.holders("a")
+    (context.holder,) = context.world.lease_holders("a")
     context.fence = context.holder.leases.find(JOB).fence
 
 
@@ -115,7 +122,7 @@
 def step_paused_before(context):
     context.holder.paused = True
     context.world.network.down.add(context.holder.name)
-    wait(context, lambda: context.world.holders("a"), "another holder", 60)
+    wait(context, lambda: context.world.lease_holders("a"), "another holder", 60)
     context.outdated_order = ModelsOrder(context.fence, ["stale:1"])
     send(context, context.holder, next(iter(in_zone(context, "a"))))
     run_for(context, 1)
@@ -123,7 +130,7 @@
 
 @then("it does not send the order")
 def step_kept_back(context):
-    assert context.holder.counted("order_kept_back") == 1
+    assert context.holder.sum_counters("order_kept_back") == 1
     orders = [order for e in context.world.engines.values() for order in e.accepted_orders]
     assert context.outdated_order not in orders
 
@@ -131,7 +138,7 @@
 @when("the holder's order for {what} is stuck while another host takes over")
 def step_stuck(context, what):
     holder, world = context.holder, context.world
-    holder.stuck = True
+    holder.orders_blocked = True
     name, context.outdated_engine = next(iter(in_zone(context, "a").items()))
     context.wanted_before = set(context.outdated_engine.wanted)
     kept = context.wanted_before if what == "one version more" else set()
@@ -142,13 +149,13 @@
     holder.paused = True
     # A paused process answers no messages, so the others consider it dead.
     world.network.down.add(holder.name)
-    wait(context, lambda: world.holders("a"), "another holder", 60)
+    wait(context, lambda: world.lease_holders("a"), "another holder", 60)
     run_for(context, 5)
 
 
 @when("the stuck order is delivered")
 def step_through(context):
-    context.holder.stuck = False
+    context.holder.orders_blocked = False
     run_for(context, 0.1)
 
 
@@ -166,7 +173,7 @@
 @then("the engine refused it, which its sender counted")
 def step_refused(context):
     assert context.outdated_order not in context.outdated_engine.accepted_orders
-    assert context.holder.counted("order_refused_fence") == 1
+    assert context.holder.sum_counters("order_refused_fence") == 1
 
 
 @then("an engine follows the outdated order")
@@ -176,7 +183,7 @@
 
 @then("within {seconds:d} s the engines follow the new holder")
 def step_follow_new(context, seconds):
-    (holder,) = context.world.holders("a")
+    (holder,) = context.world.lease_holders("a")
     fence = holder.leases.find(JOB).fence
     assert fence > context.fence
 
@@ -206,7 +213,7 @@
         return any(e.loading for e in in_zone(context, zone).values())
 
     wait(context, under_way, "a load", 60)
-    (holder,) = context.world.holders(zone)
+    (holder,) = context.world.lease_holders(zone)
     context.world.kill(holder.name)
 
 
@@ -222,12 +229,12 @@
 
 @given("each request to the store takes {seconds:d} s")
 def step_store_slow(context, seconds):
-    context.world.store_s = seconds
+    context.world.fetch_s = seconds
 
 
 @then("the store was asked at most {count:d} times")
 def step_asked(context, count):
-    asked = sum(h.counted("weights_status_429") for h in context.world.hosts.values())
+    asked = sum(h.sum_counters("weights_status_429") for h in context.world.hosts.values())
     assert 0 < asked <= count, asked
 
 
@@ -251,16 +258,18 @@
 
 @when("{seconds:d} s pass for the orders")
 def step_pass(context, seconds):
-    context.always = {zone: context.world.held(zone) for zone in "ab"}
+    context.always = {zone: context.world.loaded_versions(zone) for zone in "ab"}
     for _ in range(seconds * 2):
         run_for(context, 0.5)
         for zone in "ab":
-            context.always[zone] &= context.world.held(zone)
+            context.always[zone] &= context.world.loaded_versions(zone)
 
 
 @then('zone "{zone}" holds "{versions}"')
 def step_holds(context, zone, versions):
-    assert set(versions.split()) <= context.world.held(zone), context.world.held(zone)
+    assert set(versions.split()) <= context.world.loaded_versions(
+        zone
+    ), context.world.loaded_versions(zone)
 
 
 @then('zone "{zone}" held "{versions}" all the time')
@@ -287,24 +296,24 @@
 @given('a session at host "{host}" is pinned to "{versions}"')
 @given('sessions at host "{host}" are pinned to "{versions}"')
 def step_session(context, host, versions):
-    context.world.hosts[host].open_work = [open_request(v, True) for v in versions.split()]
+    context.world.hosts[host].open_requests = [open_request(v, True) for v in versions.split()]
     run_for(context, 3)
 
 
 @when('{count:d} requests for "{version}" are open at host "{host}"')
 def step_open(context, count, version, host):
-    context.world.hosts[host].open_work = [open_request(version)] * count
+    context.world.hosts[host].open_requests = [open_request(version)] * count
 
 
 @when('{count:d} requests of sessions for "{version}" are open at host "{host}"')
 def step_open_sessions(context, count, version, host):
-    context.world.hosts[host].open_work = [open_request(version, True)] * count
+    context.world.hosts[host].open_requests = [open_request(version, True)] * count
 
 
 @when('host "{host}" has {many:d} requests open for "{one}" and {few:d} for "{other}"')
 def step_open_both(context, many, one, few, other, host):
     work = [open_request(one)] * many + [open_request(other)] * few
-    context.world.hosts[host].open_work = work
+    context.world.hosts[host].open_requests = work
 
 
 def engines_with(context, zone, version):
@@ -315,12 +324,12 @@
 def step_stream(context, version, host):
     (engine,) = engines_with(context, "a", version)
     context.streaming = context.world.hosts[host]
-    context.streaming.open_work = [open_request(version, engine=engine)]
+    context.streaming.open_requests = [open_request(version, engine=engine)]
 
 
 @when('the stream of "{version}" ends')
 def step_stream_ends(context, version):
-    context.streaming.open_work = []
+    context.streaming.open_requests = []
 
 
 @then('no host routes "{version}" to zone "{zone}"')
@@ -398,7 +407,7 @@
 @then('every zone has one lease holder and holds "{versions}"')
 def step_each_zone(context, versions):
     for zone in {host.zone for host in context.world.hosts.values()}:
-        assert len(context.world.holders(zone)) == 1, zone
+        assert len(context.world.lease_holders(zone)) == 1, zone
         step_holds(context, zone, versions)
 
 
--- a/features/steps/rollout_sessions.py
+++ b/features/steps/rollout_sessions.py
@@ -14,9 +14,9 @@
     """Send requests until all sessions use the new version."""
     until = order_at + OBSERVED_FRACTION * duration_s
     fleet.start()
-    calls = asyncio.ensure_future(fleet.call(sessions_per_s, until))
+    calls = asyncio.ensure_future(fleet.run_sessions(sessions_per_s, until))
     await asyncio.sleep(order_at)
-    fleet.order(duration_s)
+    fleet.apply_order(duration_s)
     await asyncio.sleep(listed_after_s)
     fleet.list_new_version()
     await calls
@@ -40,7 +40,7 @@
 
 @then("no session changes its version in the first half of the roll-out")
 def step_kept(context):
-    changes = context.fleet.changes(context.order_at, context.middle)
+    changes = context.fleet.version_changes(context.order_at, context.middle)
     assert not changes, (len(changes), changes[:3])
 
 
@@ -49,13 +49,13 @@
     " of that half"
 )
 def step_trial(context, least, most, seconds):
-    share = context.fleet.share(context.middle - seconds, context.middle)
+    share = context.fleet.new_version_fraction(context.middle - seconds, context.middle)
     assert least <= share <= most, share
 
 
 @then("no session goes back to the old version")
 def step_not_back(context):
-    changes = context.fleet.changes(context.order_at, context.end)
+    changes = context.fleet.version_changes(context.order_at, context.end)
     back = [pair for pair in changes if pair[1].version == OLD]
     assert not back, (len(back), back[:3])
 
@@ -63,19 +63,19 @@
 @then("the new version gets all requests of the last {seconds:f} s")
 def step_all(context, seconds):
     until = context.order_at + OBSERVED_FRACTION * (context.end - context.order_at)
-    assert context.fleet.share(until - seconds, until) == 1.0
+    assert context.fleet.new_version_fraction(until - seconds, until) == 1.0
 
 
 async def restart_host(fleet, sessions_per_s, order_at, duration_s, later_s):
     """Restart a host during a roll-out; return its stage and the other hosts'."""
     loop = asyncio.get_running_loop()
     fleet.start()
-    calls = asyncio.ensure_future(fleet.call(sessions_per_s, order_at + later_s + 1.0))
+    calls = asyncio.ensure_future(fleet.run_sessions(sessions_per_s, order_at + later_s + 1.0))
     await asyncio.sleep(order_at)
-    order = fleet.order(duration_s)
+    order = fleet.apply_order(duration_s)
     fleet.list_new_version()
     await asyncio.sleep(later_s)
-    host = await fleet.start_anew(order)
+    host = await fleet.start_host_with_order(order)
     stages = [each.rollouts.find(SERVICE).stage(loop.time()) for each in (host, *fleet.hosts)]
     await calls
     return stages
--- a/features/steps/versions_cascades.py
+++ b/features/steps/versions_cascades.py
@@ -115,7 +115,7 @@
 @then("the cheap version ends as {role} in each")
 def step_role(context, role):
     for seed, world in enumerate(context.worlds, 1):
-        cascades = sum(s.why == "cascade" for s in world.served[-LAST_REQUESTS:])
+        cascades = sum(s.reason == "cascade" for s in world.served[-LAST_REQUESTS:])
         assert cascades >= LAST_REQUESTS * 0.9 if role == "a first step" else cascades == 0, (
             seed,
             cascades,
@@ -123,7 +123,7 @@
 
 
 def list_answered_alone(world):
-    return [served.version == CHEAP and served.why != "cascade" for served in world.served]
+    return [served.version == CHEAP and served.reason != "cascade" for served in world.served]
 
 
 @then("it answered alone at most {most:d} times in each, and never in the last 300 requests")
--- a/features/steps/versions_exposure.py
+++ b/features/steps/versions_exposure.py
@@ -98,7 +98,7 @@
 
 @given("ratings with a bias of {bias:g}, which the hosts are configured with")
 def step_biased(context, bias):
-    ratings = RatingTraits(delay_s=5.0, bias=bias, told_bias=bias)
+    ratings = RatingTraits(delay_s=5.0, bias=bias, configured_bias=bias)
     context.world = VersionWorld({}, seed=3, ratings=ratings)
 
 
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -1,7 +1,7 @@
-"""Hosts of the gateway that tell each other of roll-outs, in virtual time.
+"""Simulation in virtual time of gateway hosts that exchange the state of roll-outs.
 
-Each host has its own decisions and its own conversation with the others. The links between
-them are those of the test transport; answers and callers are drawn.
+Each host runs its own dispatch decisions and peering. The hosts are connected by the in-memory
+transport; sessions, hosts and durations of requests are random.
 """
 
 import asyncio
@@ -42,21 +42,19 @@
 
 SERVICE = "engines"
 OLD, NEW = "v1", "v2"
-SESSION_S = 6.5
-ENDPOINTS_OF_EACH = 4
-PLACES = 64
-CLOCK_USERS = ("_peering", "_reading", "_followers", "_sessions")
-# Time to the first event of an answer, in seconds.
-FIRST_S = 0.15
-# Pause between two looks of a host at a roll-out, in seconds.
-JUDGE_PERIOD_S = 0.25
-PACE = LatencyTargets(timeout_s=12.0, target_s=2.0, event_gap_s=1.2)
+SESSION_TIMEOUT_S = 6.5
+ENDPOINTS_PER_VERSION = 4
+ENDPOINT_SLOTS = 64
+CLOCK_MODULES = ("_peering", "_reading", "_followers", "_sessions")
+FIRST_EVENT_DELAY_S = 0.15
+VERDICT_INTERVAL_S = 0.25
+LATENCY_TARGETS = LatencyTargets(timeout_s=12.0, target_s=2.0, event_gap_s=1.2)
 ROUTE = Route(
     "draft",
     "shop",
     "/",
     RepeatPolicy.STREAM,
-    PACE,
+    LATENCY_TARGETS,
     1,
     (ServiceWeight(SERVICE, 1.0),),
     3,
@@ -64,18 +62,18 @@
     is_resumable=True,
     sizes=("small",),
 )
-ENGINES = Service(SERVICE, PLACES, PLACES, 600_000, (ModelSize("small", 1.0),))
+ENGINES = Service(SERVICE, ENDPOINT_SLOTS, ENDPOINT_SLOTS, 600_000, (ModelSize("small", 1.0),))
 CATALOGUE = Catalogue(1, {"shop": (ROUTE,)}, {SERVICE: ENGINES}, None)
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """One request that ran.
+class CompletedRequest:
+    """One completed request.
 
     Attributes
     ----------
     sent_at, ended_at : float
-        In seconds of the virtual clock.
+        Virtual times, in seconds.
     """
 
     session: str
@@ -86,25 +84,29 @@
 
 
 class RolloutHost:
-    """The decisions of one host, and its conversation with the others."""
+    """One gateway host: its dispatch decisions and its peering."""
 
     def __init__(self, network: MemoryLinkNetwork, address: str, zone: str, seed: int) -> None:
         self.address = address
         self.zone = zone
-        self.knowledge = ConfigView(None)
+        self.config_view = ConfigView(None)
         self.placement = Placement(zone, random.Random(seed))
-        self.rollouts = Rollouts(SESSION_S)
+        self.rollouts = Rollouts(SESSION_TIMEOUT_S)
         self.dispatch = Dispatcher(
-            self.knowledge, self.placement, self.rollouts, SizePolicy(), 0.8, 100.0, 10.0
+            self.config_view, self.placement, self.rollouts, SizePolicy(), 0.8, 100.0, 10.0
         )
-        self.knowledge.apply_catalogue(CATALOGUE)
+        self.config_view.apply_catalogue(CATALOGUE)
         self.placement.update_endpoints(list(_list_endpoints(OLD)))
         peer_table = PeerTable(address, zone)
-        # Nobody reads the store here: orders are handed to the hosts that would read them.
+        # No host reads the store: the fleet applies orders at the hosts that would read them.
         store = cast(StoreClient, None)
         directory = EndpointDirectory()
         documents = DocumentFollower(
-            store, self.knowledge, self.rollouts, lambda: None, SharedReader(DOCUMENTS, peer_table)
+            store,
+            self.config_view,
+            self.rollouts,
+            lambda: None,
+            SharedReader(DOCUMENTS, peer_table),
         )
         listings = ListingFollower(
             store, directory, self.placement, SharedReader(ENDPOINTS, peer_table)
@@ -113,7 +115,7 @@
             peer_table,
             MemoryLinks(network, address, zone),
             store,
-            self.knowledge,
+            self.config_view,
             documents,
             listings,
             directory,
@@ -122,20 +124,20 @@
         )
 
     def list_new_version(self) -> None:
-        """List endpoints of the new version beside the old ones."""
+        """Add endpoints of the new version to those of the old one."""
         self.placement.update_endpoints([*_list_endpoints(OLD), *_list_endpoints(NEW)])
 
-    async def judge(self, begin_after_s: float) -> None:
-        """Judge the roll-out for ever, as each host does; nothing is recorded."""
+    async def run_verdicts(self, initial_delay_s: float) -> None:
+        """Compute verdicts of active roll-outs periodically, without recording them."""
         clock = asyncio.get_running_loop().time
-        await asyncio.sleep(begin_after_s)
+        await asyncio.sleep(initial_delay_s)
         while True:
             for rollout in self.rollouts.active():
                 self.rollouts.compute_verdict(rollout, clock())
-            await asyncio.sleep(JUDGE_PERIOD_S)
+            await asyncio.sleep(VERDICT_INTERVAL_S)
 
-    async def serve(self, session: str, number: int, took_s: float) -> Run:
-        """Answer one request; return what ran."""
+    async def serve(self, session: str, number: int, duration_s: float) -> CompletedRequest:
+        """Dispatch and complete one request."""
         clock = asyncio.get_running_loop().time
         work = self.dispatch.admit(_make_request(session, number), clock())
         assert isinstance(work, InFlightRequest), work
@@ -144,57 +146,57 @@
         assert isinstance(step, SendDecision), step
         sent_at = clock()
         attempt = self.dispatch.record_sent(work, step, sent_at)
-        await asyncio.sleep(FIRST_S)
+        await asyncio.sleep(FIRST_EVENT_DELAY_S)
         self.dispatch.record_first_event(work, attempt, clock())
-        await asyncio.sleep(took_s - FIRST_S)
+        await asyncio.sleep(duration_s - FIRST_EVENT_DELAY_S)
         self.dispatch.record_completed(work, attempt, clock())
         version = step.estimate.endpoint.record.version
-        return Run(session, self.address, version, sent_at, clock())
+        return CompletedRequest(session, self.address, version, sent_at, clock())
 
 
 class RolloutFleet:
-    """Hosts in three zones, and callers whose requests reach any of them.
+    """Hosts in several zones, and sessions whose requests each go to a random host.
 
     Attributes
     ----------
     hosts : list of RolloutHost
-        All of them.
-    runs : list of Run
-        What ran so far.
+        The hosts, except one that ``start_host_with_order`` added.
+    completed_requests : list of CompletedRequest
+        The requests completed so far, by time of completion.
     """
 
     def __init__(self, seed: int, hosts: int, zones: str = "abc") -> None:
         self.random = random.Random(seed)
         self._network = MemoryLinkNetwork(self.random)
         self.hosts = [
-            RolloutHost(self._network, f"{zone}{place}", zone, self.random.getrandbits(32))
-            for place in range(hosts // len(zones))
+            RolloutHost(self._network, f"{zone}{number}", zone, self.random.getrandbits(32))
+            for number in range(hosts // len(zones))
             for zone in zones
         ]
-        self.runs: list[Run] = []
+        self.completed_requests: list[CompletedRequest] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._requests = 0
+        self._request_count = 0
 
     def start(self) -> None:
-        """Start the conversation of all hosts."""
+        """Start peering and verdicts at all hosts."""
         for host in self.hosts:
             self._start(host.peering.run(self._seeds))
-            self._start(host.judge(self.random.uniform(0.0, JUDGE_PERIOD_S)))
+            self._start(host.run_verdicts(self.random.uniform(0.0, VERDICT_INTERVAL_S)))
 
     @property
     def _seeds(self) -> tuple[str, ...]:
         return tuple(host.address for host in self.hosts[:3])
 
-    def order(self, duration_s: float) -> RolloutOrder:
-        """Hand an order to the host of each zone that reads the store."""
+    def apply_order(self, duration_s: float) -> RolloutOrder:
+        """Apply a new order at the host of each zone that reads the store."""
         now = asyncio.get_running_loop().time()
         order = RolloutOrder(SERVICE, NEW, duration_s, 7)
         for host in self.hosts[:3]:
             host.rollouts.apply_order(order, now)
         return order
 
-    async def start_anew(self, order: RolloutOrder) -> RolloutHost:
-        """Start a host that reads an order from the store; return it once callers may come."""
+    async def start_host_with_order(self, order: RolloutOrder) -> RolloutHost:
+        """Start a host that has read an order from the store; return it once it is ready."""
         clock = asyncio.get_running_loop().time
         host = RolloutHost(self._network, "a99", "a", self.random.getrandbits(32))
         host.rollouts.apply_order(order, clock())
@@ -205,25 +207,27 @@
         return host
 
     def list_new_version(self) -> None:
-        """Let all hosts know of endpoints of the new version."""
+        """Add endpoints of the new version at all hosts."""
         for host in self.hosts:
             host.list_new_version()
 
-    async def call(self, per_s: float, until: float) -> None:
-        """Begin sessions at a rate; each asks some times, each time at any host."""
+    async def run_sessions(self, sessions_per_s: float, until: float) -> None:
+        """Start sessions until a virtual time; each sends some requests, each to a random host."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            await asyncio.sleep(self.random.expovariate(per_s))
-            self._start(self._ask(until))
+            await asyncio.sleep(self.random.expovariate(sessions_per_s))
+            self._start(self._run_session(until))
 
-    async def _ask(self, until: float) -> None:
+    async def _run_session(self, until: float) -> None:
         loop = asyncio.get_running_loop()
         session = f"session-{self.random.getrandbits(48):x}"
         for _ in range(self.random.randint(1, 6)):
-            self._requests += 1
+            self._request_count += 1
             host = self.random.choice(self.hosts)
-            took_s = self.random.uniform(0.2, 3.0)
-            self.runs.append(await host.serve(session, self._requests, took_s))
+            duration_s = self.random.uniform(0.2, 3.0)
+            self.completed_requests.append(
+                await host.serve(session, self._request_count, duration_s)
+            )
             await asyncio.sleep(self.random.uniform(0.05, 5.0))
             if loop.time() > until:
                 return
@@ -231,40 +235,42 @@
     def _start(self, work: Any) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
-    def changes(self, since: float, until: float) -> list[tuple[Run, Run]]:
-        """Return the runs on another version than the one before in their session."""
-        changed = []
-        for before, run in self._followers():
-            if since <= run.sent_at < until and run.version != before.version:
-                changed.append((before, run))
-        return changed
-
-    def _followers(self) -> Iterator[tuple[Run, Run]]:
-        sessions: dict[str, list[Run]] = defaultdict(list)
-        for run in sorted(self.runs, key=lambda run: run.sent_at):
-            sessions[run.session].append(run)
-        for runs in sessions.values():
-            for before, run in itertools.pairwise(runs):
-                if run.sent_at - before.ended_at < SESSION_S:
-                    yield before, run
-
-    def share(self, since: float, until: float) -> float:
-        """Return the share of the runs sent in a time that the new version got."""
-        runs = [run for run in self.runs if since <= run.sent_at < until]
-        return sum(run.version == NEW for run in runs) / len(runs)
+    def version_changes(
+        self, since: float, until: float
+    ) -> list[tuple[CompletedRequest, CompletedRequest]]:
+        """Return pairs of consecutive requests of a session that ran on different versions."""
+        change_pairs = []
+        for previous, request in self._consecutive_requests():
+            if since <= request.sent_at < until and request.version != previous.version:
+                change_pairs.append((previous, request))
+        return change_pairs
+
+    def _consecutive_requests(self) -> Iterator[tuple[CompletedRequest, CompletedRequest]]:
+        sessions: dict[str, list[CompletedRequest]] = defaultdict(list)
+        for request in sorted(self.completed_requests, key=lambda request: request.sent_at):
+            sessions[request.session].append(request)
+        for completed_requests in sessions.values():
+            for previous, request in itertools.pairwise(completed_requests):
+                if request.sent_at - previous.ended_at < SESSION_TIMEOUT_S:
+                    yield previous, request
+
+    def new_version_fraction(self, since: float, until: float) -> float:
+        """Return the fraction of the requests sent in an interval that ran on the new version."""
+        sent = [request for request in self.completed_requests if since <= request.sent_at < until]
+        return sum(request.version == NEW for request in sent) / len(sent)
 
 
 @contextmanager
 def virtual_clock() -> Iterator[None]:
-    """Have the gateway's parts go by the running loop's clock."""
+    """Make the modules of the gateway use the clock of the running event loop."""
     with ExitStack() as stack:
-        for module in CLOCK_USERS:
+        for module in CLOCK_MODULES:
             stack.enter_context(patch(f"poplarrun.gateway.{module}.seconds_since_boot", _loop_time))
         yield
 
 
 def run_by_virtual_clock(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine in virtual time, by which the gateway's parts go as well."""
+    """Run a coroutine in virtual time, which the modules of the gateway use as well."""
     with virtual_clock():
         return run_virtual(coroutine)
 
@@ -274,10 +280,10 @@
 
 
 def _list_endpoints(version: str) -> Iterator[EndpointRecord]:
-    for number in range(ENDPOINTS_OF_EACH):
+    for number in range(ENDPOINTS_PER_VERSION):
         zone = "abc"[number % 3]
         name = f"{version}-{number}"
-        yield EndpointRecord(name, SERVICE, f"{name}:1", zone, version, PLACES, False)
+        yield EndpointRecord(name, SERVICE, f"{name}:1", zone, version, ENDPOINT_SLOTS, False)
 
 
 def _make_request(session: str, number: int) -> Request:
--- a/standins/version_world.py
+++ b/standins/version_world.py
@@ -1,6 +1,7 @@
-"""A world in simulated time: callers, versions with hidden traits, ratings, a log, hosts.
+"""Simulation of hosts that choose versions, with callers, ratings and a log.
 
-It drives the decision code of many hosts in one process, without sleeping.
+It runs the version decisions of many hosts in one process, in simulated time. The traits of
+the versions are hidden from the decisions.
 """
 
 import heapq
@@ -30,36 +31,38 @@
     encode_rollout,
 )
 
-TICK_S = 1.0
+TICK_INTERVAL_S = 1.0
 READ_LIMIT = 1000
-# How much easier or harder a request may be than the mean one, in quality.
-HARDNESS = 0.08
-NOISE = 0.05
-WRONG = 0.25
-# Error of the score that a judge gives at once.
+# Maximum deviation of a request's answer quality from the mean, because it is easier or harder.
+MAX_HARDNESS = 0.08
+# Standard deviation of the quality of answers to equally hard requests.
+QUALITY_NOISE = 0.05
+WRONG_QUALITY = 0.25
+# Standard deviation of the error of a judge's score.
 JUDGE_NOISE = 0.1
 
 
 @dataclass(frozen=True)
 class Traits:
-    """What a version is like in a class; hidden from the decisions.
+    """Behaviour of a version in a work class; hidden from the decisions.
 
     Attributes
     ----------
     quality : float
-        Mean quality of its answers.
+        Mean quality of the right answers, 0 to 1.
     failures, late : float
-        Shares of answers that fail, or miss a latency target.
+        Probabilities that an answer fails, or misses a latency target.
     tokens : float
-        Mean length.
+        Mean length of an answer, in tokens.
     wrong : float
-        Share of answers that are wrong.
+        Probability that an answer is wrong.
     wrong_quality : float
-        Quality of those.
+        Quality of a wrong answer.
     blind_score : float, optional
-        What a judge that can't tell right from wrong gives each answer.
+        Mean score from a judge that can't distinguish right from wrong answers; None for a judge
+        whose mean score is the quality.
     whole_s : float
-        Time of a whole answer.
+        Duration of a whole answer, in seconds.
     """
 
     quality: float
@@ -68,51 +71,51 @@
     tokens: float = 200.0
     wrong: float = 0.0
     whole_s: float = 0.5
-    wrong_quality: float = WRONG
+    wrong_quality: float = WRONG_QUALITY
     blind_score: float | None = None
 
     @property
     def mean_quality(self) -> float:
-        """Mean over right and wrong answers."""
+        """The mean quality over right and wrong answers."""
         return self.quality * (1.0 - self.wrong) + self.wrong_quality * self.wrong
 
 
 @dataclass
 class RatingTraits:
-    """How the rating service behaves.
+    """Behaviour of the rating service.
 
     Attributes
     ----------
     delay_s : float
-        Mean delay of a rating.
+        Mean delay of a rating, in seconds.
     lost : float
-        Share of ratings that never come.
+        Probability that a rating never arrives.
     bias, noise : float
         Error of a rating: mean and standard deviation.
     down : tuple of (float, float)
-        Times between which it takes no answers.
+        Start and end of an outage in which it accepts no answers, in seconds.
     told_bias : float
-        What hosts are told of the bias.
+        Bias that the hosts are configured with.
     """
 
     delay_s: float = 20.0
     lost: float = 0.0
     bias: float = 0.0
     noise: float = 0.05
-    down: tuple[float, float] = (0.0, 0.0)
-    told_bias: float = 0.0
+    outage: tuple[float, float] = (0.0, 0.0)
+    configured_bias: float = 0.0
 
 
 @dataclass(frozen=True)
 class Served:
-    """What became of one request."""
+    """Outcome of one request."""
 
     at: float
     host: str
     class_name: str
     caller: int
     version: VersionId | None
-    why: str
+    reason: str
     quality: float
     cost: float
     failed: bool
@@ -121,88 +124,88 @@
 
 @dataclass
 class _Network:
-    """Summaries as hosts hear them: merged once a zone, cut zones apart."""
+    """Exchange of summaries between hosts, which are merged per zone; cut zones are isolated."""
 
     members: dict[str, "WorldPeers"] = field(default_factory=dict)
     cut_zones: set[str] = field(default_factory=set)
-    merged: dict[tuple[str, str], bytes] = field(default_factory=dict)
-    heard: dict[str, tuple[Peer, ...]] = field(default_factory=dict)
+    merged_summaries: dict[tuple[str, str], bytes] = field(default_factory=dict)
+    reachable_peers: dict[str, tuple[Peer, ...]] = field(default_factory=dict)
     by_zone: dict[str, list["WorldPeers"]] = field(default_factory=dict)
     published_bytes: int = 0
 
-    def change(self) -> None:
-        """Forget what was worked out, after a member or a cut changed."""
-        self.merged.clear()
-        self.heard.clear()
+    def clear_caches(self) -> None:
+        """Clear the cached results after a change of members or cuts."""
+        self.merged_summaries.clear()
+        self.reachable_peers.clear()
         self.by_zone.clear()
         for member in self.members.values():
             self.by_zone.setdefault(member.me.zone, []).append(member)
 
-    def zones_heard(self, zone: str) -> list[str]:
-        """Return the zones that a zone hears, itself included."""
+    def reachable_zones(self, zone: str) -> list[str]:
+        """Return the zones that a zone can reach, itself included."""
         cut = self.cut_zones
         return [z for z in self.by_zone if z == zone or (z not in cut and zone not in cut)]
 
     def live(self, zone: str) -> tuple[Peer, ...]:
-        """Return the hosts that a zone hears."""
-        if zone not in self.heard:
-            zones = self.zones_heard(zone)
-            self.heard[zone] = tuple(m.me for z in zones for m in self.by_zone[z])
-        return self.heard[zone]
+        """Return the hosts that a zone can reach."""
+        if zone not in self.reachable_peers:
+            zones = self.reachable_zones(zone)
+            self.reachable_peers[zone] = tuple(m.me for z in zones for m in self.by_zone[z])
+        return self.reachable_peers[zone]
 
 
 class WorldPeers:
-    """The ``Peers`` of one simulated host."""
+    """Implementation of ``Peers`` for one simulated host."""
 
     def __init__(self, network: _Network, me: Peer) -> None:
         self._network = network
         self._me = me
         self.summaries: dict[str, bytes] = {}
         network.members[me.name] = self
-        network.change()
+        network.clear_caches()
 
     @property
     def me(self) -> Peer:
-        """The own host."""
+        """The host itself."""
         return self._me
 
     def live(self) -> tuple[Peer, ...]:
-        """Return the hosts that are heard."""
+        """Return the hosts that this host can reach, itself included."""
         return self._network.live(self._me.zone)
 
     async def ask(self, peer: str, kind: str, payload: bytes, timeout_s: float) -> bytes:
-        """Nothing is asked in this world."""
+        """Not supported: the simulated hosts send no requests to each other."""
         raise NotImplementedError
 
     def serve(self, kind: str, handler: object) -> None:
-        """Nothing is asked in this world."""
+        """Ignore the handler: the simulated hosts send no requests to each other."""
 
     def publish(self, topic: SummaryTopic, payload: bytes) -> None:
-        """Replace this host's summary."""
+        """Replace the summary of this host."""
         self.summaries[topic.name] = payload
         self._network.published_bytes += len(payload)
-        self._network.merged.pop((topic.name, self._me.zone), None)
+        self._network.merged_summaries.pop((topic.name, self._me.zone), None)
 
     def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
-        """Return what is heard."""
+        """Return the summaries of the own zone's hosts, and a merged one of each other zone."""
         zone = self._me.zone
         members = self._network.by_zone[zone]
         own = {m._me.name: m.summaries[topic.name] for m in members if m.summaries}
-        others = [z for z in self._network.zones_heard(zone) if z != zone]
+        others = [z for z in self._network.reachable_zones(zone) if z != zone]
         return CollectedSummaries(own, {z: self._merge(topic, z) for z in others})
 
     def _merge(self, topic: SummaryTopic, zone: str) -> bytes:
-        known = self._network.merged.get((topic.name, zone))
-        if known is None:
+        summary = self._network.merged_summaries.get((topic.name, zone))
+        if summary is None:
             members = self._network.by_zone[zone]
-            known = topic.merge([m.summaries[topic.name] for m in members if m.summaries])
-            self._network.merged[(topic.name, zone)] = known
-        return known
+            summary = topic.merge([m.summaries[topic.name] for m in members if m.summaries])
+            self._network.merged_summaries[(topic.name, zone)] = summary
+        return summary
 
 
 @dataclass
-class WorldHost:
-    """One host of the world."""
+class VersionHost:
+    """One simulated host."""
 
     peers: WorldPeers
     versions: VersionManager
@@ -210,29 +213,29 @@
 
     @property
     def name(self) -> str:
-        """The host's name."""
+        """Name of the host."""
         return self.peers.me.name
 
 
 class VersionWorld:
-    """Hosts, callers and the platform in simulated time.
+    """Simulated hosts, callers, log and rating service.
 
     Parameters
     ----------
     traits : dict
-        Traits by class name and version; may be changed while it runs.
+        Traits by class name and version; may change during the simulation.
     host_count, zone_count : int
-        Size.
+        Number of hosts and of availability zones.
     seed : int
-        Of everything random.
+        Seed of all random numbers.
     ratings : RatingTraits
-        The rating service.
+        Behaviour of the rating service.
     requests_per_s : float
-        Over all hosts.
+        Request rate over all hosts.
     callers : int
-        Callers, of whom each request picks one.
+        Number of callers; each request comes from a random one.
     judged : bool
-        Whether a judge scores each answer at once.
+        Whether a judge scores each answer when it is generated.
     """
 
     def __init__(
@@ -256,60 +259,62 @@
         self.log = MemoryLog()
         self.network = _Network()
         self.served: list[Served] = []
-        self.rated = 0
-        self._numbers = itertools.count()
-        self._pending: list[tuple[float, int, WorldHost, CellKey, float, float | None]] = []
+        self.rated_count = 0
+        self._sequence_numbers = itertools.count()
+        self._pending_ratings: list[
+            tuple[float, int, VersionHost, CellKey, float, float | None]
+        ] = []
         self._next_tick = 0.0
-        self.hosts: dict[str, WorldHost] = {}
+        self.hosts: dict[str, VersionHost] = {}
         for number in range(host_count):
             self.add_host(f"h{number}", "abcdefg"[number % zone_count], 1)
 
-    def add_host(self, name: str, zone: str, incarnation: int) -> WorldHost:
-        """Start a host, or start one anew."""
+    def add_host(self, name: str, zone: str, incarnation: int) -> VersionHost:
+        """Start a host, or restart one with another incarnation."""
         peers = WorldPeers(self.network, Peer(name, zone, "r", incarnation))
-        source = random.Random(self.random.random())
-        versions = VersionManager(peers.me, source, self.ratings.told_bias)
-        self.hosts[name] = WorldHost(peers, versions)
+        rng = random.Random(self.random.random())
+        versions = VersionManager(peers.me, rng, self.ratings.configured_bias)
+        self.hosts[name] = VersionHost(peers, versions)
         return self.hosts[name]
 
     def kill_host(self, name: str) -> None:
-        """End a host with all that it holds."""
+        """Remove a host with its state."""
         del self.hosts[name]
         self.network.members.pop(name)
-        self.network.change()
+        self.network.clear_caches()
 
     def cut_zone(self, zone: str) -> None:
-        """Cut a zone off from the others and from the log."""
+        """Isolate a zone from the other zones and from the log."""
         self.network.cut_zones.add(zone)
-        self.network.change()
+        self.network.clear_caches()
 
     def heal(self) -> None:
-        """Join all zones again."""
+        """Reconnect all zones."""
         self.network.cut_zones.clear()
-        self.network.change()
+        self.network.clear_caches()
 
     def publish(self, document: str, operator: str = "ada") -> None:
-        """Publish a document on top of the accepted one."""
+        """Publish a document, based on the latest accepted one."""
         state = Configuration()
         for entry in self._read(CONFIG_STREAM, 0):
             state, _ = fold_entry(state, entry)
-        record_id = f"{operator}-{next(self._numbers)}"
+        record_id = f"{operator}-{next(self._sequence_numbers)}"
         record = Publication(record_id, state.offset, operator, self.now, document)
         self.log.append(CONFIG_STREAM, encode_record(record))
         self.tick()
 
     def tick(self) -> None:
-        """Run each host's periodic tasks once."""
+        """Run the periodic tasks of each host once."""
         self._deliver_ratings()
         for host in self.hosts.values():
             host.versions.exchange_evidence(host.peers, self.now)
         for host in self.hosts.values():
             if not self.is_cut(host):
                 self._follow_log(host)
-                self._run_steward(host)
+                self._run_rollout_controller(host)
 
-    def is_cut(self, host: WorldHost) -> bool:
-        """Tell whether a host's zone is cut off, from the log too."""
+    def is_cut(self, host: VersionHost) -> bool:
+        """Return whether the host's zone is isolated, also from the log."""
         return host.peers.me.zone in self.network.cut_zones
 
     def run(
@@ -319,7 +324,7 @@
         account: ClientAccount,
         until: Callable[[], bool] | None = None,
     ) -> int:
-        """Send requests; return how many were sent until the condition came true."""
+        """Send up to ``count`` requests until the condition is true; return the number sent."""
         for number in range(count):
             self.advance(self.random.expovariate(self.requests_per_s))
             host = self.random.choice(list(self.hosts.values()))
@@ -329,107 +334,115 @@
         return count
 
     def advance(self, seconds: float) -> None:
-        """Let time go by."""
+        """Advance the simulated time, and run the periodic tasks that are due."""
         end = self.now + seconds
         while self._next_tick <= end:
             self.now = self._next_tick
             self.tick()
-            self._next_tick += TICK_S
+            self._next_tick += TICK_INTERVAL_S
         self.now = end
 
-    def send(self, host: WorldHost, class_name: str, account: ClientAccount) -> Served:
-        """Send one request and let it be answered at once."""
+    def send(self, host: VersionHost, class_name: str, account: ClientAccount) -> Served:
+        """Send one request and generate its answer immediately."""
         work_class = host.configuration.document.classes[class_name]
         prompt_tokens = self.random.randint(50, 1500)
         request = ChoiceRequest(account, work_class, prompt_tokens, 1000)
-        hardness = self.random.uniform(-HARDNESS, HARDNESS)
+        hardness = self.random.uniform(-MAX_HARDNESS, MAX_HARDNESS)
         match host.versions.choose(request):
-            case ChosenVersion(version=version, reason=why, escalation=escalation):
-                served = self.answer(host, class_name, version, why, prompt_tokens, hardness)
+            case ChosenVersion(version=version, reason=reason, escalation=escalation):
+                served = self.answer(host, class_name, version, reason, prompt_tokens, hardness)
                 if escalation is not None and served.score < escalation.min_score:
                     second = self.answer(
-                        host, class_name, escalation.version, why, prompt_tokens, hardness, True
+                        host, class_name, escalation.version, reason, prompt_tokens, hardness, True
                     )
                     served = replace(second, cost=served.cost + second.cost)
             case refused:
-                served = self._serve(host, class_name, None, type(refused).__name__, 0.0, 0.0, True)
+                served = self._make_outcome(
+                    host, class_name, None, type(refused).__name__, 0.0, 0.0, True
+                )
         self.served.append(served)
         return served
 
     def answer(
         self,
-        host: WorldHost,
+        host: VersionHost,
         class_name: str,
         version: Version,
-        why: str,
+        reason: str,
         prompt_tokens: int,
         hardness: float,
         is_second: bool = False,
     ) -> Served:
-        """Generate an answer and tell the host what it sees of it."""
+        """Generate an answer, record its observation at the host and submit it for rating."""
         traits = self.traits[(class_name, version.id)]
         failed = self.random.random() < traits.failures
         quality = 0.0 if failed else self.draw_quality(traits, hardness)
         tokens = max(1, int(self.random.gauss(traits.tokens, traits.tokens / 5)))
         late = self.random.random() < traits.late
-        told = quality if traits.blind_score is None else traits.blind_score
-        score = min(1.0, max(0.0, told + self.random.gauss(0.0, JUDGE_NOISE)))
-        seen = AnswerObservation(
+        mean_score = quality if traits.blind_score is None else traits.blind_score
+        score = min(1.0, max(0.0, mean_score + self.random.gauss(0.0, JUDGE_NOISE)))
+        observation = AnswerObservation(
             failed, late, 0 if failed else tokens, traits.whole_s, score if self.judged else None
         )
         key = CellKey(class_name, version.id)
         key = key.as_second_step if is_second else key
-        if host.versions.should_rate(key, why, self.now):
-            self._rate(host, key, quality, seen.judge_score)
-        host.versions.record_answer(key, seen)
+        if host.versions.should_rate(key, reason, self.now):
+            self._submit_for_rating(host, key, quality, observation.judge_score)
+        host.versions.record_answer(key, observation)
         cost = version.price.cost(prompt_tokens, tokens)
-        served = self._serve(host, class_name, version.id, why, quality, cost, failed)
+        served = self._make_outcome(host, class_name, version.id, reason, quality, cost, failed)
         return replace(served, score=score)
 
     def draw_quality(self, traits: Traits, hardness: float) -> float:
-        """Return the quality of one answer."""
-        # A hard request is more often answered wrong.
-        if traits.wrong and self.random.random() < traits.wrong * (1.0 + hardness / HARDNESS / 2):
+        """Draw the quality of one answer."""
+        # Harder requests get wrong answers more often.
+        if traits.wrong and self.random.random() < traits.wrong * (
+            1.0 + hardness / MAX_HARDNESS / 2
+        ):
             return traits.wrong_quality
-        return min(1.0, max(0.0, traits.quality - hardness + self.random.gauss(0.0, NOISE)))
+        return min(1.0, max(0.0, traits.quality - hardness + self.random.gauss(0.0, QUALITY_NOISE)))
 
-    def _serve(
+    def _make_outcome(
         self,
-        host: WorldHost,
+        host: VersionHost,
         class_name: str,
         version: VersionId | None,
-        why: str,
+        reason: str,
         quality: float,
         cost: float,
         failed: bool,
     ) -> Served:
         caller = self.random.randrange(self.callers)
-        return Served(self.now, host.name, class_name, caller, version, why, quality, cost, failed)
+        return Served(
+            self.now, host.name, class_name, caller, version, reason, quality, cost, failed
+        )
 
-    def _rate(self, host: WorldHost, key: CellKey, quality: float, score: float | None) -> None:
-        begin, end = self.ratings.down
-        if begin <= self.now < end or self.random.random() < self.ratings.lost:
+    def _submit_for_rating(
+        self, host: VersionHost, key: CellKey, quality: float, score: float | None
+    ) -> None:
+        outage_start, end = self.ratings.outage
+        if outage_start <= self.now < end or self.random.random() < self.ratings.lost:
             return
-        self.rated += 1
+        self.rated_count += 1
         error = self.ratings.bias + self.random.gauss(0.0, self.ratings.noise)
         rating = min(1.0, max(0.0, quality + error))
         ready_at = self.now + self.random.uniform(0.5, 1.5) * self.ratings.delay_s
-        item = (ready_at, next(self._numbers), host, key, rating, score)
-        heapq.heappush(self._pending, item)
+        item = (ready_at, next(self._sequence_numbers), host, key, rating, score)
+        heapq.heappush(self._pending_ratings, item)
 
     def _deliver_ratings(self) -> None:
-        while self._pending and self._pending[0][0] <= self.now:
-            _, _, host, key, rating, score = heapq.heappop(self._pending)
+        while self._pending_ratings and self._pending_ratings[0][0] <= self.now:
+            _, _, host, key, rating, score = heapq.heappop(self._pending_ratings)
             host.versions.record_rating(key, rating, score)
 
-    def _follow_log(self, host: WorldHost) -> None:
+    def _follow_log(self, host: VersionHost) -> None:
         for entry in self._read(CONFIG_STREAM, host.configuration.read_to + 1):
             host.configuration, _ = fold_entry(host.configuration, entry)
         host.versions.apply_configuration(host.configuration)
         for entry in self._read(ROLLOUTS_STREAM, host.versions.rollouts.read_to + 1):
             host.versions.fold_entry(entry)
 
-    def _run_steward(self, host: WorldHost) -> None:
+    def _run_rollout_controller(self, host: VersionHost) -> None:
         for record in host.versions.decide_rollouts(host.peers, self.now):
             if isinstance(record, Withdrawal):
                 self.log.append(CONFIG_STREAM, encode_record(record))
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Many hosts' ``Peers`` in one process, over the test transport and in virtual time."""
+"""Simulation in virtual time of the membership of many hosts, over the in-memory transport."""
 
 import asyncio
 import random
@@ -8,18 +8,18 @@
 from poplarrun.links import LinkFaults, MemoryLinkNetwork, MemoryLinks
 from poplarrun.metrics import Metrics
 
-STEP_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class VirtualFleet:
-    """Hosts named ``a1``, ``a2``, ``b1`` and so on, on one test network.
+    """Hosts named ``a1``, ``a2``, ``b1`` and so on, on one in-memory network.
 
     Attributes
     ----------
     network : MemoryLinkNetwork
-        The links between them; cuts name zones or the hosts' names.
+        Network of the hosts; its cuts take names of zones or of hosts.
     peers : dict of str to NetworkPeers
-        The running hosts.
+        The running hosts, by name.
     """
 
     def __init__(self, seed: int, zones: str = "abc", faults: LinkFaults | None = None) -> None:
@@ -30,20 +30,20 @@
         self.links: dict[str, MemoryLinks] = {}
         self.metrics: dict[str, Metrics] = {}
         self.seeds: tuple[str, ...] = ()
-        self._starts = 0
+        self._start_count = 0
 
-    def start(self, per_zone: int) -> None:
-        """Start so many hosts in each zone; the first of each zone is a seed."""
+    def start(self, hosts_per_zone: int) -> None:
+        """Start ``hosts_per_zone`` hosts in each zone; the first host of each zone is a seed."""
         self.seeds = tuple(f"{zone}1" for zone in self.zones)
-        for number in range(1, per_zone + 1):
+        for number in range(1, hosts_per_zone + 1):
             for zone in self.zones:
                 self.start_host(f"{zone}{number}")
 
     def start_host(self, name: str) -> NetworkPeers:
-        """Start one host, or start it anew; its address is its name."""
-        self._starts += 1
+        """Start or restart a host; its address is its name."""
+        self._start_count += 1
         zone = name[0]
-        me = Peer(name, zone, "local", self._starts)
+        me = Peer(name, zone, "local", self._start_count)
         links = MemoryLinks(self.network, name, zone)
         self.metrics[name] = Metrics()
         peers = NetworkPeers(
@@ -60,20 +60,25 @@
         return peers
 
     def kill_host(self, name: str) -> None:
-        """Let a host fall silent without a word."""
+        """Stop a host without a notice to its peers."""
         self.peers.pop(name).stop()
 
-    async def wait(self, condition: Callable[[], bool], what: str, timeout_s: float) -> float:
-        """Let virtual time pass until a condition holds; return how much passed."""
+    async def wait_until(
+        self, condition: Callable[[], bool], description: str, timeout_s: float
+    ) -> float:
+        """Wait until a condition is true; return the elapsed virtual time in seconds."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         while not condition():
-            if loop.time() - began > timeout_s:
-                raise TimeoutError(f"not within {timeout_s} s: {what}")
-            await asyncio.sleep(STEP_S)
-        return loop.time() - began
+            if loop.time() - started_at > timeout_s:
+                raise TimeoutError(f"timed out after {timeout_s} s of virtual time: {description}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return loop.time() - started_at
 
-    def agree(self) -> bool:
-        """Tell whether every running host holds just the running hosts to be live."""
-        running = sorted(self.peers)
-        return all([peer.name for peer in p.live()] == running for p in self.peers.values())
+    def is_converged(self) -> bool:
+        """Return whether every running host considers exactly the running hosts live."""
+        running_names = sorted(self.peers)
+        return all(
+            [peer.name for peer in host_peers.live()] == running_names
+            for host_peers in self.peers.values()
+        )
--- a/standins/virtual_time.py
+++ b/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""An asyncio loop whose clock jumps to the next timer, so that hours pass in moments."""
+"""Event loop for simulations, whose clock advances to the next timer without waiting."""
 
 import asyncio
 import selectors
@@ -8,15 +8,15 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Moves the loop's clock on instead of waiting."""
+class _VirtualClockSelector(selectors.SelectSelector):
+    """Selector that advances the clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return what is readable now; pass the time that the loop would wait."""
+        """Return the ready files; if there are none, advance the clock by the timeout."""
         ready = super().select(0)
         if not ready and timeout is not None:
             self.now += timeout
@@ -24,18 +24,18 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop in which a timer costs no waiting. Only for code without threads and sockets."""
+    """Event loop in virtual time, for code that uses neither threads nor sockets."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_clock = _VirtualClockSelector()
+        super().__init__(self._virtual_clock)
 
     def time(self) -> float:
         """Return the virtual time, in seconds from the start."""
-        return self._jumping.now
+        return self._virtual_clock.now
 
-    def end(self) -> None:
-        """Cancel what still runs and close."""
+    def shut_down(self) -> None:
+        """Cancel the remaining tasks and close the loop."""
         tasks = asyncio.all_tasks(self)
         for task in tasks:
             task.cancel()
@@ -44,9 +44,9 @@
 
 
 def run_virtual(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to completion in virtual time."""
     loop = VirtualTimeLoop()
     try:
         return loop.run_until_complete(coroutine)
     finally:
-        loop.end()
+        loop.shut_down()
