--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples: two firms' documents, and the demo."""
+"""Examples: the configuration documents of two firms, the demo, library examples and reports."""
--- a/examples/installation.py
+++ b/examples/installation.py
@@ -1,4 +1,4 @@
-"""The part of the demo on the users' platform: a draft, an order and a broken endpoint."""
+"""The platform part of the demo: a draft, an order, and endpoint failures during both."""
 
 from collections.abc import Callable
 
@@ -7,13 +7,13 @@
 Check = Callable[[bool, str], None]
 
 
-def run_installation(check: Check) -> None:
-    """Serve a few requests through two hosts of the gateway.
+def run_platform_demo(check: Check) -> None:
+    """Serve a draft and an order through two gateway hosts.
 
     Parameters
     ----------
     check : callable
-        Told of each promise whether it held.
+        Called for each check with its result and description.
     """
     with Installation(hosts=2) as installation:
         installation.publish()
@@ -23,37 +23,40 @@
             installation.add_runner(f"stock-{number}", "stock")
         for number in (0, 1):
             installation.start_host(number)
-        check(True, "platform: 2 hosts ready, 2 model engines and 2 endpoints of the stock")
-        _draft(installation, check)
-        _order(installation, check)
+        check(True, "platform: 2 hosts ready, 2 model engines and 2 stock endpoints")
+        _check_draft(installation, check)
+        _check_order(installation, check)
 
 
-def _draft(installation: Installation, check: Check) -> None:
+def _check_draft(installation: Installation, check: Check) -> None:
     for runner in installation.runners.values():
         if runner.is_engine:
-            # The first answer is dropped for a larger model, whose endpoint breaks off.
+            # The first answer is discarded in favour of a larger model, whose endpoint then breaks
+            # off the stream.
             runner.faults.extend([Fault.SLOW, Fault.CUT])
     answer = installation.call("/draft/brief", 0, X_Model="*")
-    is_large = answer.body.count(b"data: large") == answer.body.count(b"data:")
-    events = answer.body.count(b"\n\n")
+    is_from_large = answer.body.count(b"data: large") == answer.body.count(b"data:")
+    event_count = answer.body.count(b"\n\n")
     check(
-        answer.status == 200 and answer.is_whole and is_large and events == 5,
-        f"platform: a doubtful draft asked of the larger model, {events} events, each once",
+        answer.status == 200 and answer.is_whole and is_from_large and event_count == 5,
+        f"platform: a low-confidence draft escalated to the larger model, "
+        f"{event_count} events, each once",
     )
 
 
-def _order(installation: Installation, check: Check) -> None:
+def _check_order(installation: Installation, check: Check) -> None:
     for runner in installation.runners.values():
         if not runner.is_engine:
             runner.faults.append(Fault.LOST)
     answer = installation.call("/order/ring", 1, body=b"one ring")
-    ran = sum(
+    run_count = sum(
         seen.is_run
         for runner in installation.runners.values()
         for seen in runner.seen
         if not runner.is_engine
     )
     check(
-        answer.status == 502 and ran == 1,
-        f"platform: an order whose answer was lost ran {ran} time, told as unknown (502)",
+        answer.status == 502 and run_count == 1,
+        f"platform: an order whose answer was lost ran {run_count} time and was reported as "
+        "unknown (502)",
     )
--- a/examples/library/__init__.py
+++ b/examples/library/__init__.py
@@ -1,1 +1,1 @@
-"""Runnable examples of docs/LIBRARY.md, one for each coordination part."""
+"""Runnable examples of docs/LIBRARY.md, one for each coordination module."""
--- a/examples/library/claims.py
+++ b/examples/library/claims.py
@@ -1,4 +1,4 @@
-"""Two hosts claim one idempotency key; the first in offset order may send the call."""
+"""Two hosts claim one idempotency key; the lower log offset wins and may send the call."""
 
 from poplarrun.claims import Claim, ClaimFold, Won, compute_fingerprint, encode_batch, shard_of
 from poplarrun.claims import stream_of as name_stream
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Claim at two hosts, fold, and judge both claims."""
+    """Append a claim from each host, fold the stream, and print the winner."""
     log = MemoryLog()
     stream = name_stream(shard_of("shop", "reserve-1881"))
     body = compute_fingerprint("stock", "reserve", b"{}")
@@ -19,8 +19,12 @@
     fold = ClaimFold()
     for entry in StreamReader(log, stream).read_new():
         fold.fold(entry)
-    won = [claim.host for claim in claims if isinstance(fold.judge(claim), Won)]
-    print(f"one winner: {won[0]}" if len(won) == 1 else f"not one winner: {won}")
+    winners = [claim.host for claim in claims if isinstance(fold.judge(claim), Won)]
+    print(
+        f"one winner: {winners[0]}"
+        if len(winners) == 1
+        else f"expected one winner, found: {winners}"
+    )
 
 
 if __name__ == "__main__":
--- a/examples/library/leases.py
+++ b/examples/library/leases.py
@@ -1,4 +1,4 @@
-"""A job moves from a1 to b1; a1 resumes, renews, and finds its lease gone."""
+"""A job's lease passes from a1 to b1; a1 resumes, tries to renew it, and is rejected."""
 
 from poplarrun.leases import (
     LEASE_STREAM,
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Append the records of both hosts, fold, and show who holds the job."""
+    """Append both hosts' lease records, fold them, and print the lease holder."""
     log = MemoryLog()
     records: list[LeaseRecord] = [
         Acquire("r1", JOB, "a1/1", 5.0, over=-1),
@@ -28,8 +28,8 @@
     for entry in StreamReader(log, LEASE_STREAM).read_new():
         table, verdict = fold_lease_entry(table, entry)
         print(entry.offset, verdict)
-    held = table.jobs[JOB]
-    print(f"{held.holder} holds the job with fencing number {held.fence}")
+    lease = table.jobs[JOB]
+    print(f"{lease.holder} holds the job with fencing number {lease.fence}")
 
 
 if __name__ == "__main__":
--- a/examples/library/log_fold.py
+++ b/examples/library/log_fold.py
@@ -1,4 +1,4 @@
-"""Two operators race; every host that folds the stream finds the same winner."""
+"""Two operators publish concurrently; every host that folds the stream finds the same winner."""
 
 from poplarrun.config import (
     CONFIG_STREAM,
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Publish twice on the same base, fold, and show the verdicts."""
+    """Publish twice on the same base offset, fold the stream, and print the verdicts."""
     log = MemoryLog()
     for operator in ("bob", "cleo"):
         text = DOCUMENT.format(operator=operator)
--- a/examples/library/membership.py
+++ b/examples/library/membership.py
@@ -1,4 +1,4 @@
-"""Three hosts find each other on loopback; one dies without a word."""
+"""Three hosts discover each other on loopback; one stops without notice and is detected."""
 
 import asyncio
 import random
@@ -9,11 +9,11 @@
 from poplarrun.links import NngLinks
 from poplarrun.metrics import Metrics
 
-BOUND_S = 20.0
-POLL_S = 0.05
+TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 
 
-def find_address() -> str:
+def find_free_address() -> str:
     """Return an ``ip:port`` on loopback that is free now."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
@@ -21,18 +21,18 @@
 
 
 async def wait_for_live(peers: NetworkPeers, count: int) -> float:
-    """Wait until a host holds so many hosts live; return the seconds."""
-    began = time.monotonic()
+    """Wait until a host sees ``count`` live hosts, itself included; return the seconds taken."""
+    started_at = time.monotonic()
     while len(peers.live()) != count:
-        if time.monotonic() > began + BOUND_S:
-            raise TimeoutError(f"{len(peers.live())} hosts live, {count} awaited")
-        await asyncio.sleep(POLL_S)
-    return time.monotonic() - began
+        if time.monotonic() > started_at + TIMEOUT_S:
+            raise TimeoutError(f"{len(peers.live())} hosts live, expected {count}")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return time.monotonic() - started_at
 
 
 async def run() -> None:
-    """Start three hosts, silence one, and tell how long the others took to see it."""
-    addresses = [find_address() for _ in range(3)]
+    """Start three hosts, stop one, and print how long the others took to detect it."""
+    addresses = [find_free_address() for _ in range(3)]
     members = [
         NetworkPeers(
             Peer(f"a{number}", "a", "local", 1),
--- a/examples/reports/__init__.py
+++ b/examples/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of the two firms' measures under the brief's faults: ``python -m examples.reports``."""
+"""Reports quality, cost and latency of two firms under faults: ``python -m examples.reports``."""
--- a/examples/reports/_firms.py
+++ b/examples/reports/_firms.py
@@ -1,4 +1,4 @@
-"""The two firms: their documents, and the work that their callers bring."""
+"""The two example firms: their configuration documents and the load of their callers."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -9,89 +9,93 @@
 
 EXAMPLES = Path(__file__).resolve().parent.parent
 TOKENS_PER_MTOK = 1_000_000
-OFFERED = "larch:2"
-OFFERED_LINE = '"2": {stage: offered, price: {input_per_mtok: 0.1, output_per_mtok: 0.4}}'
+OFFERED_VERSION = "larch:2"
+OFFERED_VERSION_LINE = '"2": {stage: offered, price: {input_per_mtok: 0.1, output_per_mtok: 0.4}}'
 
 
 @dataclass(frozen=True)
-class Work:
-    """Chat requests of one class.
+class ChatLoad:
+    """The chat load of one class.
 
     Attributes
     ----------
     work_class : str
-        The class, as ``model`` in the call.
-    per_s : float
-        Requests a second.
+        The class, sent as ``model`` of the request.
+    rate_per_s : float
+        Mean arrival rate.
     max_tokens : int
-        Bound of an answer.
-    context_words : int
-        Words of the context that all requests of the class share.
-    in_sessions : bool
-        Whether each request opens a session of its own and ends with a second request in it.
+        Maximum length of an answer.
+    shared_context_words : int
+        Length of the context that all requests of the class share, in words.
+    uses_sessions : bool
+        Whether each arrival opens a session of its own and sends a second request in it.
     """
 
     work_class: str
-    per_s: float
+    rate_per_s: float
     max_tokens: int
-    context_words: int
-    in_sessions: bool = False
+    shared_context_words: int
+    uses_sessions: bool = False
 
 
 @dataclass(frozen=True)
-class Operations:
-    """Non-idempotent operations, each with a key of its own.
+class OperationLoad:
+    """The load of one non-idempotent operation; each arrival has an idempotency key of its own.
 
     Attributes
     ----------
     service, operation : str
-        As in the document.
-    per_s : float
-        Operations a second.
+        Names in the document.
+    rate_per_s : float
+        Mean arrival rate.
     """
 
     service: str
     operation: str
-    per_s: float
+    rate_per_s: float
 
 
 @dataclass(frozen=True)
 class Firm:
-    """One user of poplarrun.
+    """One example user of poplarrun.
 
     Attributes
     ----------
     name : str
-        Also the name of the document in ``examples/``.
+        Name of the firm and of its document in ``examples/``.
     account, key : str
-        The client account that its callers use.
-    weighs : str
-        The measure that it weighs most heavily.
+        The client account that its callers use, and its API key.
+    top_priority : str
+        The measure that matters most to the firm.
+    chat_loads, operation_loads : tuple
+        The load of its callers.
     """
 
     name: str
     account: str
     key: str
-    weighs: str
-    work: tuple[Work, ...]
-    operations: tuple[Operations, ...]
+    top_priority: str
+    chat_loads: tuple[ChatLoad, ...]
+    operation_loads: tuple[OperationLoad, ...]
 
     @cached_property
-    def text(self) -> str:
-        """The operators' document."""
+    def document_text(self) -> str:
+        """The configuration document that operators publish, as text."""
         return (EXAMPLES / f"{self.name}.yaml").read_text()
 
     @cached_property
-    def text_with_offer(self) -> str:
-        """The document with one more version, ``OFFERED``."""
-        return self.text.replace("  spruce:\n", f"      {OFFERED_LINE}\n  spruce:\n", 1)
+    def document_text_with_offer(self) -> str:
+        """The text of the document with ``OFFERED_VERSION`` added."""
+        return self.document_text.replace(
+            "  spruce:\n", f"      {OFFERED_VERSION_LINE}\n  spruce:\n", 1
+        )
 
     @cached_property
     def document(self) -> dict[str, Any]:
-        """The document with all versions, parsed."""
-        return yaml.safe_load(self.text_with_offer)
+        """The parsed document with ``OFFERED_VERSION`` added."""
+        return yaml.safe_load(self.document_text_with_offer)
 
-    def target(self, work_class: str) -> float:
+    def quality_target(self, work_class: str) -> float:
         """Return a class's quality target."""
         return self.document["classes"][work_class]["targets"]["quality"]
 
@@ -99,36 +103,38 @@
         """Return a class's target for the first token, in seconds."""
         return self.document["classes"][work_class]["targets"]["first_token_ms"] / 1000
 
-    def cost(self, version: str, prompt_tokens: int, output_tokens: int) -> float:
-        """Return what a request costs on a version, in account currency."""
+    def compute_cost(self, version: str, prompt_tokens: int, output_tokens: int) -> float:
+        """Return the cost of a request on a version, in the currency of the prices."""
         model, _, name = version.partition(":")
         price = self.document["models"][model]["versions"][name]["price"]
-        paid = price["input_per_mtok"] * prompt_tokens + price["output_per_mtok"] * output_tokens
-        return paid / TOKENS_PER_MTOK
+        cost_times_mtok = (
+            price["input_per_mtok"] * prompt_tokens + price["output_per_mtok"] * output_tokens
+        )
+        return cost_times_mtok / TOKENS_PER_MTOK
 
 
 THISTLEDOWN = Firm(
     name="thistledown",
     account="borough-north",
     key="borough-north-key",
-    weighs="cost at the quality target",
-    work=(
-        Work("long-report", 1.0, 120, 256, in_sessions=True),
-        Work("digest", 4.0, 60, 64),
-        Work("note", 5.0, 20, 16),
+    top_priority="cost at the quality target",
+    chat_loads=(
+        ChatLoad("long-report", 1.0, 120, 256, uses_sessions=True),
+        ChatLoad("digest", 4.0, 60, 64),
+        ChatLoad("note", 5.0, 20, 16),
     ),
-    operations=(Operations("loan-records", "correct", 2.0),),
+    operation_loads=(OperationLoad("loan-records", "correct", 2.0),),
 )
 ANELLIDORO = Firm(
     name="anellidoro",
     account="verona-shop",
     key="verona-shop-key",
-    weighs="latency",
-    work=(
-        Work("brief", 1.0, 120, 128, in_sessions=True),
-        Work("answer", 5.0, 40, 64),
-        Work("engraving", 4.0, 20, 16),
+    top_priority="latency",
+    chat_loads=(
+        ChatLoad("brief", 1.0, 120, 128, uses_sessions=True),
+        ChatLoad("answer", 5.0, 40, 64),
+        ChatLoad("engraving", 4.0, 20, 16),
     ),
-    operations=(Operations("stock", "reserve", 1.0), Operations("orders", "place", 1.0)),
+    operation_loads=(OperationLoad("stock", "reserve", 1.0), OperationLoad("orders", "place", 1.0)),
 )
 FIRMS = {firm.name: firm for firm in (THISTLEDOWN, ANELLIDORO)}
--- a/examples/reports/_observations.py
+++ b/examples/reports/_observations.py
@@ -1,11 +1,11 @@
-"""What callers saw of their requests."""
+"""Requests as their callers observed them."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Outcome(Enum):
-    """What a caller was left with."""
+    """How a request ended for its caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -14,25 +14,25 @@
 
 
 @dataclass(frozen=True)
-class ChatSeen:
-    """One chat request, as its caller saw it.
+class ChatObservation:
+    """One chat request, as its caller observed it.
 
     Attributes
     ----------
     phase : str
         The phase in which it was sent.
     request_id : str
-        As the host named it; empty when no host answered.
+        The id that the host assigned; empty if no host answered.
     version : str
-        What answered; empty when nothing did.
+        The version that answered; empty if none did.
     reason : str
-        Error code of a refusal or a broken stream.
-    first_s, whole_s : float
-        Time to the first token and to the end.
+        Error code of a refusal, or why a stream broke.
+    first_token_s, duration_s : float
+        Seconds until the first token and until the end.
     quality : float
-        Truth of the answer's words, 0 to 1, as the stand-ins made them.
+        True quality of the answer, from 0 to 1, as the simulated engine set it.
     cost : float
-        Worked out from the usage and the document's price.
+        Computed from the reported usage and the price in the document.
     """
 
     phase: str
@@ -41,8 +41,8 @@
     request_id: str = ""
     version: str = ""
     reason: str = ""
-    first_s: float = 0.0
-    whole_s: float = 0.0
+    first_token_s: float = 0.0
+    duration_s: float = 0.0
     quality: float = 0.0
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -50,12 +50,12 @@
 
 
 @dataclass(frozen=True)
-class OperationSeen:
-    """One non-idempotent operation, with all repeats of its caller."""
+class OperationObservation:
+    """One non-idempotent operation, including its repetitions with the same key."""
 
     phase: str
     service: str
     key: str
     outcome: Outcome
     reason: str
-    tries: int
+    attempt_count: int
--- a/features/reports.feature
+++ b/features/reports.feature
@@ -1,15 +1,16 @@
-Feature: The firms' reports find what did not hold
+Feature: Reports of the example firms list violated guarantees
 
-  Scenario Outline: A report names a broken promise
-    # The report compares what callers were told with what the services did and
-    # what the log bills. Each line is a history that must be found, but the first.
-    Given a caller who was told that its operation was <told>, with <effects> effects
-    And 10 answers worth 1.0 for which <bills> bills over <amount> stand in the log
-    When the promises are checked
-    Then the report says "<broken>"
+  Scenario Outline: A report lists a violated guarantee
+    # The report compares the outcomes that callers observed with the effects at the services
+    # and the bills in the log. "none" marks the consistent histories; every other row must be
+    # reported as a violation.
+    Given an operation whose outcome for its caller is <outcome>, with <effects> effects
+    And 10 answers that cost 1.0 and <bills> bills in the log with a chat total of <amount>
+    When the guarantees are checked
+    Then the report lists the violation "<violation>"
 
     Examples:
-      | told     | effects | bills | amount | broken             |
+      | outcome  | effects | bills | amount | violation          |
       | answered | 1       | 11    | 1.0    | none               |
       | answered | 2       | 11    | 1.0    | effect doubled     |
       | answered | 0       | 11    | 1.0    | effect lost        |
@@ -19,9 +20,10 @@
       | answered | 1       | 12    | 1.0    | 12 bills for 11    |
       | answered | 1       | 11    | 0.9    | billed 0.900000    |
 
-  Scenario: A report compares cost with the oracle's and the best version's
-    # Two answers, one by each version: half the cost of the best version's, and
-    # above the oracle's, which takes the cheap one where it meets the target.
+  Scenario: A report compares the cost with that of the oracle and of the best version
+    # One answer by each of two versions. Together they cost less than two answers of the best
+    # version, and more than two of the oracle's, which picks the cheapest version that meets
+    # the target.
     Given a "note" answered by larch:1 and by spruce:1 in the phase "calm"
     When the phase is measured
     Then its cost is 5.50 times the oracle's and 0.55 times the best version's
