--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches: figures with their baselines, measured in one run."""
+"""Benchmarks, each of which measures its figures and their baselines in one run."""
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,4 @@
-"""What the operators' document costs: the fold, its records, and a fresh start from the log."""
+"""Measures the cost of the operators' document: fold time, record size, start from the log."""
 
 import sys
 import time
@@ -18,26 +18,28 @@
 from poplarrun.log import MemoryLog
 
 COMMAND = "python -m bench.config"
-VERSIONS = 26
-CLASSES = 12
+VERSION_COUNT = 26
+CLASS_COUNT = 12
 ACCOUNT_COUNTS = (10, 50, 100, 200)
-USUAL_ACCOUNTS = 100
-PUBLICATIONS = (20, 60, 180)
+TYPICAL_ACCOUNT_COUNT = 100
+PUBLICATION_COUNTS = (20, 60, 180)
 CHANGES_PER_DAY = 910
-REPETITIONS = 3
-READ_LIMIT = 1000
+REPETITION_COUNT = 3
+MAX_READ_ENTRIES = 1000
 IN_FORCE_TARGET_S = 11.0
 
 
 def make_document(accounts: int, number: int = 0) -> str:
-    """Return a document of the two-year size, with so many client accounts."""
+    """Return a document of the size expected in two years, with ``accounts`` client accounts."""
     targets = {"quality": 0.8, "first_token_ms": 1300, "between_tokens_ms": 42, "whole_s": 60}
     price = {"input_per_mtok": 0.2 + number / 1000, "output_per_mtok": 0.8}
-    whole = {
-        "classes": {f"class-{i}": {"importance": 5, "targets": targets} for i in range(CLASSES)},
+    document = {
+        "classes": {
+            f"class-{i}": {"importance": 5, "targets": targets} for i in range(CLASS_COUNT)
+        },
         "models": {
             f"model-{i}": {"versions": {"1": {"stage": "offered", "price": price}}}
-            for i in range(VERSIONS)
+            for i in range(VERSION_COUNT)
         },
         "accounts": {
             f"account-{i}": {
@@ -49,11 +51,11 @@
             for i in range(accounts)
         },
     }
-    return yaml.safe_dump(whole)
+    return yaml.safe_dump(document)
 
 
 def fill_log(publications: int, accounts: int) -> MemoryLog:
-    """Return a log with publications, each on top of the one before it."""
+    """Return a log of publications, each based on the previous one."""
     log = MemoryLog()
     for number in range(publications):
         text = make_document(accounts, number)
@@ -63,62 +65,62 @@
 
 
 def fold_all(log: MemoryLog) -> tuple[Configuration, float]:
-    """Fold the whole stream; return its state and the processor seconds."""
-    entries = log.read(CONFIG_STREAM, 0, READ_LIMIT).entries  # type: ignore[union-attr]
-    state, began = Configuration(), time.process_time()
+    """Fold the whole stream; return the final state and the processor time in seconds."""
+    entries = log.read(CONFIG_STREAM, 0, MAX_READ_ENTRIES).entries  # type: ignore[union-attr]
+    state, started_at = Configuration(), time.process_time()
     for entry in entries:
         state, _ = fold_entry(state, entry)
-    return state, time.process_time() - began
+    return state, time.process_time() - started_at
 
 
 def measure_accounts() -> tuple[list[tuple[float, float]], list[tuple[float, float]]]:
-    """Return milliseconds to fold one publication, and its record's bytes, by accounts."""
-    times, sizes = [], []
+    """Return the fold time in milliseconds and the record size in bytes by number of accounts."""
+    fold_times_ms, record_bytes = [], []
     for accounts in ACCOUNT_COUNTS:
         log = fill_log(1, accounts)
-        best_s = min(fold_all(log)[1] for _ in range(REPETITIONS))
+        fastest_s = min(fold_all(log)[1] for _ in range(REPETITION_COUNT))
         record = log.read(CONFIG_STREAM, 0, 1).entries[0]  # type: ignore[union-attr]
-        times.append((float(accounts), best_s * 1000))
-        sizes.append((float(accounts), float(len(record.data))))
-    return times, sizes
+        fold_times_ms.append((float(accounts), fastest_s * 1000))
+        record_bytes.append((float(accounts), float(len(record.data))))
+    return fold_times_ms, record_bytes
 
 
 def measure_memory() -> float:
-    """Return the megabytes that a configuration in force takes."""
-    log = fill_log(1, USUAL_ACCOUNTS)
+    """Return the memory of a configuration in force, in megabytes."""
+    log = fill_log(1, TYPICAL_ACCOUNT_COUNT)
     fold_all(log)
     tracemalloc.start()
     state, _ = fold_all(log)
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert state.offset == 0
-    return held / 1_000_000
+    return allocated_bytes / 1_000_000
 
 
 def main() -> int:
     """Run the bench; return the exit code."""
-    times, sizes = measure_accounts()
-    starts = []
-    for publications in PUBLICATIONS:
-        _, seconds = fold_all(fill_log(publications, USUAL_ACCOUNTS))
-        starts.append((float(publications), seconds))
-    day_s = starts[-1][1] / starts[-1][0] * CHANGES_PER_DAY
-    one_ms = dict(times)[float(USUAL_ACCOUNTS)]
+    fold_times_ms, record_bytes = measure_accounts()
+    start_times_s = []
+    for publications in PUBLICATION_COUNTS:
+        _, seconds = fold_all(fill_log(publications, TYPICAL_ACCOUNT_COUNT))
+        start_times_s.append((float(publications), seconds))
+    day_s = start_times_s[-1][1] / start_times_s[-1][0] * CHANGES_PER_DAY
+    one_fold_ms = dict(fold_times_ms)[float(TYPICAL_ACCOUNT_COUNT)]
     figures = [
         Figure(
             "fold_of_one_publication",
-            round(one_ms, 2),
+            round(one_fold_ms, 2),
             "ms",
             target=f"under {IN_FORCE_TARGET_S:g} s, the whole time to be in force",
-            holds=one_ms / 1000 < IN_FORCE_TARGET_S,
+            holds=one_fold_ms / 1000 < IN_FORCE_TARGET_S,
         ),
         Figure("start_from_a_days_publications", round(day_s, 2), "s"),
         Figure("memory_of_a_configuration", round(measure_memory(), 2), "MB"),
     ]
     slopes = [
-        Slope("fold_by_accounts", "client accounts", "ms", tuple(times), COMMAND),
-        Slope("record_by_accounts", "client accounts", "bytes", tuple(sizes), COMMAND),
-        Slope("start_by_publications", "publications", "s", tuple(starts), COMMAND),
+        Slope("fold_by_accounts", "client accounts", "ms", tuple(fold_times_ms), COMMAND),
+        Slope("record_by_accounts", "client accounts", "bytes", tuple(record_bytes), COMMAND),
+        Slope("start_by_publications", "publications", "s", tuple(start_times_s), COMMAND),
     ]
     return report("config", figures, slopes)
 
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""The form in which every bench gives its figures."""
+"""The format in which every benchmark reports its figures."""
 
 import json
 import os
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True)
 class Figure:
-    """One measured figure.
+    """One measured figure; the field names are the keys of its JSON line.
 
     Attributes
     ----------
     name : str
-        Unique within its bench.
+        Unique within its benchmark.
     value : float
-        What was measured.
+        Measured value.
     unit : str
         Unit of the value.
     spread : float
         Half the range over the repetitions or seeds.
     baseline : float, optional
-        The same figure of the baseline, in the same run.
+        The same figure of the baseline, measured in the same run.
     target : str
-        The target, as the issue states it; empty when there is none.
+        The required bound, in words; empty if there is none.
     holds : bool, optional
         Whether the target is met; None without a target.
     """
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """Points of a figure against a size, from which docs/CAPACITY.md extrapolates.
+    """Measurements of a figure at several sizes, from which docs/CAPACITY.md extrapolates.
 
     Attributes
     ----------
     name : str
-        Unique within its bench.
+        Unique within its benchmark.
     size : str
-        What is varied, such as ``hosts`` or ``endpoints``.
+        The varied quantity, such as ``hosts`` or ``endpoints``.
     unit : str
         Unit of the figure.
     points : tuple of (float, float)
-        Size and figure.
+        Pairs of size and value.
     command : str
         The command that measured it.
     """
@@ -67,9 +67,9 @@
 
 
 def report(bench: str, figures: list[Figure], slopes: list[Slope] | None = None) -> int:
-    """Print a JSON line a figure, keep all in bench/measurements, return the exit code.
+    """Print one JSON line per figure, write them to bench/measurements, return the exit code.
 
-    With ``CHECK=1`` in the environment the code is 1 when a target is missed.
+    The exit code is 1 if a target is missed and the environment has ``CHECK=1``.
     """
     lines = [json.dumps({"bench": bench, "kind": "figure", **asdict(f)}) for f in figures]
     lines += [json.dumps({"bench": bench, "kind": "slope", **asdict(s)}) for s in slopes or []]
--- a/bench/load.py
+++ b/bench/load.py
@@ -14,7 +14,7 @@
 
 from bench.figures import Figure, report
 from bench.load_choice import Quantiles, Setting, run_choice
-from bench.load_common import SEEDS, figure
+from bench.load_common import SEEDS, make_figure
 from bench.load_costs import cost_slopes
 from bench.load_limits import LimitRun
 from bench.load_phases import (
@@ -98,7 +98,7 @@
     saved = [1.0 - a / b for a, b in zip(own, least, strict=True)]
     cell = f"{sizes} batches, {hosts} hosts"
     figures = [
-        figure(
+        make_figure(
             f"p99 to first token over all-knowing queue, {cell}",
             ratios,
             "ratio",
@@ -106,7 +106,7 @@
             mean(ratios) <= 1.25,
             1.0,
         ),
-        figure(
+        make_figure(
             f"p99 to first token below least reported load, {cell}",
             saved,
             "share",
@@ -116,7 +116,7 @@
     ]
     for policy in BASELINES:
         figures.append(
-            figure(f"baseline {policy} p99 to first token, {cell}", p99(policy, hosts), "s")
+            make_figure(f"baseline {policy} p99 to first token, {cell}", p99(policy, hosts), "s")
         )
     return figures
 
@@ -148,7 +148,7 @@
     ratios = [a / b for a, b in zip(own, best, strict=True)]
     own_p99, two_p99 = column("Poplarrun", 1), column("TwoChoices", 1)
     figures = [
-        figure(
+        make_figure(
             "prefix hits over all-knowing, 10 % of events lost",
             ratios,
             "ratio",
@@ -156,7 +156,7 @@
             mean(ratios) >= 0.9,
             round(mean(column("TwoChoices", 0)) / mean(best), 4),
         ),
-        figure(
+        make_figure(
             "p99 to first token with prefix choice",
             own_p99,
             "s",
@@ -166,8 +166,8 @@
         ),
     ]
     for policy in ("PrefixAffinity", "AllKnowing"):
-        figures.append(figure(f"baseline {policy} prefix hits", column(policy, 0), "share"))
-        figures.append(figure(f"baseline {policy} p99 to first token", column(policy, 1), "s"))
+        figures.append(make_figure(f"baseline {policy} prefix hits", column(policy, 0), "share"))
+        figures.append(make_figure(f"baseline {policy} p99 to first token", column(policy, 1), "s"))
     return figures
 
 
@@ -196,9 +196,11 @@
             found = [o for item, o in runs.items() if (item.kind, item.load) == (kind, load)]
             cell = f"plain service, limit {kind}, load {load}"
             figures.append(
-                figure(f"calls in time over capacity, {cell}", [o.goodput for o in found], "ratio")
+                make_figure(
+                    f"calls in time over capacity, {cell}", [o.goodput for o in found], "ratio"
+                )
             )
-            figures.append(figure(f"p99, {cell}", [o.p99_s for o in found], "s"))
+            figures.append(make_figure(f"p99, {cell}", [o.p99_s for o in found], "s"))
     return figures
 
 
--- a/bench/load_common.py
+++ b/bench/load_common.py
@@ -1,4 +1,4 @@
-"""What the parts of the load bench share."""
+"""Helpers shared by the modules of the load benchmark."""
 
 from collections.abc import Iterable
 from statistics import mean
@@ -10,12 +10,12 @@
 
 
 def spread(values: Iterable[float]) -> float:
-    """Return half the range."""
-    found = list(values)
-    return (max(found) - min(found)) / 2.0
+    """Return half the range of the values."""
+    samples = list(values)
+    return (max(samples) - min(samples)) / 2.0
 
 
-def figure(
+def make_figure(
     name: str,
     values: list[float],
     unit: str,
@@ -23,7 +23,7 @@
     holds: bool | None = None,
     baseline: float | None = None,
 ) -> Figure:
-    """Make a figure of the values of several seeds."""
-    value = round(mean(values), 5)
-    near = round(spread(values), 5)
-    return Figure(name, value, unit, near, baseline, target, holds)
+    """Return a figure with the mean and the half range of the values of several seeds."""
+    average = round(mean(values), 5)
+    half_range = round(spread(values), 5)
+    return Figure(name, average, unit, half_range, baseline, target, holds)
--- a/bench/load_phases.py
+++ b/bench/load_phases.py
@@ -4,7 +4,7 @@
 from statistics import mean
 
 from bench.figures import Figure
-from bench.load_common import figure
+from bench.load_common import make_figure
 from bench.load_engines import LARGE, SMALL
 from bench.load_overload import CLASSES, Ask, OverloadRun, Phase, share_of
 
@@ -81,21 +81,21 @@
         normal = [o.normal_after_s for o in found]
         cell = f"{sizes} batches, load 2.0"
         figures += [
-            figure(
+            make_figure(
                 f"goodput of the most important class over alone, {cell}",
                 top,
                 "ratio",
                 "at least 0.99",
                 mean(top) >= 0.99,
             ),
-            figure(
+            make_figure(
                 f"throughput over capacity, {cell}",
                 rate,
                 "ratio",
                 "at least 0.95",
                 mean(rate) >= 0.95,
             ),
-            figure(
+            make_figure(
                 f"back to normal after the load's end, {cell}",
                 normal,
                 "s",
@@ -105,7 +105,9 @@
         ]
         for index, plan in enumerate(CLASSES):
             shares = [o.good_by_class[index] for o in found]
-            figures.append(figure(f"good first tokens of {plan.name}, {cell}", shares, "share"))
+            figures.append(
+                make_figure(f"good first tokens of {plan.name}, {cell}", shares, "share")
+            )
     return figures
 
 
@@ -151,17 +153,17 @@
     # Callers come back with the work of six seconds; the fifth of the capacity
     # that is free needs 24 s for it.
     return [
-        figure(
+        make_figure(
             "calls sent over offered in an outage", sent, "ratio", "at most 1.1", max(sent) <= 1.1
         ),
-        figure(
+        make_figure(
             "recovery from an outage, callers coming back",
             recovered,
             "s",
             "recovers by itself (before the trace's end, 62 s later)",
             max(recovered) < 55.0,
         ),
-        figure(
+        make_figure(
             "good first tokens 10 to 30 s after an outage",
             soon,
             "share",
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,7 +1,7 @@
-"""What the conversation of the gateway's hosts costs, by their number: ``python -m bench.peers``.
+"""Measures the cost of the gateway's peer messages by fleet size: ``python -m bench.peers``.
 
 All hosts of a fleet run in one process in virtual time, without sockets, callers or a store.
-Bytes and messages are those of a host that is no relay, and of the busiest one.
+Messages and bytes are averages over all hosts; bytes are also given for the busiest host.
 """
 
 import asyncio
@@ -14,74 +14,78 @@
 from standins.rollout_fleet import run_by_virtual_clock
 
 COMMAND = "python -m bench.peers"
-SEED = 4107
-# Fleets of unlike size, as hosts and the names of their zones.
+RANDOM_SEED = 4107
+# Fleets of different sizes, each as the number of hosts and the names of its zones.
 FLEETS = ((6, "abc"), (24, "abc"), (66, "abc"), (195, "abcde"), (392, "abcdefg"))
-SETTLED_S = 6.0
-WATCHED_S = 6.0
+CONVERGENCE_DELAY_S = 6.0
+MEASUREMENT_WINDOW_S = 6.0
 REQUESTS = 3
 BUSY_ENDPOINTS = 2
 
 
 @dataclass(frozen=True)
-class Cost:
-    """What a host spends a second.
+class MessageCost:
+    """Cost of the peer messages per second.
 
     Attributes
     ----------
     messages : float
-        Mean over all hosts.
-    bytes_sent, most_bytes_sent : float
+        Messages sent, mean over all hosts.
+    bytes_sent, max_bytes_sent : float
         Mean over all hosts, and of the host that sends most.
-    core : float
-        Processor time, mean over all hosts.
-    far_messages : float
+    core_fraction : float
+        Processor time as a fraction of one core, mean over all hosts.
+    cross_zone_messages : float
         Messages between zones, of all hosts together.
     """
 
     messages: float
     bytes_sent: float
-    most_bytes_sent: float
-    core: float
-    far_messages: float
+    max_bytes_sent: float
+    core_fraction: float
+    cross_zone_messages: float
 
 
-async def watch(hosts: int, zones: str) -> Cost:
-    """Return what the hosts of a settled fleet spend."""
-    fleet = PeerFleet(SEED, hosts, zones)
+async def measure_cost(hosts: int, zones: str) -> MessageCost:
+    """Return the cost of the messages in a fleet that has converged."""
+    fleet = PeerFleet(RANDOM_SEED, hosts, zones)
     fleet.run_requests(REQUESTS, BUSY_ENDPOINTS)
     fleet.talk()
-    await asyncio.sleep(SETTLED_S)
-    began = time.process_time()
-    messages, far_messages = fleet.messages, fleet.far_messages
+    await asyncio.sleep(CONVERGENCE_DELAY_S)
+    cpu_started_at = time.process_time()
+    messages, cross_zone_messages = fleet.messages, fleet.far_messages
     sent = fleet.bytes_sent()
-    await asyncio.sleep(WATCHED_S)
-    spent = [now - before for now, before in zip(fleet.bytes_sent(), sent, strict=True)]
-    return Cost(
-        (fleet.messages - messages) / WATCHED_S / hosts,
-        sum(spent) / WATCHED_S / hosts,
-        max(spent) / WATCHED_S,
-        (time.process_time() - began) / WATCHED_S / hosts,
-        (fleet.far_messages - far_messages) / WATCHED_S,
+    await asyncio.sleep(MEASUREMENT_WINDOW_S)
+    bytes_sent = [now - before for now, before in zip(fleet.bytes_sent(), sent, strict=True)]
+    return MessageCost(
+        (fleet.messages - messages) / MEASUREMENT_WINDOW_S / hosts,
+        sum(bytes_sent) / MEASUREMENT_WINDOW_S / hosts,
+        max(bytes_sent) / MEASUREMENT_WINDOW_S,
+        (time.process_time() - cpu_started_at) / MEASUREMENT_WINDOW_S / hosts,
+        (fleet.far_messages - cross_zone_messages) / MEASUREMENT_WINDOW_S,
     )
 
 
 def main() -> int:
     """Run the bench; return the exit code."""
-    costs = [(hosts, run_by_virtual_clock(watch(hosts, zones))) for hosts, zones in FLEETS]
-    largest, cost = costs[-1]
+    costs = [(hosts, run_by_virtual_clock(measure_cost(hosts, zones))) for hosts, zones in FLEETS]
+    largest_fleet, cost = costs[-1]
     figures = [
-        Figure(f"messages_at_{largest}", round(cost.messages, 1), "messages/s"),
-        Figure(f"bytes_at_{largest}", round(cost.bytes_sent), "bytes/s"),
-        Figure(f"most_bytes_at_{largest}", round(cost.most_bytes_sent), "bytes/s"),
-        Figure(f"core_at_{largest}", round(cost.core, 5), "cores"),
+        Figure(f"messages_at_{largest_fleet}", round(cost.messages, 1), "messages/s"),
+        Figure(f"bytes_at_{largest_fleet}", round(cost.bytes_sent), "bytes/s"),
+        Figure(f"most_bytes_at_{largest_fleet}", round(cost.max_bytes_sent), "bytes/s"),
+        Figure(f"core_at_{largest_fleet}", round(cost.core_fraction, 5), "cores"),
     ]
     rows = (
         ("messages_by_hosts", "messages/s", [round(each.messages, 2) for _, each in costs]),
         ("bytes_by_hosts", "bytes/s", [round(each.bytes_sent) for _, each in costs]),
-        ("most_bytes_by_hosts", "bytes/s", [round(each.most_bytes_sent) for _, each in costs]),
-        ("core_by_hosts", "cores", [round(each.core, 5) for _, each in costs]),
-        ("far_messages_by_hosts", "messages/s", [round(each.far_messages) for _, each in costs]),
+        ("most_bytes_by_hosts", "bytes/s", [round(each.max_bytes_sent) for _, each in costs]),
+        ("core_by_hosts", "cores", [round(each.core_fraction, 5) for _, each in costs]),
+        (
+            "far_messages_by_hosts",
+            "messages/s",
+            [round(each.cross_zone_messages) for _, each in costs],
+        ),
     )
     sizes = [float(hosts) for hosts, _ in costs]
     slopes = [
--- a/bench/version_decisions.py
+++ b/bench/version_decisions.py
@@ -1,4 +1,4 @@
-"""The price of a decision and of the estimates: time, memory and bytes."""
+"""Measures the overhead of version choices and quality estimates: time, memory and bytes."""
 
 import statistics
 import sys
@@ -11,84 +11,88 @@
 from poplarrun.versions import ChoiceRequest
 from standins.version_world import WorldHost
 
-DECISIONS = 20_000
-VERSIONS = (5, 10, 26)
-REQUESTS = 3000
-MEDIAN_BOUND_US = 200.0
+CHOICE_COUNT = 20_000
+VERSION_COUNTS = (5, 10, 26)
+TRAINING_REQUESTS = 3000
+MAX_MEDIAN_US = 200.0
 COMMAND = "python -m bench.versions"
 
 
-def learned_host(version_count: int) -> WorldHost:
-    """Return a host that has learnt of some versions."""
+def make_trained_host(version_count: int) -> WorldHost:
+    """Return a host whose estimates are trained on requests to ``version_count`` versions."""
     trace = make_trace(1, THISTLEDOWN, version_count)
-    return next(iter(run_poplarrun(trace, 1, REQUESTS).hosts.values()))
+    return next(iter(run_poplarrun(trace, 1, TRAINING_REQUESTS).hosts.values()))
 
 
-def time_calls(call: Callable[[], object], count: int) -> list[float]:
-    """Return what each call took, in microseconds."""
-    took = []
+def measure_call_times_us(call: Callable[[], object], count: int) -> list[float]:
+    """Return the duration of each call, in microseconds."""
+    times_us = []
     for _ in range(count):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         call()
-        took.append((time.perf_counter() - began) * 1e6)
-    return took
+        times_us.append((time.perf_counter() - started_at) * 1e6)
+    return times_us
 
 
-def time_decisions(host: WorldHost) -> list[float]:
-    """Return what decisions take, in microseconds."""
+def measure_choice_times_us(host: WorldHost) -> list[float]:
+    """Return the duration of each version choice, in microseconds."""
     work_class = host.configuration.document.classes["digest"]
     request = ChoiceRequest(ACCOUNT, work_class, 500, 1000)
-    return time_calls(lambda: host.versions.choose(request), DECISIONS)
+    return measure_call_times_us(lambda: host.versions.choose(request), CHOICE_COUNT)
 
 
 def bench_decisions() -> list[Figure]:
-    """Measure at 26 versions."""
+    """Measure choices, evidence exchange and memory at 26 versions."""
     tracemalloc.start()
-    host = learned_host(26)
+    host = make_trained_host(26)
     tracemalloc.stop()
-    took = time_decisions(host)
-    tick = time_calls(lambda: host.versions.exchange_evidence(host.peers, 1e6), 100)
-    median = statistics.median(took)
-    payload = len(host.versions.estimates.encode_local())
+    times_us = measure_choice_times_us(host)
+    exchange_times_us = measure_call_times_us(
+        lambda: host.versions.exchange_evidence(host.peers, 1e6), 100
+    )
+    median_us = statistics.median(times_us)
+    summary_bytes = len(host.versions.estimates.encode_local())
     return [
-        Figure("choice at 26 versions, median", median, "us", target="under 200 us",
-               holds=median < MEDIAN_BOUND_US),
-        Figure("choice at 26 versions, 99 in 100", statistics.quantiles(took, n=100)[98], "us"),
+        Figure("choice at 26 versions, median", median_us, "us", target="under 200 us",
+               holds=median_us < MAX_MEDIAN_US),
+        Figure("choice at 26 versions, 99 in 100", statistics.quantiles(times_us, n=100)[98], "us"),
         Figure("exchange and refresh a second at 26 versions, 3 classes",
-               statistics.median(tick), "us"),
-        Figure("summary of a host, 26 versions in 3 classes", payload, "bytes"),
-        Figure("memory of a host's estimates", deep_size(host.versions.estimates), "bytes"),
+               statistics.median(exchange_times_us), "us"),
+        Figure("summary of a host, 26 versions in 3 classes", summary_bytes, "bytes"),
+        Figure("memory of a host's estimates", measure_deep_size(host.versions.estimates), "bytes"),
     ]  # fmt: skip
 
 
-def deep_size(root: object) -> int:
-    """Return the bytes of an object and all that it holds."""
+def measure_deep_size(root: object) -> int:
+    """Return the size of an object and everything it references, in bytes."""
     seen: set[int] = set()
-    waiting, total = [root], 0
-    while waiting:
-        item = waiting.pop()
+    pending, total = [root], 0
+    while pending:
+        item = pending.pop()
         if id(item) in seen or isinstance(item, type):
             continue
         seen.add(id(item))
         total += sys.getsizeof(item)
         if isinstance(item, dict):
-            waiting += [*item.keys(), *item.values()]
+            pending += [*item.keys(), *item.values()]
         elif isinstance(item, (list, tuple, set, frozenset)):
-            waiting += list(item)
+            pending += list(item)
         elif hasattr(item, "__dict__"):
-            waiting.append(vars(item))
+            pending.append(vars(item))
         elif hasattr(item, "__slots__"):
-            waiting += [getattr(item, name) for name in item.__slots__ if hasattr(item, name)]
+            pending += [getattr(item, name) for name in item.__slots__ if hasattr(item, name)]
     return total
 
 
 def measure_summaries() -> list[Slope]:
-    """Measure bytes and decisions against the number of versions."""
-    hosts = {count: learned_host(count) for count in VERSIONS}
+    """Measure the size of summaries and the time of choices by the number of versions."""
+    hosts = {count: make_trained_host(count) for count in VERSION_COUNTS}
     sizes = tuple(
         (float(n), float(len(h.versions.estimates.encode_local()))) for n, h in hosts.items()
     )
-    times = tuple((float(n), statistics.median(time_decisions(h))) for n, h in hosts.items())
+    times = tuple(
+        (float(n), statistics.median(measure_choice_times_us(h))) for n, h in hosts.items()
+    )
     return [
         Slope("evidence summary of a host, 3 classes", "versions", "bytes", sizes, COMMAND),
         Slope("choice, median", "versions", "us", times, COMMAND),
--- a/bench/versions.py
+++ b/bench/versions.py
@@ -1,6 +1,6 @@
-"""Cost at the quality target, exposure to bad versions, and the price of a decision.
+"""Benchmarks version selection: cost at the quality target, exposure to bad versions, overhead.
 
-No cluster: the decision code itself, in simulated time, against hidden truth.
+Runs the decision code in simulated time, without a cluster, against known true qualities.
 """
 
 import sys
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Run all parts, or those that are named."""
+    """Run all parts, or those named as arguments; return the exit code."""
     parts = {
         "costs": bench_costs,
         "cascades": bench_cascades,
@@ -22,9 +22,9 @@
         "decisions": bench_decisions,
         "sessions": bench_sessions,
     }
-    named = sys.argv[1:] or list(parts)
-    figures = [figure for name in named for figure in parts[name]()]
-    if len(named) < len(parts):
+    selected = sys.argv[1:] or list(parts)
+    figures = [figure for name in selected for figure in parts[name]()]
+    if len(selected) < len(parts):
         for figure in figures:
             print(figure)
         return 0
