--- a/bench/version_costs.py
+++ b/bench/version_costs.py
@@ -1,4 +1,4 @@
-"""Cost at the quality target, against baselines and an oracle."""
+"""Compares the cost at the quality target with baselines and an oracle."""
 
 import statistics
 from concurrent.futures import ProcessPoolExecutor
@@ -7,28 +7,28 @@
 from bench.version_traces import (
     ANELLIDORO,
     THISTLEDOWN,
-    Account,
     ClassPlan,
-    account_of,
+    PolicyResult,
     make_trace,
-    run_fixed,
+    run_baseline,
     run_poplarrun,
+    summarize_policy,
 )
 from standins.version_world import RatingTraits
 
 SEEDS = (1, 2, 3, 4)
-REQUESTS = 12_000
-# Ratings that come late are learnt from late: these runs are longer, and also
-# measured after so many requests of a class, which are 20 minutes.
-LATE_REQUESTS = 36_000
-LATE_LEARNING = 8000
+REQUEST_COUNT = 12_000
+# Late ratings delay learning, so these runs are longer and are also measured without the
+# first 8000 requests of each class, which take 20 minutes.
+LATE_REQUEST_COUNT = 36_000
+LATE_LEARNING_REQUESTS = 8000
 SETTLED = "settled"
-WORKERS = 4
+WORKER_COUNT = 4
 BASELINES = ("best", "cheapest", "random", "cascade", "oracle")
-WITHIN = 1.1
-HALF = 0.5
+MAX_COST_RATIO = 1.1
+MAX_RATIO_TO_BEST = 0.5
 TARGET = "within 10% after the first 2,000 requests"
-WINDOWS_MET = 0.99
+MIN_WINDOWS_MET_FRACTION = 0.99
 RATINGS = {
     "prompt": RatingTraits(),
     "late by 5 minutes, a tenth lost, 5% too low": RatingTraits(300.0, 0.1, -0.05),
@@ -44,25 +44,27 @@
 PLANS = {"thistledown": THISTLEDOWN, "anellidoro": ANELLIDORO}
 
 
-def run_seed(label: str, seed: int, ratings: str) -> tuple[dict[str, dict[str, Account]], float]:
-    """Return what each policy reached in each class, and the share of rated answers."""
+def run_seed(
+    label: str, seed: int, ratings: str
+) -> tuple[dict[str, dict[str, PolicyResult]], float]:
+    """Return the result of each policy in each class, and the fraction of rated answers."""
     trace = make_trace(seed, PLANS[label])
     is_late = ratings.startswith("late")
-    count = LATE_REQUESTS if is_late else REQUESTS
+    count = LATE_REQUEST_COUNT if is_late else REQUEST_COUNT
     world = run_poplarrun(trace, seed, count, RATINGS[ratings])
-    accounts = {"poplarrun": account_of(trace, world.served[:REQUESTS])}
+    results = {"poplarrun": summarize_policy(trace, world.served[:REQUEST_COUNT])}
     if is_late:
-        accounts[SETTLED] = account_of(trace, world.served, LATE_LEARNING)
+        results[SETTLED] = summarize_policy(trace, world.served, LATE_LEARNING_REQUESTS)
     for policy in BASELINES:
-        accounts[policy] = account_of(trace, run_fixed(trace, seed, REQUESTS, policy))
-    return accounts, world.rated / len(world.served)
+        results[policy] = summarize_policy(trace, run_baseline(trace, seed, REQUEST_COUNT, policy))
+    return results, world.rated / len(world.served)
 
 
 def bench_costs() -> list[Figure]:
-    """Run all seeds of both firms, and one firm under each trouble of the ratings."""
+    """Run all seeds of both firms, and one firm with each impairment of the ratings."""
     jobs = [(label, seed, "prompt") for label in PLANS for seed in SEEDS]
     jobs += [("thistledown", seed, ratings) for ratings in list(RATINGS)[1:] for seed in SEEDS[:2]]
-    with ProcessPoolExecutor(WORKERS) as pool:
+    with ProcessPoolExecutor(WORKER_COUNT) as pool:
         results = dict(zip(jobs, pool.map(run_seed, *zip(*jobs, strict=True)), strict=True))
     figures = []
     for ratings in RATINGS:
@@ -70,83 +72,95 @@
             runs = [r for (name, _, kind), r in results.items() if (name, kind) == (label, ratings)]
             if runs:
                 heading = label if ratings == "prompt" else f"{label}, ratings {ratings}"
-                figures += _sum_up(heading, plans, runs, with_baselines=ratings == "prompt")
+                figures += _make_class_figures(
+                    heading, plans, runs, with_baselines=ratings == "prompt"
+                )
     return figures
 
 
-def _sum_up(
+def _make_class_figures(
     heading: str,
     plans: tuple[ClassPlan, ...],
-    runs: list[tuple[dict[str, dict[str, Account]], float]],
+    runs: list[tuple[dict[str, dict[str, PolicyResult]], float]],
     with_baselines: bool,
 ) -> list[Figure]:
     figures = []
     for plan in plans:
         by_policy = {
-            policy: [accounts[policy][plan.name] for accounts, _ in runs]
+            policy: [results[policy][plan.name] for results, _ in runs]
             for policy in ("poplarrun", *BASELINES)
         }
-        figures += _compare(f"{heading}, {plan.name}", by_policy)
+        figures += _make_comparison_figures(f"{heading}, {plan.name}", by_policy)
         if SETTLED in runs[0][0]:
-            by_policy["poplarrun"] = [accounts[SETTLED][plan.name] for accounts, _ in runs]
-            name = f"{heading}, {plan.name}, after {LATE_LEARNING:,} requests"
-            figures += _compare(name, by_policy, f"within 10% after {LATE_LEARNING:,} requests")
+            by_policy["poplarrun"] = [results[SETTLED][plan.name] for results, _ in runs]
+            name = f"{heading}, {plan.name}, after {LATE_LEARNING_REQUESTS:,} requests"
+            figures += _make_comparison_figures(
+                name, by_policy, f"within 10% after {LATE_LEARNING_REQUESTS:,} requests"
+            )
         if with_baselines:
-            figures += _show_baselines(f"{heading}, {plan.name}", by_policy)
-    shares = [share for _, share in runs]
-    figures.append(Figure(f"{heading}: answers rated", *_mean(shares, "share")))
+            figures += _make_baseline_figures(f"{heading}, {plan.name}", by_policy)
+    rated_fractions = [share for _, share in runs]
+    figures.append(Figure(f"{heading}: answers rated", *_mean_and_spread(rated_fractions, "share")))
     return figures
 
 
-def _compare(name: str, by_policy: dict[str, list[Account]], target: str = TARGET) -> list[Figure]:
-    mine = by_policy["poplarrun"]
-    to_oracle = _ratios(mine, by_policy["oracle"])
-    to_best = _ratios(mine, by_policy["best"])
-    allows_half = statistics.fmean(_ratios(by_policy["oracle"], by_policy["best"])) <= HALF
-    met = [account.windows_met for account in mine]
-    oracle_met = statistics.fmean(account.windows_met for account in by_policy["oracle"])
+def _make_comparison_figures(
+    name: str, by_policy: dict[str, list[PolicyResult]], target: str = TARGET
+) -> list[Figure]:
+    ours = by_policy["poplarrun"]
+    to_oracle = _cost_ratios(ours, by_policy["oracle"])
+    to_best = _cost_ratios(ours, by_policy["best"])
+    allows_half = (
+        statistics.fmean(_cost_ratios(by_policy["oracle"], by_policy["best"])) <= MAX_RATIO_TO_BEST
+    )
+    windows_met_fractions = [result.windows_met for result in ours]
+    oracle_met = statistics.fmean(result.windows_met for result in by_policy["oracle"])
     cost, share = statistics.fmean(to_oracle), statistics.fmean(to_best)
     return [
         Figure(
             f"{name}: cost against the oracle",
-            *_mean(to_oracle, "ratio"),
+            *_mean_and_spread(to_oracle, "ratio"),
             baseline=1.0,
             target=target,
-            holds=cost <= WITHIN,
+            holds=cost <= MAX_COST_RATIO,
         ),
         Figure(
             f"{name}: cost against always best",
-            *_mean(to_best, "ratio"),
+            *_mean_and_spread(to_best, "ratio"),
             baseline=1.0,
             target="at most half" if allows_half else "at most half; this trace allows no half",
-            holds=share <= HALF if allows_half else None,
+            holds=share <= MAX_RATIO_TO_BEST if allows_half else None,
         ),
         Figure(
             f"{name}: windows of 500 that met the target",
-            *_mean(met, "share"),
+            *_mean_and_spread(windows_met_fractions, "share"),
             baseline=oracle_met,
             target="at least 99%; the baseline is the oracle",
-            holds=statistics.fmean(met) >= WINDOWS_MET,
+            holds=statistics.fmean(windows_met_fractions) >= MIN_WINDOWS_MET_FRACTION,
         ),
     ]
 
 
-def _show_baselines(name: str, by_policy: dict[str, list[Account]]) -> list[Figure]:
+def _make_baseline_figures(name: str, by_policy: dict[str, list[PolicyResult]]) -> list[Figure]:
     figures = []
     for policy in BASELINES[:-1]:
-        accounts = by_policy[policy]
-        ratios = _ratios(accounts, by_policy["oracle"])
-        met = [account.windows_met for account in accounts]
+        results = by_policy[policy]
+        ratios = _cost_ratios(results, by_policy["oracle"])
+        windows_met_fractions = [result.windows_met for result in results]
+        figures.append(
+            Figure(f"{name}: {policy}, cost against the oracle", *_mean_and_spread(ratios, "ratio"))
+        )
         figures.append(
-            Figure(f"{name}: {policy}, cost against the oracle", *_mean(ratios, "ratio"))
+            Figure(
+                f"{name}: {policy}, windows met", *_mean_and_spread(windows_met_fractions, "share")
+            )
         )
-        figures.append(Figure(f"{name}: {policy}, windows met", *_mean(met, "share")))
     return figures
 
 
-def _ratios(some: list[Account], others: list[Account]) -> list[float]:
-    return [a.cost / b.cost for a, b in zip(some, others, strict=True)]
+def _cost_ratios(numerators: list[PolicyResult], denominators: list[PolicyResult]) -> list[float]:
+    return [a.cost / b.cost for a, b in zip(numerators, denominators, strict=True)]
 
 
-def _mean(values: list[float], unit: str) -> tuple[float, str, float]:
+def _mean_and_spread(values: list[float], unit: str) -> tuple[float, str, float]:
     return statistics.fmean(values), unit, (max(values) - min(values)) / 2
--- a/bench/version_exposure.py
+++ b/bench/version_exposure.py
@@ -1,4 +1,4 @@
-"""Exposure to bad versions, false alarms, and how fast good ones are rolled out."""
+"""Measures exposure to bad versions, false alarms, and how fast good versions are rolled out."""
 
 import random
 import statistics
@@ -11,20 +11,20 @@
 from poplarrun.versions import TRIAL_LOG_CAPITAL_LIMIT, CellKey, bets_below, log_capital
 from standins.version_world import RatingTraits, Traits, VersionWorld
 
-WORKERS = 4
+WORKER_COUNT = 4
 CLASS = "digest"
 TARGET = 0.75
 OLD, NEW = VersionId("old", "1"), VersionId("new", "1")
 GOOD = Traits(0.88, failures=0.005)
-CALLERS = 20_000
-EXPOSED_REQUESTS = 50
-EXPOSED_CALLERS = 0.005
-FALSE_ALARMS = 0.01
+CALLER_COUNT = 20_000
+MAX_EXPOSED_REQUESTS = 50
+MAX_EXPOSED_CALLER_FRACTION = 0.005
+MAX_FALSE_ALARM_FRACTION = 0.01
 BAD_SEEDS = range(1, 13)
 GOOD_SEEDS = range(100, 200)
-DETECTED_WITHIN = 1500
-ROLLED_OUT_WITHIN = 3000
-BAD = {
+MAX_DETECTION_REQUESTS = 1500
+MAX_ROLL_OUT_REQUESTS = 3000
+BAD_VERSIONS = {
     "quality 0.5 for a target of 0.75": replace(GOOD, quality=0.5),
     "quality 0.62 for a target of 0.75": replace(GOOD, quality=0.62),
     "40% of answers fail": replace(GOOD, failures=0.4),
@@ -33,13 +33,14 @@
     "half of the answers late": replace(GOOD, late=0.5),
 }
 LATE = "half of the answers late"
-SCORED = {kind for kind in BAD if "scores" in kind}
-# This one may stay as a cascade's first step; what counts is how often it answers alone.
+SCORED_KINDS = {kind for kind in BAD_VERSIONS if "scores" in kind}
+# This version may stay in service as the first step of a cascade; only the requests that it
+# answers alone count as exposed.
 FIRST_STEP = "half of the answers poor, with scores that tell"
 
 
 def document(*names: str) -> str:
-    """Return a document of one class that offers some of two versions."""
+    """Return a document of one class that offers the named ones of two versions."""
     prices = {"old": 1.0, "new": 1.1}
     lines = [
         "classes:",
@@ -56,7 +57,7 @@
 def start_world(
     new: Traits, seed: int, host_count: int = 6, per_s: float = 20.0, judged: bool = False
 ) -> VersionWorld:
-    """Return a world in which the old version serves and the new one was just offered."""
+    """Return a world in which the old version is in service and the new one was just offered."""
     zones = 3 if host_count < 10 else 7
     world = VersionWorld(
         {(CLASS, OLD): GOOD, (CLASS, NEW): new},
@@ -65,7 +66,7 @@
         seed,
         RatingTraits(),
         per_s,
-        CALLERS,
+        CALLER_COUNT,
         judged,
     )
     world.publish(document("old"))
@@ -75,8 +76,8 @@
     return world
 
 
-def is_out(world: VersionWorld) -> bool:
-    """Tell whether no host sends the new version anything any more."""
+def is_withdrawn_everywhere(world: VersionWorld) -> bool:
+    """Return whether every host has withdrawn or rejected the new version."""
     return all(
         host.configuration.is_withdrawn(NEW)
         or host.versions.rollouts.find(CellKey(CLASS, NEW)).rejected
@@ -84,119 +85,158 @@
     )
 
 
-def serves(world: VersionWorld) -> bool:
-    """Tell whether the new version is rolled out fully at every host."""
+def is_serving_everywhere(world: VersionWorld) -> bool:
+    """Return whether the new version is fully rolled out at every host."""
     key = CellKey(CLASS, NEW)
     return all(host.versions.rollouts.find(key).serves for host in world.hosts.values())
 
 
-def expose(kind: str, seed: int, host_count: int, per_s: float) -> tuple[int, int, bool]:
-    """Return requests and callers that a bad version reached, and whether it is out."""
-    world = start_world(BAD[kind], seed, host_count, per_s, kind in SCORED)
-    world.run(int(300 * per_s), [CLASS], ACCOUNT, lambda: is_out(world))
+def measure_exposure(kind: str, seed: int, host_count: int, per_s: float) -> tuple[int, int, bool]:
+    """Return the requests and callers that a bad version served, and whether it is withdrawn."""
+    world = start_world(BAD_VERSIONS[kind], seed, host_count, per_s, kind in SCORED_KINDS)
+    world.run(int(300 * per_s), [CLASS], ACCOUNT, lambda: is_withdrawn_everywhere(world))
     reached = [s for s in world.served if s.version == NEW]
-    return len(reached), len({s.caller for s in reached}), is_out(world)
+    return len(reached), len({s.caller for s in reached}), is_withdrawn_everywhere(world)
 
 
-def turn_bad(kind: str, seed: int) -> int | None:
-    """Return the requests until a fully rolled out version that turned bad is out."""
-    world = start_world(GOOD, seed, judged=kind in SCORED)
-    world.run(8000, [CLASS], ACCOUNT, lambda: serves(world))
-    if not serves(world):
+def measure_detection(kind: str, seed: int) -> int | None:
+    """Return the requests that a fully rolled-out version served after it became bad.
+
+    Returns
+    -------
+    int or None
+        Requests until its withdrawal; None if it wasn't rolled out or wasn't withdrawn. For
+        ``FIRST_STEP``, the requests that it answered alone.
+    """
+    world = start_world(GOOD, seed, judged=kind in SCORED_KINDS)
+    world.run(8000, [CLASS], ACCOUNT, lambda: is_serving_everywhere(world))
+    if not is_serving_everywhere(world):
         return None
-    # Make it the cheapest good one, so that it carries the full traffic.
+    # Make it the cheapest good version, so that it gets the full traffic.
     world.publish(document("old", "new").replace("1.1", "0.5"))
     world.run(2000, [CLASS], ACCOUNT)
-    world.traits[(CLASS, NEW)] = BAD[kind]
-    begin = len(world.served)
+    world.traits[(CLASS, NEW)] = BAD_VERSIONS[kind]
+    first_index = len(world.served)
     if kind == FIRST_STEP:
         world.run(4000, [CLASS], ACCOUNT)
-        return sum(s.version == NEW and s.why != "cascade" for s in world.served[begin:])
-    world.run(8000, [CLASS], ACCOUNT, lambda: is_out(world))
-    if not is_out(world):
+        return sum(s.version == NEW and s.why != "cascade" for s in world.served[first_index:])
+    world.run(8000, [CLASS], ACCOUNT, lambda: is_withdrawn_everywhere(world))
+    if not is_withdrawn_everywhere(world):
         return None
-    return sum(s.version == NEW for s in world.served[begin:])
+    return sum(s.version == NEW for s in world.served[first_index:])
+
 
+def measure_roll_out(seed: int) -> tuple[bool, int | None]:
+    """Roll out a good, more expensive and slower version.
 
-def roll_out(seed: int) -> tuple[bool, int | None]:
-    """Roll a good, dearer and slower version out; return whether it was thrown out, and when in."""
-    source = random.Random(seed)
-    new = Traits(source.uniform(TARGET + 0.01, 0.95), failures=0.01, late=0.04)
+    Returns
+    -------
+    is_rejected : bool
+        Whether it was rejected or withdrawn.
+    request_count : int or None
+        Requests until it was in service at every host; None if it never was.
+    """
+    rng = random.Random(seed)
+    new = Traits(rng.uniform(TARGET + 0.01, 0.95), failures=0.01, late=0.04)
     world = start_world(new, seed)
-    took = world.run(ROLLED_OUT_WITHIN, [CLASS], ACCOUNT, lambda: serves(world) or is_out(world))
-    return is_out(world), took if serves(world) else None
+    took = world.run(
+        MAX_ROLL_OUT_REQUESTS,
+        [CLASS],
+        ACCOUNT,
+        lambda: is_serving_everywhere(world) or is_withdrawn_everywhere(world),
+    )
+    return is_withdrawn_everywhere(world), took if is_serving_everywhere(world) else None
 
 
-def alarm_at_the_bound(seed: int) -> bool:
-    """Tell whether 500 ratings of a version just at the bound raise an alarm."""
-    source = random.Random(seed)
+def raises_alarm_at_bound(seed: int) -> bool:
+    """Return whether 500 ratings of a version exactly at the bound raise an alarm."""
+    rng = random.Random(seed)
     mean = 0.7
     counts = [0] * 17
     for _ in range(500):
-        # The hardest case for a test of a mean: ratings of 0 or 1.
-        counts[16 if source.random() < mean else 0] += 1
+        # Ratings of 0 or 1 have the largest variance, the hardest case for a test of a mean.
+        counts[16 if rng.random() < mean else 0] += 1
         if log_capital(counts, bets_below(mean)) >= TRIAL_LOG_CAPITAL_LIMIT:
             return True
     return False
 
 
 def bench_exposure() -> list[Figure]:
-    """Measure all of it."""
+    """Measure exposure, detection, roll-outs and false alarms."""
     figures = []
-    with ProcessPoolExecutor(WORKERS) as pool:
-        for kind in BAD:
+    with ProcessPoolExecutor(WORKER_COUNT) as pool:
+        for kind in BAD_VERSIONS:
             runs = list(
-                pool.map(expose, *zip(*[(kind, s, 6, 20.0) for s in BAD_SEEDS], strict=True))
+                pool.map(
+                    measure_exposure, *zip(*[(kind, s, 6, 20.0) for s in BAD_SEEDS], strict=True)
+                )
+            )
+            figures += _make_exposure_figures(f"6 hosts, {kind}", runs)
+        large = list(
+            pool.map(
+                measure_exposure, *zip(*[(k, 1, 390, 100.0) for k in BAD_VERSIONS], strict=True)
             )
-            figures += _exposed(f"6 hosts, {kind}", runs)
-        large = list(pool.map(expose, *zip(*[(k, 1, 390, 100.0) for k in BAD], strict=True)))
-        figures += _exposed("390 hosts, each kind once", large)
-        for kind in BAD:
-            # In service a late version is passed over long before it is taken out.
+        )
+        figures += _make_exposure_figures("390 hosts, each kind once", large)
+        for kind in BAD_VERSIONS:
+            # A version in service that becomes late stops being chosen long before it is withdrawn.
             if kind == LATE:
                 continue
             took = list(
-                pool.map(turn_bad, *zip(*[(kind, seed) for seed in range(1, 7)], strict=True))
+                pool.map(
+                    measure_detection, *zip(*[(kind, seed) for seed in range(1, 7)], strict=True)
+                )
             )
-            figures.append(_within(f"turned bad at full traffic, {kind}", took, DETECTED_WITHIN))
-        rolled = list(pool.map(roll_out, GOOD_SEEDS))
-        alarms = list(pool.map(alarm_at_the_bound, range(2000), chunksize=50))
-    thrown_out = statistics.fmean(out for out, _ in rolled)
+            figures.append(
+                _make_bound_figure(
+                    f"turned bad at full traffic, {kind}", took, MAX_DETECTION_REQUESTS
+                )
+            )
+        roll_outs = list(pool.map(measure_roll_out, GOOD_SEEDS))
+        alarms = list(pool.map(raises_alarm_at_bound, range(2000), chunksize=50))
+    rejected_fraction = statistics.fmean(is_rejected for is_rejected, _ in roll_outs)
     figures.append(
-        Figure("good, dearer, slower version thrown out", thrown_out, "share of 100 roll-outs",
-               target="under 1%", holds=thrown_out < FALSE_ALARMS)
+        Figure("good, dearer, slower version thrown out", rejected_fraction,
+               "share of 100 roll-outs", target="under 1%",
+               holds=rejected_fraction < MAX_FALSE_ALARM_FRACTION)
     )  # fmt: skip
     figures.append(
         Figure("alarm within 500 ratings just at the bound", statistics.fmean(alarms),
                "share of 2,000", target="at most 0.5%, the bar's inverse",
                holds=statistics.fmean(alarms) <= 0.005)
     )  # fmt: skip
-    figures.append(_within("good version rolled out", [t for _, t in rolled], ROLLED_OUT_WITHIN))
+    figures.append(
+        _make_bound_figure(
+            "good version rolled out", [t for _, t in roll_outs], MAX_ROLL_OUT_REQUESTS
+        )
+    )
     return figures
 
 
-def _exposed(name: str, runs: list[tuple[int, int, bool]]) -> list[Figure]:
-    most = max(requests for requests, _, _ in runs)
-    callers = max(callers for _, callers, _ in runs) / CALLERS
-    out = statistics.fmean(is_out for _, _, is_out in runs)
+def _make_exposure_figures(name: str, runs: list[tuple[int, int, bool]]) -> list[Figure]:
+    max_requests = max(requests for requests, _, _ in runs)
+    callers = max(callers for _, callers, _ in runs) / CALLER_COUNT
+    withdrawn_fraction = statistics.fmean(is_withdrawn for _, _, is_withdrawn in runs)
     values = [requests for requests, _, _ in runs]
     return [
-        Figure(f"{name}: most requests exposed", most, "requests", (most - min(values)) / 2,
-               target="at most 50", holds=most <= EXPOSED_REQUESTS),
+        Figure(f"{name}: most requests exposed", max_requests, "requests",
+               (max_requests - min(values)) / 2, target="at most 50",
+               holds=max_requests <= MAX_EXPOSED_REQUESTS),
         Figure(f"{name}: mean requests exposed", statistics.fmean(values), "requests"),
         Figure(f"{name}: most callers exposed", callers, "share", target="at most 0.5%",
-               holds=callers <= EXPOSED_CALLERS),
-        Figure(f"{name}: withdrawn within 300 s", out, "share", target="all", holds=out == 1.0),
+               holds=callers <= MAX_EXPOSED_CALLER_FRACTION),
+        Figure(f"{name}: withdrawn within 300 s", withdrawn_fraction, "share",
+               target="all", holds=withdrawn_fraction == 1.0),
     ]  # fmt: skip
 
 
-def _within(name: str, took: list[int | None], bound: int) -> Figure:
+def _make_bound_figure(name: str, took: list[int | None], bound: int) -> Figure:
     known = [t for t in took if t is not None]
     share = len(known) / len(took)
-    worst = max(known, default=0)
+    max_taken = max(known, default=0)
     return Figure(
-        f"{name}: requests until then, the most", worst, "requests",
-        (worst - min(known, default=0)) / 2, share,
+        f"{name}: requests until then, the most", max_taken, "requests",
+        (max_taken - min(known, default=0)) / 2, share,
         f"all within {bound:,}; the baseline is the share that were",
-        share == 1.0 and worst <= bound,
+        share == 1.0 and max_taken <= bound,
     )  # fmt: skip
--- a/bench/version_traces.py
+++ b/bench/version_traces.py
@@ -1,4 +1,4 @@
-"""Traces for the versions bench: versions with hidden traits, and policies to compare."""
+"""Generates traces for the versions benchmark, and runs poplarrun or a baseline policy on them."""
 
 import random
 import statistics
@@ -14,17 +14,27 @@
 from standins.version_world import HARDNESS, RatingTraits, Served, Traits, VersionWorld
 
 LEARNING_REQUESTS = 2000
-WINDOW = 500
+WINDOW_REQUESTS = 500
 ACCOUNT = ClientAccount("shop", (), ("*",), ("*",), (), AccountLimitSettings())
 
 
 @dataclass(frozen=True)
 class ClassPlan:
-    """A class of a trace: its target, and how hard its work is."""
+    """A class of a trace.
+
+    Attributes
+    ----------
+    target : float
+        Quality target, from 0 to 1.
+    quality_offset : float
+        Added to the true quality of every version for this class.
+    tokens : float
+        Size of its answers.
+    """
 
     name: str
     target: float
-    easier: float
+    quality_offset: float
     tokens: float
 
 
@@ -42,14 +52,14 @@
 
 @dataclass(frozen=True)
 class Trace:
-    """Versions with hidden traits, and the classes that use them."""
+    """Versions with their prices and hidden traits, and the classes that use them."""
 
     classes: tuple[ClassPlan, ...]
     versions: dict[VersionId, float]
     traits: dict[tuple[str, VersionId], Traits]
 
     def document(self, *left_out: VersionId) -> str:
-        """Return the operators' document that offers the versions."""
+        """Return an operators' document that offers all versions except ``left_out``."""
         lines = ["classes:"]
         for plan in self.classes:
             lines.append(
@@ -66,28 +76,30 @@
         return "\n".join(lines)
 
     def parse(self) -> Document:
-        """Return the document with all versions."""
+        """Return the parsed document with all versions."""
         document = parse_document(self.document())
         assert isinstance(document, Document), document
         return document
 
     def oracle(self, plan: ClassPlan) -> VersionId:
         """Return the cheapest version whose true quality meets a class's target."""
-        meeting = [v for v in self.versions if self.traits[(plan.name, v)].quality >= plan.target]
-        return min(meeting, key=lambda version: self.versions[version])
+        sufficient = [
+            v for v in self.versions if self.traits[(plan.name, v)].quality >= plan.target
+        ]
+        return min(sufficient, key=lambda version: self.versions[version])
 
 
 def make_trace(seed: int, classes: tuple[ClassPlan, ...], count: int = 26) -> Trace:
-    """Draw versions whose quality grows with the price, unevenly."""
-    source = random.Random(seed)
+    """Draw versions whose quality grows with the price, with random deviations."""
+    rng = random.Random(seed)
     versions: dict[VersionId, float] = {}
     traits: dict[tuple[str, VersionId], Traits] = {}
     for rank in range(count):
         version = VersionId(f"m{rank:02d}", "1")
         versions[version] = round(0.2 * 100 ** (rank / (count - 1)), 4)
-        base = 0.45 + 0.48 * (rank / (count - 1)) ** 0.6 + source.gauss(0.0, 0.04)
+        base = 0.45 + 0.48 * (rank / (count - 1)) ** 0.6 + rng.gauss(0.0, 0.04)
         for plan in classes:
-            quality = min(0.94, base + plan.easier + source.gauss(0.0, 0.015))
+            quality = min(0.94, base + plan.quality_offset + rng.gauss(0.0, 0.015))
             traits[(plan.name, version)] = Traits(quality, tokens=plan.tokens)
     best = VersionId(f"m{count - 1:02d}", "1")
     for plan in classes:
@@ -96,33 +108,44 @@
 
 
 @dataclass(frozen=True)
-class Account:
-    """What one policy cost and reached, after the learning requests."""
+class PolicyResult:
+    """Cost and quality of one policy in one class, without its learning requests.
+
+    Attributes
+    ----------
+    cost, quality : float
+        Means over the requests.
+    windows_met : float
+        Fraction of the windows of ``WINDOW`` requests whose mean quality met the target.
+    """
 
     cost: float
     windows_met: float
     quality: float
 
 
-def account_of(
+def summarize_policy(
     trace: Trace, served: list[Served], learning: int = LEARNING_REQUESTS
-) -> dict[str, Account]:
-    """Sum up each class after its learning requests."""
-    found = {}
+) -> dict[str, PolicyResult]:
+    """Return the result of each class, without its learning requests."""
+    results = {}
     for plan in trace.classes:
-        mine = [s for s in served if s.class_name == plan.name][learning:]
-        windows = [mine[i : i + WINDOW] for i in range(0, len(mine) - WINDOW + 1, WINDOW)]
+        requests_of_class = [s for s in served if s.class_name == plan.name][learning:]
+        windows = [
+            requests_of_class[i : i + WINDOW_REQUESTS]
+            for i in range(0, len(requests_of_class) - WINDOW_REQUESTS + 1, WINDOW_REQUESTS)
+        ]
         met = [statistics.fmean(s.quality for s in w) >= plan.target for w in windows]
-        cost = statistics.fmean(s.cost for s in mine)
-        quality = statistics.fmean(s.quality for s in mine)
-        found[plan.name] = Account(cost, statistics.fmean(met), quality)
-    return found
+        cost = statistics.fmean(s.cost for s in requests_of_class)
+        quality = statistics.fmean(s.quality for s in requests_of_class)
+        results[plan.name] = PolicyResult(cost, statistics.fmean(met), quality)
+    return results
 
 
 def run_poplarrun(
     trace: Trace, seed: int, requests: int, ratings: RatingTraits | None = None
 ) -> VersionWorld:
-    """Let the decision code serve a trace."""
+    """Run poplarrun's decision code on a trace."""
     world = VersionWorld(trace.traits, seed=seed, ratings=ratings)
     world.publish(trace.document())
     world.advance(3.0)
@@ -130,8 +153,8 @@
     return world
 
 
-def run_fixed(trace: Trace, seed: int, requests: int, policy: str) -> list[Served]:
-    """Let a baseline serve a like trace."""
+def run_baseline(trace: Trace, seed: int, requests: int, policy: str) -> list[Served]:
+    """Run a baseline policy on requests drawn from the same distribution."""
     world = VersionWorld(trace.traits, host_count=1, zone_count=1, seed=seed)
     document = trace.parse()
     host = next(iter(world.hosts.values()))
