--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,8 +1,8 @@
-"""Runs every bench, or those that are named, and writes one report: ``python -m bench``.
+"""Runs all benchmarks, or those named, and writes one report: ``python -m bench``.
 
-``BASE=<commit>`` runs the same benches of an earlier commit too, in a
-temporary git worktree, and puts their figures beside these. ``CHECK=1`` exits 1
-where a target is missed.
+``BASE=<commit>`` also runs the same benchmarks of an earlier commit, in a
+temporary git worktree, and prints their figures next to the current ones. With
+``CHECK=1`` the exit code is 1 if a target is missed.
 """
 
 import json
@@ -18,7 +18,7 @@
 from bench.figures import CHECK_VARIABLE
 
 ROOT = Path(__file__).resolve().parent.parent
-REPORT = ROOT / "build" / "bench"
+REPORT_FOLDER = ROOT / "build" / "bench"
 BENCHES = (
     "path",
     "versions",
@@ -33,49 +33,52 @@
 )
 BASE_VARIABLE = "BASE"
 BENCH_TIMEOUT_S = 240
-SPINS = 20
-SPIN_ROUNDS = 300_000
-# An idle machine repeats a fixed loop within a few hundredths.
-QUIET_SPREAD = 0.15
+NOISE_LOOP_COUNT = 20
+NOISE_LOOP_ITERATIONS = 300_000
+# On an idle machine the times of a fixed loop differ by a few percent.
+MAX_QUIET_SPREAD = 0.15
 
 
 @dataclass(frozen=True)
 class BenchRun:
-    """What became of one bench.
+    """Result of one benchmark.
 
     Attributes
     ----------
     figures : dict of str to dict
         The figures by name.
     failure : str
-        Why there are none; empty when it ran.
+        Why there are no figures; empty if the benchmark ran.
     """
 
     bench: str
     figures: dict[str, dict[str, Any]]
-    seconds: float
+    duration_s: float
     failure: str = ""
 
 
 def measure_noise() -> float:
-    """Return the spread of a fixed loop: (slowest - fastest) / fastest, without outliers."""
+    """Return the spread of the times of a fixed loop: (slowest - fastest) / fastest.
+
+    The slowest and the fastest time are dropped as outliers first.
+    """
     times = []
-    for _ in range(SPINS):
-        began = time.perf_counter()
-        for _ in range(SPIN_ROUNDS):
+    for _ in range(NOISE_LOOP_COUNT):
+        started_at = time.perf_counter()
+        for _ in range(NOISE_LOOP_ITERATIONS):
             pass
-        times.append(time.perf_counter() - began)
-    kept = sorted(times)[1:-1]
-    return (kept[-1] - kept[0]) / kept[0]
+        times.append(time.perf_counter() - started_at)
+    sorted_times = sorted(times)[1:-1]
+    return (sorted_times[-1] - sorted_times[0]) / sorted_times[0]
 
 
 def run_bench(bench: str, root: Path) -> BenchRun:
-    """Run one bench of a checkout as a process of its own."""
-    began = time.monotonic()
+    """Run one benchmark of a checkout in a separate process."""
+    started_at = time.monotonic()
     environment = {k: v for k, v in os.environ.items() if k != CHECK_VARIABLE}
     environment["PYTHONPATH"] = str(root)
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", f"bench.{bench}"],
             cwd=root,
             env=environment,
@@ -84,23 +87,23 @@
             timeout=BENCH_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
-        return BenchRun(bench, {}, time.monotonic() - began, f"not within {BENCH_TIMEOUT_S} s")
-    seconds = time.monotonic() - began
-    if done.returncode != 0:
-        return BenchRun(bench, {}, seconds, done.stderr.strip().splitlines()[-1])
+        return BenchRun(bench, {}, time.monotonic() - started_at, f"not within {BENCH_TIMEOUT_S} s")
+    duration_s = time.monotonic() - started_at
+    if completed.returncode != 0:
+        return BenchRun(bench, {}, duration_s, completed.stderr.strip().splitlines()[-1])
     return BenchRun(
-        bench, read_figures(root / "bench" / "measurements" / f"{bench}.jsonl"), seconds
+        bench, read_figures(root / "bench" / "measurements" / f"{bench}.jsonl"), duration_s
     )
 
 
 def read_figures(path: Path) -> dict[str, dict[str, Any]]:
-    """Read the figures that a bench wrote."""
+    """Return the figures that a benchmark wrote, by name."""
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     return {line["name"]: line for line in lines if line["kind"] == "figure"}
 
 
 def run_base(commit: str, benches: list[str]) -> dict[str, BenchRun]:
-    """Run the benches of an earlier commit in a worktree of its own."""
+    """Run the benchmarks of an earlier commit in a temporary worktree."""
     with tempfile.TemporaryDirectory(prefix="poplarrun-base-") as folder:
         root = Path(folder) / "base"
         subprocess.run(["git", "worktree", "add", "--detach", str(root), commit], check=True)
@@ -111,40 +114,40 @@
             subprocess.run(["git", "worktree", "remove", "--force", str(root)], check=True)
 
 
-def render_text(runs: list[BenchRun], base: dict[str, BenchRun], noise: float) -> str:
-    """Write the report for people."""
-    lines = [f"spread of a fixed loop {noise:.0%}" + _judge_noise(noise), ""]
+def render_text(runs: list[BenchRun], base_runs: dict[str, BenchRun], noise: float) -> str:
+    """Return the report as text."""
+    lines = [f"spread of a fixed loop {noise:.0%}" + _describe_noise(noise), ""]
     for run in runs:
-        lines.append(f"{run.bench} ({run.seconds:.0f} s)")
+        lines.append(f"{run.bench} ({run.duration_s:.0f} s)")
         if run.failure:
             lines.append(f"  FAILED: {run.failure}")
-        before = base[run.bench].figures if run.bench in base else {}
+        base_figure = base_runs[run.bench].figures if run.bench in base_runs else {}
         for name, figure in run.figures.items():
-            lines.append("  " + _figure_line(figure, before.get(name)))
+            lines.append("  " + _format_figure(figure, base_figure.get(name)))
         lines.append("")
     return "\n".join(lines)
 
 
-def _judge_noise(noise: float) -> str:
-    if noise <= QUIET_SPREAD:
+def _describe_noise(noise: float) -> str:
+    if noise <= MAX_QUIET_SPREAD:
         return ": the machine is quiet"
     return ": THE MACHINE IS NOISY, latencies and processor times are not to be relied on"
 
 
-def _figure_line(figure: dict[str, Any], before: dict[str, Any] | None) -> str:
-    holds = {True: "holds", False: "MISSED", None: ""}[figure["holds"]]
+def _format_figure(figure: dict[str, Any], base_figure: dict[str, Any] | None) -> str:
+    verdict = {True: "holds", False: "MISSED", None: ""}[figure["holds"]]
     parts = [f"{figure['name']}: {figure['value']:g} ± {figure['spread']:g} {figure['unit']}"]
     if figure["baseline"] is not None:
         parts.append(f"baseline {figure['baseline']:g}")
-    if before is not None:
-        parts.append(f"base commit {before['value']:g}")
+    if base_figure is not None:
+        parts.append(f"base commit {base_figure['value']:g}")
     if figure["target"]:
-        parts.append(f"target {figure['target']} {holds}")
+        parts.append(f"target {figure['target']} {verdict}")
     return ", ".join(parts)
 
 
 def main() -> int:
-    """Run everything; return the exit code."""
+    """Run the benchmarks and write the report; return the exit code."""
     benches = sys.argv[1:] or list(BENCHES)
     unknown = sorted(set(benches) - set(BENCHES))
     if unknown:
@@ -156,24 +159,24 @@
         print(f"running bench.{bench}", file=sys.stderr, flush=True)
         runs.append(run_bench(bench, ROOT))
     commit = os.environ.get(BASE_VARIABLE, "")
-    base = run_base(commit, benches) if commit else {}
-    text = render_text(runs, base, max(noise, measure_noise()))
+    base_runs = run_base(commit, benches) if commit else {}
+    text = render_text(runs, base_runs, max(noise, measure_noise()))
     print(text)
-    REPORT.mkdir(parents=True, exist_ok=True)
-    (REPORT / "report.txt").write_text(text)
-    whole = {
+    REPORT_FOLDER.mkdir(parents=True, exist_ok=True)
+    (REPORT_FOLDER / "report.txt").write_text(text)
+    json_report = {
         "noise": noise,
         "base_commit": commit,
         "benches": {run.bench: list(run.figures.values()) for run in runs},
-        "base": {name: list(run.figures.values()) for name, run in base.items()},
+        "base": {name: list(run.figures.values()) for name, run in base_runs.items()},
         "failed": {run.bench: run.failure for run in runs if run.failure},
     }
-    (REPORT / "report.json").write_text(json.dumps(whole, indent=2))
-    return judge(runs)
+    (REPORT_FOLDER / "report.json").write_text(json.dumps(json_report, indent=2))
+    return compute_exit_code(runs)
 
 
-def judge(runs: list[BenchRun]) -> int:
-    """Return 1 where a bench failed, and with ``CHECK=1`` where a target is missed."""
+def compute_exit_code(runs: list[BenchRun]) -> int:
+    """Return 1 if a benchmark failed or, with ``CHECK=1``, if a target is missed; else 0."""
     missed = [
         f"{run.bench}.{name}"
         for run in runs
--- a/bench/gateway_load.py
+++ b/bench/gateway_load.py
@@ -1,9 +1,9 @@
-"""What callers get under load by several policies: ``python -m bench.gateway_load``."""
+"""Compares policies of the gateway under load: ``python -m bench.gateway_load``."""
 
 import sys
 
 from bench.figures import Figure, report
-from bench.gateway_world import Load, Policy, Tally, World
+from bench.gateway_world import GatewaySimulation, Load, Policy, Totals
 from poplarrun.placement import EndpointEstimate, Placement
 from poplarrun.routing import InFlightRequest
 from poplarrun.sizes import SizePolicy
@@ -17,40 +17,40 @@
 
 
 class RandomPlacement(Placement):
-    """A baseline: any engine."""
+    """A baseline: a random engine."""
 
     def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         return self._random.choice(seats)
 
 
 class LeastLoadedPlacement(Placement):
-    """A baseline: the engine that runs the fewest requests, by its last word."""
+    """A baseline: the engine with the fewest requests by its last report."""
 
     def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
         return min(seats, key=lambda seat: seat.endpoint.load)
 
 
 class OwnZonePlacement(Placement):
-    """A baseline: engines of the own zone only."""
+    """A baseline: only engines of the own zone, unless it has none."""
 
     def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
-        near = [seat for seat in seats if seat.endpoint.record.zone == self._zone]
-        return super()._select(near or seats, work)
+        own_zone = [seat for seat in seats if seat.endpoint.record.zone == self._zone]
+        return super()._select(own_zone or seats, work)
 
 
 class FixedSize(SizePolicy):
-    """A baseline: one model for all requests."""
+    """A baseline: the same model size for all requests."""
 
-    def __init__(self, place: int) -> None:
+    def __init__(self, size_index: int) -> None:
         super().__init__()
-        self._place = place
+        self._size_index = size_index
 
     def first_size(self, work: InFlightRequest) -> str | None:
-        """Return the one model."""
-        return work.route.sizes[self._place]
+        """Return the fixed size."""
+        return work.route.sizes[self._size_index]
 
     def escalation_size(self, work: InFlightRequest) -> str | None:
-        """Ask no other one."""
+        """Return None: never escalate."""
         return None
 
 
@@ -66,14 +66,14 @@
 SEEDS = (1, 2, 3, 4)
 
 
-def measure(load: Load, policy: Policy) -> Tally:
-    """Return what callers got over all seeds."""
-    whole = Tally()
+def measure(load: Load, policy: Policy) -> Totals:
+    """Return the totals over all seeds."""
+    totals = Totals()
     for seed in SEEDS:
-        tally = World(load, policy, seed).play()
-        for name in vars(whole):
-            setattr(whole, name, getattr(whole, name) + getattr(tally, name))
-    return whole
+        run_totals = GatewaySimulation(load, policy, seed).run()
+        for name in vars(totals):
+            setattr(totals, name, getattr(totals, name) + getattr(run_totals, name))
+    return totals
 
 
 def main() -> int:
@@ -81,14 +81,17 @@
     figures = []
     for load in LOADS:
         for policy in POLICIES:
-            tally = measure(load, policy)
-            place = f"{load.name}_{policy.name}"
-            in_time, poor = tally.in_time / tally.asked, tally.poor / tally.asked
-            far = tally.far_bytes / 1e6 / len(SEEDS)
-            figures.append(Figure(f"{place}_worth", round(tally.worth, 3), "share"))
-            figures.append(Figure(f"{place}_good_in_time", round(in_time, 3), "share"))
-            figures.append(Figure(f"{place}_poor", round(poor, 3), "share"))
-            figures.append(Figure(f"{place}_far", round(far, 2), "MB"))
+            run_totals = measure(load, policy)
+            prefix = f"{load.name}_{policy.name}"
+            in_time, poor = (
+                run_totals.in_time_count / run_totals.request_count,
+                run_totals.poor_count / run_totals.request_count,
+            )
+            far = run_totals.cross_zone_bytes / 1e6 / len(SEEDS)
+            figures.append(Figure(f"{prefix}_worth", round(run_totals.net_value_ratio, 3), "share"))
+            figures.append(Figure(f"{prefix}_good_in_time", round(in_time, 3), "share"))
+            figures.append(Figure(f"{prefix}_poor", round(poor, 3), "share"))
+            figures.append(Figure(f"{prefix}_far", round(far, 2), "MB"))
     return report("gateway_load", figures)
 
 
--- a/bench/gateway_world.py
+++ b/bench/gateway_world.py
@@ -1,8 +1,8 @@
-"""Hosts, engines and callers in virtual time, for ``bench.gateway_load``.
+"""Simulates hosts, engines and callers in virtual time, for ``bench.gateway_load``.
 
-Hosts decide with the gateway's own ``Dispatch``. An engine reads prompts one after the
-other, keeps what it read while it has room, and answers with a confidence that falls with
-how hard the request is for its model.
+Hosts decide with the gateway's own ``Dispatcher``. An engine prefills prompts in order,
+caches prompt parts up to its capacity, and answers with a confidence that falls with the
+difficulty of the request for its model.
 """
 
 import heapq
@@ -32,29 +32,29 @@
 from poplarrun.sizes import SizePolicy
 
 ZONES = ("a", "b", "c")
-HOSTS = 6
-SECONDS = 60.0
-CALM_S = 20.0
-# Pause between two digests to hosts of the own zone and to others, in seconds.
-NEAR_DIGEST_S = 0.4
-FAR_DIGEST_S = 1.0
+HOST_COUNT = 6
+DURATION_S = 60.0
+WARM_UP_S = 20.0
+# Interval of load digests to hosts of the same zone and of other zones.
+SAME_ZONE_DIGEST_INTERVAL_S = 0.4
+CROSS_ZONE_DIGEST_INTERVAL_S = 1.0
 CONFIDENCE_SLOPE = 1.6
 CONFIDENCE_NOISE = 0.1
-# What a late answer and a poor one are worth to a caller, as a share.
-LATE_WORTH = 0.3
-POOR_WORTH = 0.05
-MEMORY_TOKENS = 428_841
-FAR_DELAY_S = 0.008
-# Batches end a step only now and then: what a first event takes at least, in seconds.
-FIRST_EVENT_S = 0.02
+# Fraction of its value that a late answer and a poor answer keep for the caller.
+LATE_VALUE_FRACTION = 0.3
+POOR_VALUE_FRACTION = 0.05
+CACHE_TOKENS = 428_841
+CROSS_ZONE_DELAY_S = 0.008
+# Minimum time to a first event, because it waits for the end of a batch step.
+MIN_FIRST_EVENT_S = 0.02
 
 
 @dataclass(frozen=True)
 class Model:
-    """A model: its price, prompt tokens a second, seconds a token, and quality."""
+    """A model: its size with the price, prefill speed, time per token, and quality."""
 
     size: ModelSize
-    read_per_s: float
+    prefill_tokens_per_s: float
     token_s: float
     quality: float
 
@@ -65,23 +65,43 @@
     Model(ModelSize("large", 0.12), 16_900.0, 0.018, 1.0),
 )
 BY_NAME = {model.size.name: model for model in MODELS}
-ENGINES = Service("engines", 360, 64, MEMORY_TOKENS, tuple(model.size for model in MODELS))
+ENGINES = Service("engines", 360, 64, CACHE_TOKENS, tuple(model.size for model in MODELS))
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: how often it comes, its prompts, and what callers gain by it."""
+    """A kind of request.
+
+    Attributes
+    ----------
+    rate_per_s : float
+        Arrival rate at a load factor of 1.
+    target_s : float
+        Target of the time to the first event.
+    value : float
+        What an answer in time is worth to the caller, in the currency of the prices.
+    prefix_count : int
+        Number of distinct shared prompt prefixes.
+    shared_tokens, own_tokens : float
+        Mean tokens of a shared prefix, and of the rest of a prompt.
+    own_tokens_sigma : float
+        Sigma of the log-normal distribution of ``own_tokens``.
+    answer_tokens, max_tokens : float, int
+        Mean tokens of an answer, and the limit in the request.
+    rank : int
+        Priority of the route.
+    """
 
     name: str
-    per_s: float
+    rate_per_s: float
     target_s: float
-    worth: float
-    beginnings: int
+    value: float
+    prefix_count: int
     shared_tokens: float
     own_tokens: float
-    spread: float
+    own_tokens_sigma: float
     answer_tokens: float
-    most_tokens: int
+    max_tokens: int
     rank: int
 
 
@@ -94,7 +114,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A course of load: engines in each zone, and how much of the usual traffic comes."""
+    """A load scenario: engines in each zone, and a factor on the usual arrival rates."""
 
     name: str
     engines: tuple[int, int, int]
@@ -112,57 +132,57 @@
 
 @dataclass
 class Engine:
-    """An engine that reads prompts in the order in which they came."""
+    """An engine that prefills prompts in order of arrival and caches their parts (LRU)."""
 
     zone: str
     free_at: float = 0.0
-    kept: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
+    cached_tokens: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
 
-    def read(self, request: Request, model: Model, now: float) -> float:
-        """Take a prompt in, and return when its first event comes."""
-        unread, is_kept = 0, True
+    def prefill(self, request: Request, model: Model, now: float) -> float:
+        """Prefill a prompt; return the time of its first event."""
+        uncached_tokens, is_cached = 0, True
         for part in request.prompt_parts:
             key = (model.size.name, part.key)
-            is_kept = is_kept and key in self.kept
-            unread += 0 if is_kept else part.tokens
-            self.kept[key] = part.tokens
-            self.kept.move_to_end(key)
-        while sum(self.kept.values()) > MEMORY_TOKENS:
-            self.kept.popitem(last=False)
-        self.free_at = max(now, self.free_at) + unread / model.read_per_s
-        return self.free_at + FIRST_EVENT_S
+            is_cached = is_cached and key in self.cached_tokens
+            uncached_tokens += 0 if is_cached else part.tokens
+            self.cached_tokens[key] = part.tokens
+            self.cached_tokens.move_to_end(key)
+        while sum(self.cached_tokens.values()) > CACHE_TOKENS:
+            self.cached_tokens.popitem(last=False)
+        self.free_at = max(now, self.free_at) + uncached_tokens / model.prefill_tokens_per_s
+        return self.free_at + MIN_FIRST_EVENT_S
 
 
 @dataclass
-class Tally:
-    """What callers of one run got."""
+class Totals:
+    """Totals over the counted requests of one run."""
 
-    asked: int = 0
-    in_time: int = 0
-    poor: int = 0
-    owed: float = 0.0
-    earned: float = 0.0
-    paid: float = 0.0
-    far_bytes: int = 0
+    request_count: int = 0
+    in_time_count: int = 0
+    poor_count: int = 0
+    ideal_value: float = 0.0
+    earned_value: float = 0.0
+    model_cost: float = 0.0
+    cross_zone_bytes: int = 0
 
     @property
-    def worth(self) -> float:
-        """What callers gained less what the models cost, as a share of what they wanted."""
-        return (self.earned - self.paid) / self.owed
+    def net_value_ratio(self) -> float:
+        """Value of the answers less the cost of the models, over the value of ideal answers."""
+        return (self.earned_value - self.model_cost) / self.ideal_value
 
 
-class World:
-    """Hosts, engines and callers in virtual time.
+class GatewaySimulation:
+    """Simulates hosts, engines and callers in virtual time.
 
     Parameters
     ----------
     policy : Policy
-        That of each host.
+        The policy of every host.
     """
 
     def __init__(self, load: Load, policy: Policy, seed: int) -> None:
         self.now = 0.0
-        self.tally = Tally()
+        self.totals = Totals()
         self._load = load
         self._random = random.Random(seed)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -172,108 +192,113 @@
             for number in range(count):
                 self._engines[f"{zone}{number}"] = Engine(zone)
         self._routes = {kind.name: make_route(kind) for kind in KINDS}
-        self._hosts = [self._make_host(number, policy) for number in range(HOSTS)]
+        self._hosts = [self._make_host(number, policy) for number in range(HOST_COUNT)]
 
-    def play(self) -> Tally:
-        """Play the whole load and return what callers got."""
+    def run(self) -> Totals:
+        """Run the whole scenario and return its totals."""
         for kind in KINDS:
             self._arrive_after(kind)
-        for number, place in itertools.permutations(range(HOSTS), 2):
-            self._tell(number, place)
+        for number, peer_index in itertools.permutations(range(HOST_COUNT), 2):
+            self._share_load(number, peer_index)
         while self._queue:
             self.now, _, step = heapq.heappop(self._queue)
             step()
-        return self.tally
+        return self.totals
 
     def _make_host(self, number: int, policy: Policy) -> Dispatcher:
         placement = policy.placement(ZONES[number % len(ZONES)], random.Random(number))
         placement.update_endpoints(
             [
-                EndpointRecord(name, "engines", f"10.0.0.1:{place}", engine.zone, "v1", 64, False)
-                for place, (name, engine) in enumerate(self._engines.items())
+                EndpointRecord(name, "engines", f"10.0.0.1:{port}", engine.zone, "v1", 64, False)
+                for port, (name, engine) in enumerate(self._engines.items())
             ]
         )
-        knowledge = ConfigView(confirmed_at=math.inf)
+        config = ConfigView(confirmed_at=math.inf)
         routes = tuple(self._routes.values())
-        knowledge.apply_catalogue(
+        config.apply_catalogue(
             Catalogue(1, {"h": routes}, {"engines": ENGINES}, {"key": Account("acme")})
         )
-        return Dispatcher(knowledge, placement, Rollouts(), policy.make_sizes(), 0.765, 5.5, 10.0)
+        return Dispatcher(config, placement, Rollouts(), policy.make_sizes(), 0.765, 5.5, 10.0)
 
-    def _at(self, when: float, step: Callable[[], None]) -> None:
+    def _schedule(self, when: float, step: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (when, next(self._numbers), step))
 
-    def _tell(self, number: int, place: int) -> None:
-        """Tell another host what this one runs, again and again."""
+    def _share_load(self, number: int, peer_index: int) -> None:
+        """Send the load of one host to another one periodically."""
         loads = {
             member.record.instance_id: (member.in_flight, member.pending_prefill_s)
             for member in self._hosts[number].placement.endpoints()
             if member.in_flight
         }
-        self._hosts[place].placement.apply_peer_load(str(number), loads)
-        is_near = number % len(ZONES) == place % len(ZONES)
-        pause_s = (NEAR_DIGEST_S if is_near else FAR_DIGEST_S) * self._random.uniform(0.8, 1.2)
-        if self.now < SECONDS:
-            self._at(self.now + pause_s, lambda: self._tell(number, place))
+        self._hosts[peer_index].placement.apply_peer_load(str(number), loads)
+        is_same_zone = number % len(ZONES) == peer_index % len(ZONES)
+        delay_s = (
+            SAME_ZONE_DIGEST_INTERVAL_S if is_same_zone else CROSS_ZONE_DIGEST_INTERVAL_S
+        ) * self._random.uniform(0.8, 1.2)
+        if self.now < DURATION_S:
+            self._schedule(self.now + delay_s, lambda: self._share_load(number, peer_index))
 
     def _arrive_after(self, kind: Kind) -> None:
-        pause_s = self._random.expovariate(kind.per_s * self._load.factor)
-        if self.now + pause_s < SECONDS:
-            self._at(self.now + pause_s, lambda: self._arrive(kind))
+        delay_s = self._random.expovariate(kind.rate_per_s * self._load.factor)
+        if self.now + delay_s < DURATION_S:
+            self._schedule(self.now + delay_s, lambda: self._arrive(kind))
 
     def _arrive(self, kind: Kind) -> None:
         self._arrive_after(kind)
-        host = self._hosts[self._random.randrange(HOSTS)]
+        host = self._hosts[self._random.randrange(HOST_COUNT)]
         work = host.admit(self._make_request(kind), self.now)
         assert isinstance(work, InFlightRequest), work
         Call(self, host, work, kind, self._random.random()).send()
 
     def _make_request(self, kind: Kind) -> Request:
-        source = self._random
-        beginning = int(kind.beginnings * source.random() ** 1.4)
-        fixed = random.Random(f"{kind.name}{beginning}")
-        shared = int(kind.shared_tokens * fixed.lognormvariate(-0.2, 0.6))
-        own = int(kind.own_tokens * source.lognormvariate(-kind.spread**2 / 2, kind.spread))
+        rng = self._random
+        prefix_index = int(kind.prefix_count * rng.random() ** 1.4)
+        prefix_rng = random.Random(f"{kind.name}{prefix_index}")
+        shared = int(kind.shared_tokens * prefix_rng.lognormvariate(-0.2, 0.6))
+        own = int(
+            kind.own_tokens
+            * rng.lognormvariate(-kind.own_tokens_sigma**2 / 2, kind.own_tokens_sigma)
+        )
         number = next(self._numbers)
         parts = (
-            PromptPart(f"{kind.name}{beginning}", shared),
+            PromptPart(f"{kind.name}{prefix_index}", shared),
             PromptPart(f"own{number}", max(1, own)),
         )
-        hint = int(kind.answer_tokens * source.lognormvariate(0.0, 0.5))
+        hint = int(kind.answer_tokens * rng.lognormvariate(0.0, 0.5))
         path = f"/{kind.name}/".encode()
         return Request(
             f"r{number}", b"POST", path, "h", (), b" " * (shared + own), 12.0, "key", parts,
-            shared + own, kind.most_tokens, "*", None, None, max(1, hint),
+            shared + own, kind.max_tokens, "*", None, None, max(1, hint),
         )  # fmt: skip
 
     def answer(self, call: "Call", send: SendDecision) -> None:
-        """Have an engine read a prompt, and give its first event to the call."""
+        """Let the chosen engine prefill the prompt, and schedule the first event of the call."""
         member = send.estimate.endpoint
         engine = self._engines[member.record.instance_id]
         model = BY_NAME[send.size or "small"]
-        first_at = engine.read(call.work.request, model, self.now)
+        first_at = engine.prefill(call.work.request, model, self.now)
         if engine.zone != call.zone:
-            first_at += FAR_DELAY_S
-            self.tally.far_bytes += len(call.work.request.body)
-        miss = self._random.gauss(0.0, CONFIDENCE_NOISE)
-        confidence = 0.5 + CONFIDENCE_SLOPE * (model.quality - call.difficulty) + miss
+            first_at += CROSS_ZONE_DELAY_S
+            self.totals.cross_zone_bytes += len(call.work.request.body)
+        noise = self._random.gauss(0.0, CONFIDENCE_NOISE)
+        confidence = 0.5 + CONFIDENCE_SLOPE * (model.quality - call.difficulty) + noise
         call.confidence = min(1.0, max(0.0, confidence))
-        self._at(first_at, call.take_first)
+        self._schedule(first_at, call.handle_first_event)
 
-    def zone_of(self, host: Dispatcher) -> str:
+    def find_zone(self, host: Dispatcher) -> str:
         """Return the zone of a host."""
         return ZONES[self._hosts.index(host) % len(ZONES)]
 
-    def end_later(self, seconds: float, step: Callable[[], None]) -> None:
-        """Call back after some time."""
-        self._at(self.now + seconds, step)
+    def schedule_after(self, delay_s: float, step: Callable[[], None]) -> None:
+        """Schedule a step ``delay_s`` seconds from now."""
+        self._schedule(self.now + delay_s, step)
 
 
 @dataclass
 class Call:
-    """One request of a caller."""
+    """One request of a caller, with its difficulty from 0 to 1."""
 
-    world: World
+    simulation: GatewaySimulation
     host: Dispatcher
     work: InFlightRequest
     kind: Kind
@@ -283,55 +308,67 @@
     @property
     def zone(self) -> str:
         """Zone of its host."""
-        return self.world.zone_of(self.host)
+        return self.simulation.find_zone(self.host)
 
     def send(self) -> None:
-        """Send to the engine that the host chooses."""
-        step = self.host.choose_endpoint(self.work, self.world.now)
+        """Send the request to the engine that the host chooses."""
+        step = self.host.choose_endpoint(self.work, self.simulation.now)
         assert isinstance(step, SendDecision), step
-        self.attempt = self.host.record_sent(self.work, step, self.world.now)
-        self.world.answer(self, step)
+        self.attempt = self.host.record_sent(self.work, step, self.simulation.now)
+        self.simulation.answer(self, step)
 
-    def take_first(self) -> None:
-        """Take the first event: keep the answer, or ask a larger model."""
-        now, model = self.world.now, BY_NAME[self.attempt.size or "small"]
-        self._pay(model, 0 if now > SECONDS else 1)
+    def handle_first_event(self) -> None:
+        """Handle the first event: accept the answer, or escalate to a larger model."""
+        now, model = self.simulation.now, BY_NAME[self.attempt.size or "small"]
+        self._add_cost(model, 0 if now > DURATION_S else 1)
         if self.host.try_escalate(self.work, self.attempt, self.confidence, now):
             self.send()
             return
         self.host.record_first_event(self.work, self.attempt, now)
-        self._count(model)
-        self.world.end_later(self.kind.answer_tokens * model.token_s, self._end)
+        self._count_answer(model)
+        self.simulation.schedule_after(self.kind.answer_tokens * model.token_s, self._end)
 
     def _end(self) -> None:
-        self.host.record_completed(self.work, self.attempt, self.world.now)
+        self.host.record_completed(self.work, self.attempt, self.simulation.now)
 
-    def _pay(self, model: Model, generated: int) -> None:
-        if self.work.arrived_at >= CALM_S:
+    def _add_cost(self, model: Model, generated: int) -> None:
+        if self.work.arrived_at >= WARM_UP_S:
             tokens = 0.25 * self.work.request.prompt_tokens + generated
-            self.world.tally.paid += model.size.cost * tokens / 1000.0
+            self.simulation.totals.model_cost += model.size.cost * tokens / 1000.0
 
-    def _count(self, model: Model) -> None:
-        if self.work.arrived_at < CALM_S:
+    def _count_answer(self, model: Model) -> None:
+        if self.work.arrived_at < WARM_UP_S:
             return
-        tally = self.world.tally
+        totals = self.simulation.totals
         is_poor = self.difficulty > model.quality
-        is_in_time = self.world.now - self.work.arrived_at <= self.kind.target_s
-        share = POOR_WORTH if is_poor else 1.0
-        tally.asked += 1
-        tally.poor += is_poor
-        tally.in_time += is_in_time and not is_poor
-        tally.owed += self.kind.worth
-        tally.earned += self.kind.worth * share * (1.0 if is_in_time else LATE_WORTH)
-        tally.paid += model.size.cost * self.kind.answer_tokens / 1000.0
+        is_in_time = self.simulation.now - self.work.arrived_at <= self.kind.target_s
+        value_fraction = POOR_VALUE_FRACTION if is_poor else 1.0
+        totals.request_count += 1
+        totals.poor_count += is_poor
+        totals.in_time_count += is_in_time and not is_poor
+        totals.ideal_value += self.kind.value
+        totals.earned_value += (
+            self.kind.value * value_fraction * (1.0 if is_in_time else LATE_VALUE_FRACTION)
+        )
+        totals.model_cost += model.size.cost * self.kind.answer_tokens / 1000.0
 
 
 def make_route(kind: Kind) -> Route:
     """Return the route of a kind of request."""
-    pace = LatencyTargets(12.0, kind.target_s)
+    targets = LatencyTargets(12.0, kind.target_s)
     shares = (ServiceWeight("engines", 1.0),)
     sizes = tuple(model.size.name for model in MODELS)
     prefix = f"/{kind.name}/"
     return Route(
-        kind.name, "h", prefix, RepeatPolicy.STREAM, pace, kind.rank, shares, 3, False, True, sizes
+        kind.name,
+        "h",
+        prefix,
+        RepeatPolicy.STREAM,
+        targets,
+        kind.rank,
+        shares,
+        3,
+        False,
+        True,
+        sizes,
     )
