--- a/bench/load_costs.py
+++ b/bench/load_costs.py
@@ -1,4 +1,4 @@
-"""Time, memory and bytes that decisions cost, against sizes."""
+"""Measures time, memory and message bytes of load balancing by size."""
 
 import random
 import time
@@ -15,7 +15,7 @@
 
 
 def make_table(endpoints: int) -> EndpointTable:
-    """Return a table in which every endpoint holds one version, over seven zones."""
+    """Return a table of endpoints in seven zones that all serve the same version."""
     table = EndpointTable("a", random.Random(1))
     table.apply_host_list(
         tuple(
@@ -23,34 +23,34 @@
             for n in range(endpoints)
         )
     )
-    # At the two-year size a host is assigned two or three of 830.
+    # At the size expected in two years a host owns two or three of 830 endpoints.
     table.set_owned_endpoints(frozenset({"e0", "e7", "e14"}))
-    source = random.Random(2)
+    rng = random.Random(2)
     for at in (0.0, 1.0):
         for n in range(endpoints):
-            table.apply_load(f"e{n}", frozenset({VERSION}), source.randrange(60, 90), 96, at)
+            table.apply_load(f"e{n}", frozenset({VERSION}), rng.randrange(60, 90), 96, at)
     return table
 
 
-def time_decisions(endpoints: int) -> float:
-    """Return the median time of a choice with 32 blocks, in microseconds."""
+def measure_choice_time_us(endpoints: int) -> float:
+    """Return the median time of a choice for a prompt of 32 blocks, in microseconds."""
     table = make_table(endpoints)
     prompts = [tuple(random.Random(n // 4).getrandbits(56) for _ in range(32)) for n in range(400)]
-    taken = []
+    times_us = []
     for n in range(3000):
         now = 2.0 + n * 0.001
-        demand = PromptProfile(512, prompts[n % len(prompts)])
-        began = time.perf_counter()
-        choice = table.choose_engine(VERSION, now, (), demand)
+        profile = PromptProfile(512, prompts[n % len(prompts)])
+        started_at = time.perf_counter()
+        choice = table.choose_engine(VERSION, now, (), profile)
         assert choice is not None
-        table.record_sent(choice.endpoint.name, now, VERSION, demand.blocks)
-        taken.append((time.perf_counter() - began) * 1e6)
+        table.record_sent(choice.endpoint.name, now, VERSION, profile.blocks)
+        times_us.append((time.perf_counter() - started_at) * 1e6)
         table.record_finished(choice.endpoint.name, now)
-    return sorted(taken)[len(taken) // 2]
+    return sorted(times_us)[len(times_us) // 2]
 
 
 def measure_table_bytes(endpoints: int) -> float:
-    """Return the memory of a table."""
+    """Return the memory of an endpoint table, in bytes."""
     tracemalloc.start()
     table = make_table(endpoints)
     table.choose_engine(VERSION, 2.0)
@@ -60,12 +60,12 @@
 
 
 def measure_index_bytes(blocks: int) -> float:
-    """Return the memory of an index of so many blocks, held by three endpoints each."""
-    source = random.Random(3)
+    """Return the memory of a prefix index, each block cached at three endpoints, in bytes."""
+    rng = random.Random(3)
     tracemalloc.start()
     index = PrefixIndex()
     while len(index) < blocks:
-        prompt = tuple(source.getrandbits(56) for _ in range(8))
+        prompt = tuple(rng.getrandbits(56) for _ in range(8))
         for name in ("e1", "e2", "e3"):
             index.record_sent(name, VERSION, prompt, 1.0)
     size = tracemalloc.get_traced_memory()[0]
@@ -74,7 +74,7 @@
 
 
 def measure_load_summary(engines: int) -> float:
-    """Return the bytes of a host's load summary when it polls so many engines."""
+    """Return the size of the load summary of a host that polls ``engines`` engines, in bytes."""
     table = make_table(engines * 7)
     network = MemoryPeerNetwork()
     peers = MemoryPeers(network, Peer("a1", "a", "r", 0))
@@ -85,32 +85,34 @@
 
 
 def measure_limits_summary(accounts: int) -> float:
-    """Return the bytes of a host's shares of so many accounts, each with four limits."""
+    """Return the size of a host's summary of account limits, four per account, in bytes."""
     limits = AccountLimitSettings(100.0, 1e6, 100, 50.0)
-    found = [ClientAccount(f"account-{n}", (), (), (), (), limits) for n in range(accounts)]
+    accounts_with_limits = [
+        ClientAccount(f"account-{n}", (), (), (), (), limits) for n in range(accounts)
+    ]
     peers = MemoryPeers(MemoryPeerNetwork(), Peer("a1", "a", "r", 0))
-    part = AccountLimits(peers)
+    account_limits = AccountLimits(peers)
     for now in range(1, 20):
-        part.close_round(found, float(now), float(now))
+        account_limits.close_round(accounts_with_limits, float(now), float(now))
     return float(len(peers.collect_summaries(LIMITS_TOPIC).own_zone["a1"]))
 
 
-def cost_slopes() -> tuple[list[Figure], list[Slope]]:
-    """Measure the time and memory of decisions against sizes."""
-    sizes = (48, 200, 830)
-    times = [(float(n), round(time_decisions(n), 1)) for n in sizes]
-    tables = [(float(n), measure_table_bytes(n)) for n in sizes]
+def measure_costs() -> tuple[list[Figure], list[Slope]]:
+    """Measure the time and memory of decisions by size."""
+    endpoint_counts = (48, 200, 830)
+    choice_times_us = [(float(n), round(measure_choice_time_us(n), 1)) for n in endpoint_counts]
+    table_bytes = [(float(n), measure_table_bytes(n)) for n in endpoint_counts]
     blocks = [(float(n), measure_index_bytes(n)) for n in (1000, 5000, 20_000)]
-    summaries = tuple((float(n), measure_load_summary(n)) for n in (2, 10, 50))
-    shares = tuple((float(n), measure_limits_summary(n)) for n in (1, 10, 50))
-    median = times[-1][1]
+    load_summary_bytes = tuple((float(n), measure_load_summary(n)) for n in (2, 10, 50))
+    limits_summary_bytes = tuple((float(n), measure_limits_summary(n)) for n in (1, 10, 50))
+    median_us = choice_times_us[-1][1]
     target = "under 100 us median at 830 endpoints"
-    figures = [Figure("decision time", median, "us", target=target, holds=median < 100.0)]
+    figures = [Figure("decision time", median_us, "us", target=target, holds=median_us < 100.0)]
     slopes = [
-        Slope("decision time", "endpoints", "us", tuple(times), COMMAND),
-        Slope("endpoint table", "endpoints", "bytes", tuple(tables), COMMAND),
-        Slope("load summary", "polled engines", "bytes", summaries, COMMAND),
-        Slope("limits summary", "client accounts", "bytes", shares, COMMAND),
+        Slope("decision time", "endpoints", "us", tuple(choice_times_us), COMMAND),
+        Slope("endpoint table", "endpoints", "bytes", tuple(table_bytes), COMMAND),
+        Slope("load summary", "polled engines", "bytes", load_summary_bytes, COMMAND),
+        Slope("limits summary", "client accounts", "bytes", limits_summary_bytes, COMMAND),
         Slope("prefix index", "cached blocks", "bytes", tuple(blocks), COMMAND),
     ]
     return figures, slopes
--- a/bench/load_phases.py
+++ b/bench/load_phases.py
@@ -1,4 +1,4 @@
-"""Figures of overload and outage."""
+"""Measures goodput under overload and recovery from an outage of all engines."""
 
 from dataclasses import dataclass
 from statistics import mean
@@ -8,12 +8,12 @@
 from bench.load_engines import LARGE, SMALL
 from bench.load_overload import CLASSES, Ask, OverloadRun, Phase, share_of
 
-NORMAL = 0.95
+MIN_NORMAL_FRACTION = 0.95
 
 
 @dataclass(frozen=True)
 class OverloadItem:
-    """One overload run: twice the capacity for a while."""
+    """Parameters of one overload run, with a period of twice the capacity."""
 
     sizes: str
     seed: int
@@ -21,7 +21,20 @@
 
 @dataclass(frozen=True)
 class OverloadOutcome:
-    """What became of an overload."""
+    """Results of an overload run.
+
+    Attributes
+    ----------
+    top_share, top_alone : float
+        Fraction of the most important class's requests with a first token in time, with the
+        other classes and without them.
+    throughput : float
+        Completed requests over the capacity.
+    normal_after_s : float
+        Time from the end of the overload until requests are good again.
+    good_by_class : tuple of float
+        Fraction of requests with a first token in time, by class.
+    """
 
     top_share: float
     top_alone: float
@@ -31,80 +44,88 @@
 
 
 def run_overload(item: OverloadItem) -> OverloadOutcome:
-    """Run three classes, and the most important one alone."""
+    """Run the overload with all three classes, and with the most important class alone."""
     sizes, engines, scale = (LARGE, 12, 1.0) if item.sizes == "large" else (SMALL, 24, 0.4)
-    begin, end, until = 50 * scale, 110 * scale, 140 * scale
-    phases = (Phase(begin, 0.6), Phase(end, 2.0), Phase(until, 0.6))
-    whole = OverloadRun(phases, item.seed, CLASSES, False, sizes, engines)
-    whole.run()
-    alone = OverloadRun(phases, item.seed, CLASSES[:1], False, sizes, engines)
-    alone.run()
-    settled = begin + 2.0
-
-    def during(run: OverloadRun, index: int) -> list[Ask]:
+    overload_start, overload_end, ends_at = 50 * scale, 110 * scale, 140 * scale
+    phases = (Phase(overload_start, 0.6), Phase(overload_end, 2.0), Phase(ends_at, 0.6))
+    all_classes = OverloadRun(phases, item.seed, CLASSES, False, sizes, engines)
+    all_classes.run()
+    top_class = OverloadRun(phases, item.seed, CLASSES[:1], False, sizes, engines)
+    top_class.run()
+    counted_from = overload_start + 2.0
+
+    def select_asks(run: OverloadRun, index: int) -> list[Ask]:
         plan = CLASSES[index]
-        return [a for a in run.asks if a.plan is plan and settled <= a.work.at < end]
-
-    shares = tuple(share_of(during(whole, i), lambda ask: ask.is_good) for i in range(3))
-    filled = begin + (end - begin) / 3.0
-    done = [a for a in whole.asks if a.answered and filled <= a.work.end_at < end]
-    rate = len(done) / (end - filled) / whole.capacity_per_s
+        return [a for a in run.asks if a.plan is plan and counted_from <= a.work.at < overload_end]
+
+    shares = tuple(share_of(select_asks(all_classes, i), lambda ask: ask.is_good) for i in range(3))
+    queues_filled_at = overload_start + (overload_end - overload_start) / 3.0
+    completed = [
+        a
+        for a in all_classes.asks
+        if a.answered and queues_filled_at <= a.work.end_at < overload_end
+    ]
+    throughput = len(completed) / (overload_end - queues_filled_at) / all_classes.capacity_per_s
     return OverloadOutcome(
         shares[0],
-        share_of(during(alone, 0), lambda ask: ask.is_good),
-        rate,
-        _normal_after(whole.asks, end),
+        share_of(select_asks(top_class, 0), lambda ask: ask.is_good),
+        throughput,
+        _measure_recovery_s(all_classes.asks, overload_end),
         shares,
     )
 
 
-def _normal_after(asks: list[Ask], since: float) -> float:
-    """Return the seconds until 19 in 20 of each further second's requests are good.
+def _measure_recovery_s(asks: list[Ask], load_end: float) -> float:
+    """Return the seconds until 19 in 20 requests of every later second are good.
 
-    One late request in some hundred comes at any time, from a long prompt.
+    Not all, because at any load one request in some hundred is late due to a long prompt.
     """
     by_second: dict[int, list[Ask]] = {}
     for ask in asks:
-        if ask.work.at >= since:
-            by_second.setdefault(int(ask.work.at - since), []).append(ask)
-    bad = [s for s, found in by_second.items() if share_of(found, lambda a: a.is_good) < NORMAL]
+        if ask.work.at >= load_end:
+            by_second.setdefault(int(ask.work.at - load_end), []).append(ask)
+    bad = [
+        s
+        for s, second_asks in by_second.items()
+        if share_of(second_asks, lambda a: a.is_good) < MIN_NORMAL_FRACTION
+    ]
     return max(bad) + 1.0 if bad else 0.0
 
 
-def overload_figures(runs: dict[OverloadItem, OverloadOutcome]) -> list[Figure]:
-    """Return the goodput targets and the time back to normal."""
+def make_overload_figures(runs: dict[OverloadItem, OverloadOutcome]) -> list[Figure]:
+    """Return the figures of goodput, throughput and recovery time."""
     figures = []
     for sizes in ("large", "small"):
-        found = [outcome for item, outcome in runs.items() if item.sizes == sizes]
-        top = [o.top_share / o.top_alone for o in found]
-        rate = [o.throughput for o in found]
-        normal = [o.normal_after_s for o in found]
+        outcomes = [outcome for item, outcome in runs.items() if item.sizes == sizes]
+        goodput_ratios = [o.top_share / o.top_alone for o in outcomes]
+        throughput = [o.throughput for o in outcomes]
+        recovery_times_s = [o.normal_after_s for o in outcomes]
         cell = f"{sizes} batches, load 2.0"
         figures += [
             make_figure(
                 f"goodput of the most important class over alone, {cell}",
-                top,
+                goodput_ratios,
                 "ratio",
                 "at least 0.99",
-                mean(top) >= 0.99,
+                mean(goodput_ratios) >= 0.99,
             ),
             make_figure(
                 f"throughput over capacity, {cell}",
-                rate,
+                throughput,
                 "ratio",
                 "at least 0.95",
-                mean(rate) >= 0.95,
+                mean(throughput) >= 0.95,
             ),
             make_figure(
                 f"back to normal after the load's end, {cell}",
-                normal,
+                recovery_times_s,
                 "s",
                 "within 2 s",
-                max(normal) <= 2.0,
+                max(recovery_times_s) <= 2.0,
             ),
         ]
         for index, plan in enumerate(CLASSES):
-            shares = [o.good_by_class[index] for o in found]
+            shares = [o.good_by_class[index] for o in outcomes]
             figures.append(
                 make_figure(f"good first tokens of {plan.name}, {cell}", shares, "share")
             )
@@ -113,22 +134,26 @@
 
 @dataclass(frozen=True)
 class OutageOutcome:
-    """What became of an outage of all engines.
+    """Results of an outage of all engines.
 
     Attributes
     ----------
+    sent_ratio : float
+        Calls sent to engines over requests offered by callers, during the outage.
+    good_before, good_soon : float
+        Fraction of good requests before the outage, and 10 to 30 s after its end.
     recovered_s : float
         Time from its end until 19 in 20 requests of each second are good.
     """
 
-    sent: float
-    before: float
-    soon: float
+    sent_ratio: float
+    good_before: float
+    good_soon: float
     recovered_s: float
 
 
 def run_outage(seed: int) -> OutageOutcome:
-    """Run an outage of six seconds at 80 % load, callers coming back up to three times."""
+    """Run an outage of six seconds at 80 % load; callers retry up to three times."""
     run = OverloadRun((Phase(90.0, 0.8),), seed, CLASSES, True)
     run.down_from, run.down_until = 20.0, 26.0
     run.run()
@@ -140,18 +165,17 @@
         sent / offered,
         share_of(before, lambda ask: ask.is_good),
         share_of(soon, lambda ask: ask.is_good),
-        _normal_after([ask for ask in run.asks if ask.work.at < 88.0], 26.0),
+        _measure_recovery_s([ask for ask in run.asks if ask.work.at < 88.0], 26.0),
     )
 
 
-def outage_figures(runs: dict[int, OutageOutcome]) -> list[Figure]:
-    """Return the retry target, and whether the hosts recover by themselves."""
-    sent = [found.sent for found in runs.values()]
-    recovered = [found.recovered_s for found in runs.values()]
-    soon = [found.soon for found in runs.values()]
-    before = mean([found.before for found in runs.values()])
-    # Callers come back with the work of six seconds; the fifth of the capacity
-    # that is free needs 24 s for it.
+def make_outage_figures(runs: dict[int, OutageOutcome]) -> list[Figure]:
+    """Return the figures of retries during the outage and of the recovery after it."""
+    sent = [outcome.sent_ratio for outcome in runs.values()]
+    recovered = [outcome.recovered_s for outcome in runs.values()]
+    soon = [outcome.good_soon for outcome in runs.values()]
+    before = mean([outcome.good_before for outcome in runs.values()])
+    # Callers retry the work of six seconds; the free fifth of the capacity needs 24 s for it.
     return [
         make_figure(
             "calls sent over offered in an outage", sent, "ratio", "at most 1.1", max(sent) <= 1.1
