--- a/bench/load_engines.py
+++ b/bench/load_engines.py
@@ -1,4 +1,4 @@
-"""Event-driven fake engines for the load bench: batching, prefix cache, lagging reports."""
+"""Simulates model engines for the load benchmark: batching, request queue, prefix cache."""
 
 import heapq
 import math
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True)
 class Sizes:
-    """How large the engines' batches are, and how long the answers.
+    """Batch size and speed of the engines, and length of the answers and of a trace.
 
     Attributes
     ----------
     token_s : float
-        Time between tokens in an empty batch, in seconds.
+        Time between tokens in an empty batch.
     slowdown : float
-        Share by which a full batch lengthens it.
+        Fraction by which a full batch increases ``token_s``.
     seconds, warm_up_s : float
-        Length of a trace, and its part that isn't counted.
+        Duration of a trace, and of its beginning that isn't counted.
     """
 
     capacity: int
@@ -40,30 +40,30 @@
         return PROMPT_TOKENS * PREFILL_S_PER_TOKEN + answer_s
 
 
-# From the two-year sizes: 1.5 million tokens and 3,500 requests a second are
-# 428 tokens an answer; 830 runners at 42 ms between tokens hold 75 streams each.
+# The size expected in two years: 1.5 million tokens and 3,500 requests per second make
+# 428 tokens per answer; each of 830 engines, at 42 ms between tokens, runs 75 streams.
 LARGE = Sizes(96, 428, 0.026, 0.5, 80.0, 40.0)
-# Small batches and short answers: one late report hides a third of the arrivals.
+# Small batches and short answers: a third of the arrivals are missing from a late report.
 SMALL = Sizes(8, 70, 0.02, 0.5, 40.0, 10.0)
 SIZES = {"large": LARGE, "small": SMALL}
 
 
 @dataclass(slots=True)
-class Work:
-    """One request of a trace, and what became of it.
+class SimulatedRequest:
+    """One request of a trace, and its result. Times are in seconds since the start of the trace.
 
     Attributes
     ----------
-    at : float
-        When it arrives at its host, in seconds.
+    arrived_at : float
+        Time of its arrival at the host.
     importance : int
-        Of its class; engines honour it as priority.
+        Importance of its class, which engines use as priority.
     deadline_s : float
-        Time to the first token that its class asks for.
+        Target of its class for the time to the first token.
     """
 
     number: int
-    at: float
+    arrived_at: float
     host: int
     prompt_tokens: int
     answer_tokens: int
@@ -79,30 +79,30 @@
 
 
 @dataclass
-class FakeEngine:
-    """A batch, the queue before it, and a prefix cache."""
+class SimulatedEngine:
+    """An engine with a batch, a priority queue, and an LRU prefix cache."""
 
     zone: str
     sizes: Sizes
     cache_blocks: int = 0
     running: int = 0
-    queue: list[tuple[int, int, Work]] = field(default_factory=list)
+    queue: list[tuple[int, int, SimulatedRequest]] = field(default_factory=list)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
     events: list[tuple[int, bool, int]] = field(default_factory=list)
     event_number: int = 0
 
     @property
     def capacity(self) -> int:
-        """Places of the batch."""
+        """Slots of the batch."""
         return self.sizes.capacity
 
     @property
     def load(self) -> int:
-        """Requests in and before the batch."""
+        """Requests in the batch and in the queue."""
         return self.running + len(self.queue)
 
     def touch_cache(self, blocks: tuple[int, ...]) -> int:
-        """Return how many blocks of a prompt were cached; cache the rest."""
+        """Return the number of leading blocks of a prompt that were cached; cache all blocks."""
         if not self.cache_blocks:
             return 0
         cached = 0
@@ -123,29 +123,29 @@
 
 
 class Simulation:
-    """Runs events in time order; engines serve what is handed to them."""
+    """Discrete-event simulation of engines that serve submitted requests."""
 
-    def __init__(self, engines: list[FakeEngine]) -> None:
+    def __init__(self, engines: list[SimulatedEngine]) -> None:
         self.engines = engines
         self.now = 0.0
-        self.on_first: Callable[[Work], None] = lambda work: None
-        self.on_end: Callable[[Work], None] = lambda work: None
+        self.on_first: Callable[[SimulatedRequest], None] = lambda work: None
+        self.on_end: Callable[[SimulatedRequest], None] = lambda work: None
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Plan an action."""
+        """Schedule an action at a time."""
         self._order += 1
         heapq.heappush(self._events, (time, self._order, action))
 
     def run(self, until: float = math.inf) -> None:
-        """Run all planned events up to a time."""
+        """Run all scheduled actions up to a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
 
-    def submit(self, work: Work, index: int) -> None:
-        """Hand a request to an engine."""
+    def submit(self, work: SimulatedRequest, index: int) -> None:
+        """Submit a request to an engine; it waits there if the batch is full."""
         engine = self.engines[index]
         work.engine = index
         if engine.running < engine.capacity:
@@ -153,7 +153,7 @@
         else:
             heapq.heappush(engine.queue, (-work.importance, work.number, work))
 
-    def _start(self, work: Work, engine: FakeEngine) -> None:
+    def _start(self, work: SimulatedRequest, engine: SimulatedEngine) -> None:
         engine.running += 1
         work.cached_tokens = engine.touch_cache(work.blocks) * BLOCK_TOKENS
         sizes = engine.sizes
@@ -164,26 +164,28 @@
         self.at(work.first_at, lambda: self.on_first(work))
         self.at(work.end_at, lambda: self._finish(work, engine))
 
-    def _finish(self, work: Work, engine: FakeEngine) -> None:
+    def _finish(self, work: SimulatedRequest, engine: SimulatedEngine) -> None:
         engine.running -= 1
         if engine.queue:
             self._start(heapq.heappop(engine.queue)[2], engine)
         self.on_end(work)
 
 
-def draw_lengths(source: random.Random, sizes: Sizes) -> tuple[int, int]:
-    """Draw prompt and answer tokens: log-normal, means as the sizes say."""
-    prompt = source.lognormvariate(math.log(PROMPT_TOKENS) - 0.18, 0.6)
-    answer = source.lognormvariate(math.log(sizes.answer_tokens) - 0.125, 0.5)
+def draw_token_counts(rng: random.Random, sizes: Sizes) -> tuple[int, int]:
+    """Draw the prompt and answer tokens from log-normal distributions with the configured means."""
+    prompt = rng.lognormvariate(math.log(PROMPT_TOKENS) - 0.18, 0.6)
+    answer = rng.lognormvariate(math.log(sizes.answer_tokens) - 0.125, 0.5)
     return max(16, int(prompt)), max(4, int(answer))
 
 
-def make_trace(source: random.Random, rate_per_s: float, hosts: int, sizes: Sizes) -> list[Work]:
-    """Draw arrivals of a Poisson process, spread over the hosts by a balancer."""
-    trace: list[Work] = []
-    at = source.expovariate(rate_per_s)
+def make_trace(
+    rng: random.Random, rate_per_s: float, hosts: int, sizes: Sizes
+) -> list[SimulatedRequest]:
+    """Draw Poisson arrivals, distributed uniformly over the hosts."""
+    trace: list[SimulatedRequest] = []
+    at = rng.expovariate(rate_per_s)
     while at < sizes.seconds:
-        prompt, answer = draw_lengths(source, sizes)
-        trace.append(Work(len(trace), at, source.randrange(hosts), prompt, answer))
-        at += source.expovariate(rate_per_s)
+        prompt, answer = draw_token_counts(rng, sizes)
+        trace.append(SimulatedRequest(len(trace), at, rng.randrange(hosts), prompt, answer))
+        at += rng.expovariate(rate_per_s)
     return trace
--- a/bench/load_phases.py
+++ b/bench/load_phases.py
@@ -6,7 +6,7 @@
 from bench.figures import Figure
 from bench.load_common import make_figure
 from bench.load_engines import LARGE, SMALL
-from bench.load_overload import CLASSES, Ask, OverloadRun, Phase, share_of
+from bench.load_overload import CLASSES, CallerRequest, OverloadRun, Phase, compute_fraction
 
 MIN_NORMAL_FRACTION = 0.95
 
@@ -54,11 +54,17 @@
     top_class.run()
     counted_from = overload_start + 2.0
 
-    def select_asks(run: OverloadRun, index: int) -> list[Ask]:
+    def select_asks(run: OverloadRun, index: int) -> list[CallerRequest]:
         plan = CLASSES[index]
-        return [a for a in run.asks if a.plan is plan and counted_from <= a.work.at < overload_end]
+        return [
+            a
+            for a in run.asks
+            if a.plan is plan and counted_from <= a.work.arrived_at < overload_end
+        ]
 
-    shares = tuple(share_of(select_asks(all_classes, i), lambda ask: ask.is_good) for i in range(3))
+    shares = tuple(
+        compute_fraction(select_asks(all_classes, i), lambda ask: ask.is_good) for i in range(3)
+    )
     queues_filled_at = overload_start + (overload_end - overload_start) / 3.0
     completed = [
         a
@@ -68,26 +74,26 @@
     throughput = len(completed) / (overload_end - queues_filled_at) / all_classes.capacity_per_s
     return OverloadOutcome(
         shares[0],
-        share_of(select_asks(top_class, 0), lambda ask: ask.is_good),
+        compute_fraction(select_asks(top_class, 0), lambda ask: ask.is_good),
         throughput,
         _measure_recovery_s(all_classes.asks, overload_end),
         shares,
     )
 
 
-def _measure_recovery_s(asks: list[Ask], load_end: float) -> float:
+def _measure_recovery_s(asks: list[CallerRequest], load_end: float) -> float:
     """Return the seconds until 19 in 20 requests of every later second are good.
 
     Not all, because at any load one request in some hundred is late due to a long prompt.
     """
-    by_second: dict[int, list[Ask]] = {}
+    by_second: dict[int, list[CallerRequest]] = {}
     for ask in asks:
-        if ask.work.at >= load_end:
-            by_second.setdefault(int(ask.work.at - load_end), []).append(ask)
+        if ask.work.arrived_at >= load_end:
+            by_second.setdefault(int(ask.work.arrived_at - load_end), []).append(ask)
     bad = [
         s
         for s, second_asks in by_second.items()
-        if share_of(second_asks, lambda a: a.is_good) < MIN_NORMAL_FRACTION
+        if compute_fraction(second_asks, lambda a: a.is_good) < MIN_NORMAL_FRACTION
     ]
     return max(bad) + 1.0 if bad else 0.0
 
@@ -159,13 +165,13 @@
     run.run()
     sent = sum(20.0 <= at < 26.0 for at in run.attempts)
     offered = sum(20.0 <= at < 26.0 for at in run.offers)
-    before = [ask for ask in run.asks if 5.0 <= ask.work.at < 19.0]
-    soon = [ask for ask in run.asks if 36.0 <= ask.work.at < 56.0]
+    before = [ask for ask in run.asks if 5.0 <= ask.work.arrived_at < 19.0]
+    soon = [ask for ask in run.asks if 36.0 <= ask.work.arrived_at < 56.0]
     return OutageOutcome(
         sent / offered,
-        share_of(before, lambda ask: ask.is_good),
-        share_of(soon, lambda ask: ask.is_good),
-        _measure_recovery_s([ask for ask in run.asks if ask.work.at < 88.0], 26.0),
+        compute_fraction(before, lambda ask: ask.is_good),
+        compute_fraction(soon, lambda ask: ask.is_good),
+        _measure_recovery_s([ask for ask in run.asks if ask.work.arrived_at < 88.0], 26.0),
     )
 
 
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -1,24 +1,24 @@
-"""Ways to choose an engine: poplarrun's own, its baselines, and an all-knowing queue."""
+"""Policies to choose an engine: poplarrun's own, baselines, and an all-knowing queue."""
 
 import random
 from dataclasses import dataclass
 from functools import lru_cache
 from typing import Protocol
 
-from bench.load_engines import FakeEngine, Simulation, Work
+from bench.load_engines import SimulatedEngine, SimulatedRequest, Simulation
 from poplarrun.clients import CacheEvent, HostKind, HostState, ListedHost
 from poplarrun.contracts import VersionId
 from poplarrun.endpoints import EndpointTable, PromptProfile, assign_endpoints
 from poplarrun.speeds import PoolSpeed
 
-QUIET_LOAD = 0.7
+MAX_UNLOADED_LOAD = 0.7
 VERSION = VersionId("larch", "1")
 ZONES = ("a", "b", "c")
 
 
 @dataclass
 class Reports:
-    """Snapshots of the engines' loads, seen late."""
+    """Periodic snapshots of the engines' loads, visible after a lag."""
 
     lag_s: float
     period_s: float
@@ -27,97 +27,97 @@
         self.snapshots: list[tuple[float, list[int]]] = []
 
     def start(self, simulation: Simulation, until: float) -> None:
-        """Take snapshots until a time."""
+        """Schedule periodic snapshots until a time."""
 
-        def take() -> None:
+        def take_snapshot() -> None:
             loads = [engine.load for engine in simulation.engines]
             self.snapshots.append((simulation.now, loads))
             if simulation.now + self.period_s < until:
-                simulation.at(simulation.now + self.period_s, take)
+                simulation.at(simulation.now + self.period_s, take_snapshot)
 
-        simulation.at(0.0, take)
+        simulation.at(0.0, take_snapshot)
 
-    def newest(self, now: float) -> int:
-        """Return the number of the newest snapshot that is visible; -1 for none."""
+    def find_newest(self, now: float) -> int:
+        """Return the index of the newest visible snapshot, or -1 if there is none."""
         return min(len(self.snapshots) - 1, int((now - self.lag_s) / self.period_s + 1e-9))
 
 
 class Policy(Protocol):
-    """A host's way to choose an engine."""
+    """The policy by which one host chooses engines."""
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
 
-    def note_first(self, work: Work, now: float) -> None:
-        """Hear that a first token came."""
+    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+        """Record the first token of a request of this host."""
 
-    def note_end(self, work: Work, now: float) -> None:
-        """Hear that a request of this host ended."""
+    def record_end(self, work: SimulatedRequest, now: float) -> None:
+        """Record the end of a request of this host."""
 
 
 class RandomChoice:
-    """Any engine."""
+    """A random engine."""
 
     def __init__(
-        self, host: int, engines: list[FakeEngine], reports: Reports, hosts: int = 1
+        self, host: int, engines: list[SimulatedEngine], reports: Reports, hosts: int = 1
     ) -> None:
-        self.source = random.Random(host)
+        self.rng = random.Random(host)
         self.engines = engines
         self.reports = reports
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
-        return self.source.randrange(len(self.engines))
+        return self.rng.randrange(len(self.engines))
 
-    def note_first(self, work: Work, now: float) -> None:
-        """Hear that a first token came."""
+    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+        """Record the first token of a request of this host."""
 
-    def note_end(self, work: Work, now: float) -> None:
-        """Hear that a request of this host ended."""
+    def record_end(self, work: SimulatedRequest, now: float) -> None:
+        """Record the end of a request of this host."""
 
     def loads(self, now: float) -> list[int]:
-        """Return the loads by the newest visible report."""
-        number = self.reports.newest(now)
+        """Return the loads of the newest visible snapshot."""
+        number = self.reports.find_newest(now)
         return self.reports.snapshots[number][1] if number >= 0 else [0] * len(self.engines)
 
 
 class RoundRobin(RandomChoice):
-    """One after the other, from a random start."""
+    """Engines in turn, from a random start."""
 
     next_engine = -1
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         if self.next_engine < 0:
-            self.next_engine = self.source.randrange(len(self.engines))
+            self.next_engine = self.rng.randrange(len(self.engines))
         self.next_engine = (self.next_engine + 1) % len(self.engines)
         return self.next_engine
 
 
 class LeastReported(RandomChoice):
-    """The least load by the last report."""
+    """An engine with the least load by the newest visible snapshot."""
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         loads = self.loads(now)
         least = min(loads)
-        return self.source.choice([i for i, load in enumerate(loads) if load == least])
+        return self.rng.choice([i for i, load in enumerate(loads) if load == least])
 
 
 class TwoChoices(RandomChoice):
-    """The less loaded of two by the last report, without correction."""
+    """The less loaded of two random engines by the newest visible snapshot, uncorrected."""
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         loads = self.loads(now)
-        drawn = self.source.sample(range(len(loads)), 2)
+        drawn = self.rng.sample(range(len(loads)), 2)
         return min(drawn, key=loads.__getitem__)
 
 
 class PrefixAffinity(RandomChoice):
-    """By the hash of the prompt's beginning only."""
+    """An engine by the hash of the first block of the prompt."""
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         key = work.blocks[0] if work.blocks else work.number
         return hash((key, 7)) % len(self.engines)
@@ -127,20 +127,20 @@
 
 
 class Poplarrun(RandomChoice):
-    """The product's own choice."""
+    """Poplarrun's own choice."""
 
     speed = PoolSpeed()
     event_loss = 0.0
 
     def __init__(
-        self, host: int, engines: list[FakeEngine], reports: Reports, hosts: int = 1
+        self, host: int, engines: list[SimulatedEngine], reports: Reports, hosts: int = 1
     ) -> None:
         super().__init__(host, engines, reports, hosts)
         zone = ZONES[host % len(ZONES)]
-        near = [str(i) for i, engine in enumerate(engines) if engine.zone == zone]
+        zone_engines = [str(i) for i, engine in enumerate(engines) if engine.zone == zone]
         peers = [f"host-{n}" for n in range(hosts) if ZONES[n % len(ZONES)] == zone]
-        owners = _assign(tuple(near), tuple(peers))
-        mine = frozenset(name for name, owner in owners.items() if owner == f"host-{host}")
+        owners = _assign(tuple(zone_engines), tuple(peers))
+        owned = frozenset(name for name, owner in owners.items() if owner == f"host-{host}")
         self.table = EndpointTable(ZONES[host % len(ZONES)], random.Random(host))
         self.table.apply_host_list(
             tuple(
@@ -148,82 +148,82 @@
                 for i, engine in enumerate(engines)
             )
         )
-        self.table.set_owned_endpoints(mine)
+        self.table.set_owned_endpoints(owned)
         for i in range(len(engines)):
             self.table.apply_load(str(i), frozenset({VERSION}), 0, engines[i].capacity, -1.0)
-        # Hosts share what they learn of speeds, in their zone's summaries.
+        # Hosts share learned speeds through the summaries of their zone.
         self.table.pool(VERSION).speed = self.speed
         self._applied = -1
-        self._heard = [0] * len(engines)
-        self._load: dict[int, float] = {}
+        self._event_counts = [0] * len(engines)
+        self._load_at_choice: dict[int, float] = {}
 
-    def choose(self, work: Work, now: float) -> int:
+    def choose(self, work: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         self.sync(now)
-        demand = PromptProfile(work.prompt_tokens, work.blocks)
-        choice = self.table.choose_engine(VERSION, now, (), demand)
+        profile = PromptProfile(work.prompt_tokens, work.blocks)
+        choice = self.table.choose_engine(VERSION, now, (), profile)
         assert choice is not None
         self.table.record_sent(choice.endpoint.name, now, VERSION, work.blocks)
-        self._load[work.number] = choice.load
+        self._load_at_choice[work.number] = choice.load
         return int(choice.endpoint.name)
 
-    def note_first(self, work: Work, now: float) -> None:
-        """Hear that a first token came."""
-        if self._load.pop(work.number, 1.0) < QUIET_LOAD:
+    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+        """Record the first token of a request of this host."""
+        if self._load_at_choice.pop(work.number, 1.0) < MAX_UNLOADED_LOAD:
             uncached = work.prompt_tokens - work.cached_tokens
-            self.table.pool(VERSION).speed.record_first_token(uncached, now - work.at)
+            self.table.pool(VERSION).speed.record_first_token(uncached, now - work.arrived_at)
 
-    def note_end(self, work: Work, now: float) -> None:
-        """Hear that a request of this host ended."""
+    def record_end(self, work: SimulatedRequest, now: float) -> None:
+        """Record the end of a request of this host."""
         self.table.record_finished(str(work.engine), now)
         self.table.pool(VERSION).speed.record_request_time(work.end_at - work.first_at)
 
     def sync(self, now: float) -> None:
         """Apply the reports and cache events that are visible now."""
-        number = self.reports.newest(now)
+        number = self.reports.find_newest(now)
         if number <= self._applied:
             return
         self._applied = number
-        true_at, loads = self.reports.snapshots[number]
+        measured_at, loads = self.reports.snapshots[number]
         versions = frozenset({VERSION})
         for i, load in enumerate(loads):
-            self.table.apply_load(str(i), versions, load, self.engines[i].capacity, true_at)
-            self._hear_events(i, now)
+            self.table.apply_load(str(i), versions, load, self.engines[i].capacity, measured_at)
+            self._apply_cache_events(i, now)
 
-    def _hear_events(self, index: int, now: float) -> None:
+    def _apply_cache_events(self, index: int, now: float) -> None:
         events = self.engines[index].events
-        new = events[self._heard[index] :]
-        self._heard[index] = len(events)
-        kept = [
+        new = events[self._event_counts[index] :]
+        self._event_counts[index] = len(events)
+        received = [
             CacheEvent(number, "stored" if stored else "removed", str(VERSION), block)
             for number, stored, block in new
-            if self.source.random() >= self.event_loss
+            if self.rng.random() >= self.event_loss
         ]
-        if kept:
-            self.table.apply_cache_events(str(index), kept, now)
+        if received:
+            self.table.apply_cache_events(str(index), received, now)
 
 
 class AllKnowing:
-    """One queue before all engines, which knows every place and every cache."""
+    """A central queue in front of all engines that knows all free slots and all caches."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
-        self.queue: list[Work] = []
+        self.queue: list[SimulatedRequest] = []
 
-    def take(self, work: Work) -> None:
-        """Place a request, or keep it until a place is free."""
+    def submit(self, work: SimulatedRequest) -> None:
+        """Submit a request to a free engine, or queue it."""
         index = self._free_engine(work)
         if index < 0:
             self.queue.append(work)
         else:
             self.simulation.submit(work, index)
 
-    def note_end(self, work: Work) -> None:
-        """Fill the place that became free."""
+    def record_end(self, work: SimulatedRequest) -> None:
+        """Submit the oldest queued request to the slot that became free."""
         if self.queue:
             self.simulation.submit(self.queue.pop(0), work.engine)
 
-    def _free_engine(self, work: Work) -> int:
+    def _free_engine(self, work: SimulatedRequest) -> int:
         best, best_key = -1, (0, 0)
         for index, engine in enumerate(self.simulation.engines):
             if engine.running >= engine.capacity:
