--- a/bench/hosts.py
+++ b/bench/hosts.py
@@ -1,8 +1,8 @@
-"""Hosts and zones: convergence, configuration in force, and what control costs a host.
+"""Benchmarks membership and configuration: convergence, time to be in force, cost per host.
 
-Three parts: many hosts' membership and configuration in one process in virtual
-time over the test transport; six host processes over pynng on loopback; and
-cold, warm and hot standby for the state of a control job.
+Three parts: membership and configuration of many hosts in one process, in virtual time
+over an in-memory transport; six host processes over pynng on loopback; and cold, warm
+and hot standby for the state of a control job.
 """
 
 import asyncio
@@ -24,26 +24,26 @@
 from standins.virtual_time import run_virtual
 
 COMMAND = "python -m bench.hosts"
-COUNTS = (3, 6, 12, 24, 48)
-HORIZON_HOSTS = 390
-HORIZON_ZONES = "abcdefg"
-# Whole zones of the same size, next to the 390 hosts of the horizon.
-HORIZON_PER_ZONE = 56
-WINDOW_S = 10.0
-SETTLE_S = 5.0
-# What the parts of a host publish: two counters' worth and a page of estimates.
+HOST_COUNTS = (3, 6, 12, 24, 48)
+PLANNED_HOSTS = 390
+PLANNED_ZONES = "abcdefg"
+# Zones of equal size, with a total close to the 390 hosts planned for.
+PLANNED_HOSTS_PER_ZONE = 56
+MEASUREMENT_WINDOW_S = 10.0
+WARM_UP_S = 5.0
+# Sizes of the summaries that a host publishes: about two counters, and a set of estimates.
 SUMMARY_BYTES = (40, 120)
-SUMMARY_PERIOD_S = 1.0
+SUMMARY_INTERVAL_S = 1.0
 VERSION = "{stage: offered, price: {input_per_mtok: 1, output_per_mtok: 1}}"
 DOCUMENT = f"models: {{larch: {{versions: {{'1': {VERSION}}}}}}}"
 CORE_TARGET_PERCENT = 4.8
-BYTES_TARGET = 9000.0
+BYTES_PER_S_TARGET = 9000.0
 IN_FORCE_TARGET_S = 11.0
 
 
 @dataclass(frozen=True)
-class Costs:
-    """What one size costs."""
+class FleetMeasurements:
+    """Measurements of one fleet size."""
 
     hosts: int
     converge_s: float
@@ -54,12 +54,13 @@
     bytes_both_ways_most_per_s: float
 
 
-async def call(function: Callable, *arguments: object) -> object:
+async def call_async(function: Callable, *arguments: object) -> object:
+    """Call a blocking function directly, where a host would use a thread."""
     return function(*arguments)
 
 
 def start_followers(fleet: VirtualFleet, log: MemoryLog) -> dict[str, ConfigFollower]:
-    """Let every host follow the configuration in the same log."""
+    """Return a follower of the configuration log for every host."""
     loop = asyncio.get_running_loop()
     followers = {}
     for name, peers in fleet.peers.items():
@@ -67,7 +68,7 @@
             log,
             peers,
             fleet.metrics[name],
-            call,
+            call_async,
             lambda *_: None,
             random.Random(name),
             loop.time,
@@ -77,92 +78,99 @@
     return followers
 
 
-async def follow(follower: ConfigFollower) -> None:
+async def run_follower(follower: ConfigFollower) -> None:
+    """Follow the configuration until cancelled."""
     while True:
         await follower.follow()
         await follower.wait()
 
 
 async def publish_summaries(fleet: VirtualFleet) -> None:
-    """Publish changing summaries of every host, as its parts do."""
+    """Publish changing summaries of every host periodically."""
     topics = [SummaryTopic(f"topic{size}", lambda payloads: payloads[0]) for size in SUMMARY_BYTES]
-    turn = 0
+    round_number = 0
     while True:
-        turn += 1
+        round_number += 1
         for peers in fleet.peers.values():
             for topic, size in zip(topics, SUMMARY_BYTES, strict=True):
-                peers.publish(topic, turn.to_bytes(4, "big") * (size // 4))
-        await asyncio.sleep(SUMMARY_PERIOD_S)
+                peers.publish(topic, round_number.to_bytes(4, "big") * (size // 4))
+        await asyncio.sleep(SUMMARY_INTERVAL_S)
 
 
-async def measure_size(zones: str, per_zone: int) -> Costs:
-    """Measure one size: start all at once, publish, run on, lose a host."""
+async def measure_size(zones: str, per_zone: int) -> FleetMeasurements:
+    """Measure one fleet size: start all hosts at once, publish, idle, kill a host."""
     loop = asyncio.get_running_loop()
     fleet = VirtualFleet(1, zones)
     fleet.start(per_zone)
     log = MemoryLog()
     followers = start_followers(fleet, log)
-    tasks = [loop.create_task(follow(follower)) for follower in followers.values()]
+    tasks = [loop.create_task(run_follower(follower)) for follower in followers.values()]
     tasks.append(loop.create_task(publish_summaries(fleet)))
     converge_s = await fleet.wait(fleet.agree, "the hosts agree", 120)
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(WARM_UP_S)
     publication = Publication("id", -1, "ada", 0.0, DOCUMENT)
     outcome = log.append(CONFIG_STREAM, encode_record(publication))
     assert isinstance(outcome, Appended)
     in_force_s = await fleet.wait(
         lambda: all(f.state.offset == outcome.offset for f in followers.values()), "in force", 60
     )
-    before = {name: (e.bytes_sent, e.bytes_received) for name, e in fleet.links.items()}
-    began = time.process_time()
-    await asyncio.sleep(WINDOW_S)
-    core = (time.process_time() - began) / WINDOW_S / len(fleet.peers)
-    sent = [(e.bytes_sent - before[n][0]) / WINDOW_S for n, e in fleet.links.items()]
-    both = [s + (e.bytes_received - before[n][1]) / WINDOW_S for s, (n, e) in _pairs(sent, fleet)]
+    bytes_before = {name: (e.bytes_sent, e.bytes_received) for name, e in fleet.links.items()}
+    cpu_started_at = time.process_time()
+    await asyncio.sleep(MEASUREMENT_WINDOW_S)
+    core_fraction = (time.process_time() - cpu_started_at) / MEASUREMENT_WINDOW_S / len(fleet.peers)
+    sent_per_s = [
+        (e.bytes_sent - bytes_before[n][0]) / MEASUREMENT_WINDOW_S for n, e in fleet.links.items()
+    ]
+    both_ways_per_s = [
+        s + (e.bytes_received - bytes_before[n][1]) / MEASUREMENT_WINDOW_S
+        for s, (n, e) in _zip_links(sent_per_s, fleet)
+    ]
     fleet.kill_host(f"{zones[-1]}{per_zone}")
     death_s = await fleet.wait(fleet.agree, "the death is known", 120)
     for task in tasks:
         task.cancel()
-    return Costs(
-        len(sent),
+    return FleetMeasurements(
+        len(sent_per_s),
         converge_s,
         death_s,
         in_force_s,
-        core * 100,
-        statistics.mean(sent),
-        max(both),
+        core_fraction * 100,
+        statistics.mean(sent_per_s),
+        max(both_ways_per_s),
     )
 
 
 async def measure_memory_kb(per_zone: int) -> float:
-    """Return the Python objects of one host's membership, zones and summaries, in KB."""
+    """Return the size of one host's Python objects for membership and summaries, in KB."""
     tracemalloc.start()
     fleet = VirtualFleet(1, "abc")
     fleet.start(per_zone)
     task = asyncio.get_running_loop().create_task(publish_summaries(fleet))
     await fleet.wait(fleet.agree, "the hosts agree", 120)
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(WARM_UP_S)
     memory_kb = tracemalloc.get_traced_memory()[0] / len(fleet.peers) / 1000
     tracemalloc.stop()
     task.cancel()
     return memory_kb
 
 
-def _pairs(sent: list[float], fleet: VirtualFleet) -> list:
-    return list(zip(sent, fleet.links.items(), strict=True))
+def _zip_links(sent_per_s: list[float], fleet: VirtualFleet) -> list:
+    return list(zip(sent_per_s, fleet.links.items(), strict=True))
 
 
 def fit_line(points: list[tuple[float, float]]) -> tuple[float, float, float]:
-    """Return slope, value at zero, and the root of the mean squared residual."""
+    """Return the slope, the value at zero, and the root mean square residual."""
     slope, start = statistics.linear_regression(*zip(*points, strict=True))
     errors = [(y - start - slope * x) ** 2 for x, y in points]
     return slope, start, statistics.mean(errors) ** 0.5
 
 
 def main() -> int:
-    sizes = [run_virtual(measure_size("abc", count // 3)) for count in COUNTS]
-    horizon = run_virtual(measure_size(HORIZON_ZONES, HORIZON_PER_ZONE))
+    """Run the benchmark; return the exit code."""
+    sizes = [run_virtual(measure_size("abc", count // 3)) for count in HOST_COUNTS]
+    planned_size = run_virtual(measure_size(PLANNED_ZONES, PLANNED_HOSTS_PER_ZONE))
     figures, slopes = [], []
-    for name, unit, read in (
+    for name, unit, get_value in (
         ("converge_s", "s", lambda c: c.converge_s),
         ("death_known_s", "s", lambda c: c.death_s),
         ("in_force_s", "s", lambda c: c.in_force_s),
@@ -170,23 +178,29 @@
         ("bytes_sent_per_s", "B/s", lambda c: c.bytes_sent_per_s),
         ("bytes_both_ways_most_per_s", "B/s", lambda c: c.bytes_both_ways_most_per_s),
     ):
-        points = [(float(c.hosts), float(read(c))) for c in sizes]
+        points = [(float(c.hosts), float(get_value(c))) for c in sizes]
         slopes.append(Slope(name, "hosts", unit, tuple(points), COMMAND))
         slope, start, error = fit_line(points)
-        figures.append(Figure(f"{name}_fitted_at_390", start + slope * HORIZON_HOSTS, unit, error))
-        figures += [Figure(f"{name}_at_{c.hosts}", read(c), unit) for c in sizes]
-    memory = [(float(count), run_virtual(measure_memory_kb(count // 3))) for count in COUNTS]
-    slopes.append(Slope("memory_kb", "hosts", "KB of Python objects", tuple(memory), COMMAND))
-    slope, start, error = fit_line(memory)
-    at_horizon_kb = start + slope * HORIZON_HOSTS
-    figures.append(Figure("memory_kb_fitted_at_390", at_horizon_kb, "KB of Python objects", error))
-    figures += horizon_figures(horizon)
+        figures.append(Figure(f"{name}_fitted_at_390", start + slope * PLANNED_HOSTS, unit, error))
+        figures += [Figure(f"{name}_at_{c.hosts}", get_value(c), unit) for c in sizes]
+    memory_points_kb = [
+        (float(count), run_virtual(measure_memory_kb(count // 3))) for count in HOST_COUNTS
+    ]
+    slopes.append(
+        Slope("memory_kb", "hosts", "KB of Python objects", tuple(memory_points_kb), COMMAND)
+    )
+    slope, start, error = fit_line(memory_points_kb)
+    at_planned_size_kb = start + slope * PLANNED_HOSTS
+    figures.append(
+        Figure("memory_kb_fitted_at_390", at_planned_size_kb, "KB of Python objects", error)
+    )
+    figures += make_planned_size_figures(planned_size)
     figures += measure_processes() + measure_standby()
     return report("hosts", figures, slopes)
 
 
-def horizon_figures(costs: Costs) -> list[Figure]:
-    """Return the figures of the whole horizon's size, in one process."""
+def make_planned_size_figures(costs: FleetMeasurements) -> list[Figure]:
+    """Return the figures of the planned fleet size, measured in one process."""
     return [
         Figure("converge_s_at_392_in_7_zones", costs.converge_s, "s"),
         Figure("death_known_s_at_392_in_7_zones", costs.death_s, "s"),
@@ -209,8 +223,8 @@
             "bytes_both_ways_most_per_s_at_392_in_7_zones",
             costs.bytes_both_ways_most_per_s,
             "B/s",
-            target=f"<= {BYTES_TARGET} B/s",
-            holds=costs.bytes_both_ways_most_per_s <= BYTES_TARGET,
+            target=f"<= {BYTES_PER_S_TARGET} B/s",
+            holds=costs.bytes_both_ways_most_per_s <= BYTES_PER_S_TARGET,
         ),
     ]
 
--- a/bench/hosts_standby.py
+++ b/bench/hosts_standby.py
@@ -1,10 +1,9 @@
-"""Cold, warm and hot standby for the state of a control job.
+"""Compares cold, warm and hot standby for the state of a control job.
 
-The state is a fold: one running mean for each of so many cells (a version in a
-class), from evidence records in a stream. The holder dies at a random moment. A
-cold successor folds the snapshot and the tail from the log. A warm one holds a
-partial copy, brought up to date at a lower rate, and decides from it at once
-while it reads the rest. A hot one tails the stream all the time.
+The state is a fold of evidence records in a stream: one running mean per cell (a version
+in a class). The lease holder dies at a random time. A cold successor folds the snapshot
+and the tail of the log. A warm one has a periodic copy, and decides from it at once
+while it reads the rest. A hot one tails the stream continuously.
 """
 
 import random
@@ -18,22 +17,22 @@
 from poplarrun.log import Entry, MemoryLog, Page
 
 STREAM = "evidence"
-CELLS = 260
+CELL_COUNT = 260
 RECORDS_PER_S = 20
-RUN_S = 600.0
-SNAPSHOT_PERIOD_S = 300.0
-READ_S = 0.02
-READ_LIMIT = 500
-WARM_PERIOD_S = 10.0
-HOT_PERIOD_S = 0.25
-# A mean drifts so much a second, so an old copy is wrong.
+RUN_DURATION_S = 600.0
+SNAPSHOT_INTERVAL_S = 300.0
+READ_DELAY_S = 0.02
+MAX_READ_ENTRIES = 500
+WARM_COPY_INTERVAL_S = 10.0
+HOT_READ_INTERVAL_S = 0.25
+# Drift of a mean per second (standard deviation), because of which an old copy is wrong.
 DRIFT_PER_S = 0.002
-WEIGHT = 0.1
-RUNS = 20
+MEAN_WEIGHT = 0.1
+RUN_COUNT = 20
 
 
 class Evidence(msgspec.Struct, array_like=True):
-    """One record: what was seen of one cell."""
+    """One record: an observed value of one cell."""
 
     cell: int
     value: float
@@ -43,24 +42,34 @@
 class State:
     """The fold: an exponentially weighted mean of each cell."""
 
-    read_to: int = -1
+    last_offset: int = -1
     means: dict[int, float] = field(default_factory=dict)
 
     def fold(self, entry: Entry) -> None:
-        """Take one record in."""
+        """Fold one record into the means."""
         record = msgspec.msgpack.decode(entry.data, type=Evidence)
-        known = self.means.get(record.cell, record.value)
-        self.means[record.cell] = known + WEIGHT * (record.value - known)
-        self.read_to = entry.offset
+        old_mean = self.means.get(record.cell, record.value)
+        self.means[record.cell] = old_mean + MEAN_WEIGHT * (record.value - old_mean)
+        self.last_offset = entry.offset
 
     def copy(self) -> "State":
-        """Return a copy."""
-        return State(self.read_to, dict(self.means))
+        """Return an independent copy."""
+        return State(self.last_offset, dict(self.means))
 
 
 @dataclass(frozen=True)
 class Takeover:
-    """What one kind of standby cost, and gave."""
+    """Cost and result of one kind of standby in one run.
+
+    Attributes
+    ----------
+    ready_s : float
+        Time from the takeover to the first decision.
+    error : float
+        Mean absolute error of the means at the first decision.
+    bytes_per_s, core_percent : float
+        Cost of keeping the standby up to date.
+    """
 
     ready_s: float
     error: float
@@ -69,79 +78,89 @@
 
 
 def read_all(log: MemoryLog, state: State) -> tuple[float, int]:
-    """Fold to the end; return the log's time and the bytes read."""
-    took_s, size = 0.0, 0
+    """Fold to the end of the stream; return the simulated read time and the bytes read."""
+    took_s, byte_count = 0.0, 0
     while True:
-        page = log.read(STREAM, state.read_to + 1, READ_LIMIT)
+        page = log.read(STREAM, state.last_offset + 1, MAX_READ_ENTRIES)
         assert isinstance(page, Page)
-        took_s += READ_S
+        took_s += READ_DELAY_S
         for entry in page.entries:
             state.fold(entry)
-            size += len(entry.data)
-        if len(page.entries) < READ_LIMIT:
-            return took_s, size
+            byte_count += len(entry.data)
+        if len(page.entries) < MAX_READ_ENTRIES:
+            return took_s, byte_count
 
 
 def run_once(kind: str, seed: int) -> Takeover:
-    """Run one job to the death of its holder, and take it over."""
-    source = random.Random(seed)
+    """Run one job until its holder dies, and take it over."""
+    rng = random.Random(seed)
     log, holder = MemoryLog(), State()
-    truth = [source.random() for _ in range(CELLS)]
+    true_means = [rng.random() for _ in range(CELL_COUNT)]
     standby, snapshot = State(), State()
-    size, cpu_s = 0, 0.0
-    next_copy_s, next_snapshot_s = 0.0, SNAPSHOT_PERIOD_S
-    period_s = {"cold": RUN_S * 2, "warm": WARM_PERIOD_S, "hot": HOT_PERIOD_S}[kind]
-    death_s = RUN_S - source.random() * SNAPSHOT_PERIOD_S
+    byte_count, cpu_s = 0, 0.0
+    next_copy_s, next_snapshot_s = 0.0, SNAPSHOT_INTERVAL_S
+    interval_s = {
+        "cold": RUN_DURATION_S * 2,
+        "warm": WARM_COPY_INTERVAL_S,
+        "hot": HOT_READ_INTERVAL_S,
+    }[kind]
+    death_s = RUN_DURATION_S - rng.random() * SNAPSHOT_INTERVAL_S
     for step in range(int(death_s * RECORDS_PER_S)):
         now = step / RECORDS_PER_S
-        cell = source.randrange(CELLS)
-        truth[cell] += source.gauss(0, DRIFT_PER_S * CELLS / RECORDS_PER_S)
-        data = msgspec.msgpack.encode(Evidence(cell, truth[cell]))
+        cell = rng.randrange(CELL_COUNT)
+        true_means[cell] += rng.gauss(0, DRIFT_PER_S * CELL_COUNT / RECORDS_PER_S)
+        data = msgspec.msgpack.encode(Evidence(cell, true_means[cell]))
         log.append(STREAM, data)
         holder.fold(Entry(step, data))
         if now >= next_snapshot_s:
-            next_snapshot_s, snapshot = now + SNAPSHOT_PERIOD_S, holder.copy()
+            next_snapshot_s, snapshot = now + SNAPSHOT_INTERVAL_S, holder.copy()
         if kind != "cold" and now >= next_copy_s:
-            next_copy_s = now + period_s
-            began = time.process_time()
+            next_copy_s = now + interval_s
+            cpu_started_at = time.process_time()
             if kind == "hot":
-                size += read_all(log, standby)[1]
+                byte_count += read_all(log, standby)[1]
             else:
-                # The copy travels as a summary between peers, not over the log.
-                copied = msgspec.msgpack.encode(holder.means)
+                # The copy is sent as a summary between peers, not through the log.
+                encoded = msgspec.msgpack.encode(holder.means)
                 standby = State(
-                    holder.read_to, msgspec.msgpack.decode(copied, type=dict[int, float])
+                    holder.last_offset, msgspec.msgpack.decode(encoded, type=dict[int, float])
                 )
-                size += len(copied)
-            cpu_s += time.process_time() - began
+                byte_count += len(encoded)
+            cpu_s += time.process_time() - cpu_started_at
     return _take_over(
-        kind, log, holder, snapshot if kind == "cold" else standby, size, cpu_s, death_s
+        kind, log, holder, snapshot if kind == "cold" else standby, byte_count, cpu_s, death_s
     )
 
 
 def _take_over(
-    kind: str, log: MemoryLog, holder: State, start: State, size: int, cpu_s: float, ran_s: float
+    kind: str,
+    log: MemoryLog,
+    holder: State,
+    start: State,
+    byte_count: int,
+    cpu_s: float,
+    run_s: float,
 ) -> Takeover:
     state = start.copy()
-    error = _error(state, holder)
+    error = _measure_error(state, holder)
     took_s, _ = read_all(log, state)
-    assert _error(state, holder) == 0.0
-    # Warm and hot decide at once from what they hold; cold has to read first.
+    assert _measure_error(state, holder) == 0.0
+    # Warm and hot standbys decide at once from their copies; a cold one has to read first.
     ready_s = took_s if kind == "cold" else 0.0
-    shown = 0.0 if kind == "cold" else error
-    return Takeover(ready_s, shown, size / ran_s, cpu_s / ran_s * 100)
+    first_error = 0.0 if kind == "cold" else error
+    return Takeover(ready_s, first_error, byte_count / run_s, cpu_s / run_s * 100)
 
 
-def _error(state: State, holder: State) -> float:
+def _measure_error(state: State, holder: State) -> float:
     pairs = [(state.means.get(cell, 0.5), mean) for cell, mean in holder.means.items()]
     return statistics.mean(abs(a - b) for a, b in pairs)
 
 
 def measure_standby() -> list[Figure]:
-    """Return each kind's takeover time, error of the first decisions, bytes and CPU."""
+    """Return the takeover time, error of first decisions, bytes and CPU of each kind."""
     figures = []
     for kind in ("cold", "warm", "hot"):
-        runs = [run_once(kind, seed) for seed in range(RUNS)]
+        runs = [run_once(kind, seed) for seed in range(RUN_COUNT)]
         for name, unit, values in (
             ("takeover_s", "s", [run.ready_s for run in runs]),
             ("first_error", "of a mean in 0..1", [run.error for run in runs]),
