--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,7 @@
-"""The whole path: what a host adds to a request, and what a stream costs it.
+"""Benchmarks the whole request path: latency that a host adds, and cost of requests and streams.
 
-The engine, the host and this client are processes of their own, so that the
-host's processor time and memory are the host's alone.
+The engine, the host and this client are separate processes, so that processor time and
+memory are measured for the host alone.
 """
 
 import os
@@ -21,24 +21,24 @@
 from standins.fleet import EnginePlan, Fleet, put_json
 
 COMMAND = "python -m bench.path"
-KEY = "bench-key"
+API_KEY = "bench-key"
 VERSION = "larch:1"
-ENGINE_PLACES = 256
+ENGINE_SLOTS = 256
 ENDPOINT_COUNTS = (1, 10, 20, 40)
-SETTLE_S = 1.5
+WARM_UP_S = 1.5
 TOKENS_PER_S = 100.0
 ANSWER_TOKENS = 40
-LATENCY_PAIRS = 200
+LATENCY_PAIR_COUNT = 200
 REQUESTS_PER_S = 10.0
-WARM_UP_PAIRS = 20
-WINDOW_S = 4.0
+WARM_UP_PAIR_COUNT = 20
+MEASUREMENT_WINDOW_S = 4.0
 MEMORY_WINDOW_S = 2.0
 STREAM_COUNTS = (10, 20, 40)
-MEMORY_STREAMS = (50, 100, 200)
+MEMORY_STREAM_COUNTS = (50, 100, 200)
 REQUEST_RATES = (10.0, 20.0, 40.0)
-# An answer that does not end within a bench.
+# Length of an answer that does not end during the benchmark.
 ENDLESS_TOKENS = 100_000
-MEGABYTE = 1_000_000
+BYTES_PER_MB = 1_000_000
 FIRST_TOKEN_MEDIAN_TARGET_MS = 3.0
 FIRST_TOKEN_P99_TARGET_MS = 10.0
 CPU_TARGET_CORES = 0.5
@@ -56,7 +56,7 @@
       "1": {{stage: offered, price: {{input_per_mtok: 1, output_per_mtok: 1}}}}
 accounts:
   bench:
-    keys: ["{hash_key(KEY)}"]
+    keys: ["{hash_key(API_KEY)}"]
     classes: ["*"]
     versions: ["*"]
 """
@@ -64,22 +64,22 @@
 
 @dataclass
 class Target:
-    """Where a request is sent: the engine itself, or a host before it."""
+    """Where requests are sent: directly to the engine, or to the host in front of it."""
 
     address: str
     path: str
     headers: dict[str, str]
-    through_host: bool
+    is_routed: bool
     pool: urllib3.PoolManager = field(
-        default_factory=lambda: urllib3.PoolManager(maxsize=ENGINE_PLACES, retries=False)
+        default_factory=lambda: urllib3.PoolManager(maxsize=ENGINE_SLOTS, retries=False)
     )
     _number: int = 0
 
     def open(self, max_tokens: int = ANSWER_TOKENS) -> urllib3.BaseHTTPResponse:
-        """Send one request and return the open answer."""
+        """Send one request and return the response with its body unread."""
         self._number += 1
         body: dict[str, object] = {"max_tokens": max_tokens}
-        if self.through_host:
+        if self.is_routed:
             message = {"role": "user", "content": "Tell of lending in the north"}
             body |= {"model": "bench", "stream": True, "messages": [message]}
         else:
@@ -101,27 +101,27 @@
         return response
 
     def time_first_token_s(self) -> float:
-        """Send one request, read it whole, and return the time to its first bytes."""
-        began = time.perf_counter()
+        """Send one request, read the whole answer, and return the seconds until its first byte."""
+        started_at = time.perf_counter()
         response = self.open()
         response.read1(1)
-        first_s = time.perf_counter() - began
+        first_token_s = time.perf_counter() - started_at
         while response.read1(65536):
             pass
         response.release_conn()
-        return first_s
+        return first_token_s
 
 
 @dataclass(frozen=True)
 class Usage:
-    """Processor time and memory of one process at one moment."""
+    """Processor time and resident memory of a process at one time."""
 
     cpu_s: float
     resident_bytes: int
 
     @classmethod
     def read(cls, pid: int) -> "Usage":
-        """Read the figures of a process from /proc."""
+        """Read the usage of a process from /proc."""
         stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(stat[11]) + int(stat[12])
         pages = int(stat[21])
@@ -129,7 +129,7 @@
 
 
 class Streams:
-    """Open streams whose bytes are read and counted by threads."""
+    """Open streams; threads read them and count their tokens."""
 
     def __init__(self, target: Target, count: int) -> None:
         self.tokens = 0
@@ -138,12 +138,12 @@
         self._threads = [threading.Thread(target=self._read, daemon=True) for _ in range(count)]
 
     def start(self) -> None:
-        """Open them all."""
+        """Open all streams."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Close them all."""
+        """Close all streams."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
@@ -157,10 +157,10 @@
 
 @contextmanager
 def running_fleet(tokens_per_s: float) -> Iterator[Fleet]:
-    """Run one host before one engine, with the bench's document in force."""
+    """Run one host in front of one engine, with the benchmark's document in force."""
     settings = {
         "quality": {VERSION: 1.0},
-        "capacity": ENGINE_PLACES,
+        "capacity": ENGINE_SLOTS,
         "tokens_per_s": tokens_per_s,
         "slowdown": 0.0,
         "answer_tokens": ENDLESS_TOKENS,
@@ -171,31 +171,33 @@
         yield fleet
 
 
-def targets_of(fleet: Fleet) -> tuple[Target, Target]:
-    """Return the engine itself, and the host before it."""
-    headers = {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
+def make_targets(fleet: Fleet) -> tuple[Target, Target]:
+    """Return the target of the engine, and that of the host."""
+    headers = {"Authorization": f"Bearer {API_KEY}", "Content-Type": "application/json"}
     host = fleet.hosts["a1"].address
     direct = Target(fleet.endpoints["engine"].address, "/v1/generate", {}, False)
     return direct, Target(host, "/v1/chat/completions", headers, True)
 
 
-def pid_of_host(fleet: Fleet) -> int:
-    """Return the host's process id."""
+def find_host_pid(fleet: Fleet) -> int:
+    """Return the process id of the host."""
     process = fleet.hosts["a1"].process
     assert process is not None
     return process.pid
 
 
 def measure_first_token(direct: Target, routed: Target) -> tuple[list[float], list[float]]:
-    """Return first-token times in milliseconds, direct and routed, taken in turn."""
-    for _ in range(WARM_UP_PAIRS):
+    """Return first-token times in milliseconds, direct and routed, sent alternately."""
+    for _ in range(WARM_UP_PAIR_COUNT):
         direct.time_first_token_s()
         routed.time_first_token_s()
     times_ms: tuple[list[float], list[float]] = ([], [])
     threads = []
-    for _ in range(LATENCY_PAIRS):
-        for target, kept in zip((direct, routed), times_ms, strict=True):
-            thread = threading.Thread(target=lambda t=target, k=kept: _note(t, k))
+    for _ in range(LATENCY_PAIR_COUNT):
+        for target, results_ms in zip((direct, routed), times_ms, strict=True):
+            thread = threading.Thread(
+                target=lambda t=target, k=results_ms: _record_first_token(t, k)
+            )
             thread.start()
             threads.append(thread)
             time.sleep(0.5 / REQUESTS_PER_S)
@@ -204,12 +206,12 @@
     return times_ms
 
 
-def _note(target: Target, kept_ms: list[float]) -> None:
-    kept_ms.append(target.time_first_token_s() * 1000)
+def _record_first_token(target: Target, results_ms: list[float]) -> None:
+    results_ms.append(target.time_first_token_s() * 1000)
 
 
-def latency_figures(direct_ms: list[float], routed_ms: list[float]) -> list[Figure]:
-    """Compare the routed times with the direct ones."""
+def make_latency_figures(direct_ms: list[float], routed_ms: list[float]) -> list[Figure]:
+    """Return the figures of the routed times relative to the direct ones."""
     base_ms = statistics.median(direct_ms)
     median_ms = statistics.median(routed_ms) - base_ms
     p99_ms = _quantile(routed_ms, 0.99) - base_ms
@@ -239,43 +241,43 @@
     ]
 
 
-def _quantile(values: list[float], share: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(len(values) * share))]
+def _quantile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(len(values) * fraction))]
 
 
 def measure_streams(
-    fleet: Fleet, routed: Target, count: int, window_s: float = WINDOW_S
+    fleet: Fleet, routed: Target, count: int, window_s: float = MEASUREMENT_WINDOW_S
 ) -> tuple[float, float, int]:
-    """Return tokens a second, cores, and resident bytes of the host at some open streams."""
-    pid = pid_of_host(fleet)
+    """Return tokens per second, cores, and resident bytes of the host at ``count`` streams."""
+    pid = find_host_pid(fleet)
     streams = Streams(routed, count)
     streams.start()
     time.sleep(1.5)
-    began, before, tokens = time.monotonic(), Usage.read(pid), streams.tokens
+    started_at, before, tokens = time.monotonic(), Usage.read(pid), streams.tokens
     time.sleep(window_s)
-    took_s, after = time.monotonic() - began, Usage.read(pid)
+    took_s, after = time.monotonic() - started_at, Usage.read(pid)
     rate = (streams.tokens - tokens) / took_s
     streams.stop()
     return rate, (after.cpu_s - before.cpu_s) / took_s, after.resident_bytes
 
 
 def measure_idle(fleet: Fleet) -> float:
-    """Return the cores that the host takes without a request."""
-    pid = pid_of_host(fleet)
+    """Return the cores that the host uses without requests."""
+    pid = find_host_pid(fleet)
     before = Usage.read(pid)
-    time.sleep(WINDOW_S)
-    return (Usage.read(pid).cpu_s - before.cpu_s) / WINDOW_S
+    time.sleep(MEASUREMENT_WINDOW_S)
+    return (Usage.read(pid).cpu_s - before.cpu_s) / MEASUREMENT_WINDOW_S
 
 
 def measure_endpoints(fleet: Fleet) -> tuple[list[tuple[float, float]], list[tuple[float, float]]]:
-    """Return cores and resident megabytes of an idle host by listed engines.
+    """Return cores and resident megabytes of an idle host by number of listed engines.
 
-    One engine is listed under many names, so that only the host's cost grows.
+    One engine is listed under many names, so that only the cost of the host grows.
     """
-    pid = pid_of_host(fleet)
-    cores, memory = [], []
+    pid = find_host_pid(fleet)
+    cores, memory_mb = [], []
     for count in ENDPOINT_COUNTS:
-        listed = [
+        engine_list = [
             {
                 "name": f"engine-{number}",
                 "zone": "a",
@@ -285,50 +287,50 @@
             }
             for number in range(count)
         ]
-        put_json(fleet.host_list.address, "/v1/hosts", {"hosts": listed})
-        time.sleep(SETTLE_S)
+        put_json(fleet.host_list.address, "/v1/hosts", {"hosts": engine_list})
+        time.sleep(WARM_UP_S)
         cores.append((float(count), measure_idle(fleet)))
-        memory.append((float(count), Usage.read(pid).resident_bytes / MEGABYTE))
-    return cores, memory
+        memory_mb.append((float(count), Usage.read(pid).resident_bytes / BYTES_PER_MB))
+    return cores, memory_mb
 
 
-def measure_requests(fleet: Fleet, routed: Target, per_s: float) -> float:
-    """Return the cores that the host takes at a rate of one-token requests."""
-    pid = pid_of_host(fleet)
-    before, began = Usage.read(pid), time.monotonic()
+def measure_requests(fleet: Fleet, routed: Target, rate_per_s: float) -> float:
+    """Return the cores that the host uses at a rate of one-token requests."""
+    pid = find_host_pid(fleet)
+    before, started_at = Usage.read(pid), time.monotonic()
     threads = []
-    while time.monotonic() < began + WINDOW_S:
+    while time.monotonic() < started_at + MEASUREMENT_WINDOW_S:
         threads.append(threading.Thread(target=lambda: routed.open(1).read()))
         threads[-1].start()
-        time.sleep(1.0 / per_s)
+        time.sleep(1.0 / rate_per_s)
     for thread in threads:
         thread.join()
-    return (Usage.read(pid).cpu_s - before.cpu_s) / (time.monotonic() - began)
+    return (Usage.read(pid).cpu_s - before.cpu_s) / (time.monotonic() - started_at)
 
 
 def main() -> int:
-    """Run the bench; return the exit code."""
+    """Run the benchmark; return the exit code."""
     with running_fleet(TOKENS_PER_S) as fleet:
-        direct, routed = targets_of(fleet)
-        figures = latency_figures(*measure_first_token(direct, routed))
+        direct, routed = make_targets(fleet)
+        figures = make_latency_figures(*measure_first_token(direct, routed))
         idle_cores = measure_idle(fleet)
         by_rate = [(rate, measure_requests(fleet, routed, rate)) for rate in REQUEST_RATES]
         by_count = [measure_streams(fleet, routed, count) for count in STREAM_COUNTS]
     with running_fleet(TOKENS_PER_S / 10) as fleet:
-        _, routed = targets_of(fleet)
-        empty_bytes = Usage.read(pid_of_host(fleet)).resident_bytes
-        memory = [(0.0, empty_bytes / MEGABYTE)]
-        for count in MEMORY_STREAMS:
+        _, routed = make_targets(fleet)
+        empty_bytes = Usage.read(find_host_pid(fleet)).resident_bytes
+        memory_mb = [(0.0, empty_bytes / BYTES_PER_MB)]
+        for count in MEMORY_STREAM_COUNTS:
             _, _, resident = measure_streams(fleet, routed, count, MEMORY_WINDOW_S)
-            memory.append((float(count), resident / MEGABYTE))
+            memory_mb.append((float(count), resident / BYTES_PER_MB))
         cores_by_endpoints, memory_by_endpoints = measure_endpoints(fleet)
     tokens = [(0.0, idle_cores), *((rate, cores) for rate, cores, _ in by_count)]
     requests = [(0.0, idle_cores), *by_rate]
-    figures += throughput_figures(tokens, memory)
+    figures += make_throughput_figures(tokens, memory_mb)
     slopes = [
         Slope("cores_by_tokens", "tokens/s", "cores", tuple(tokens), COMMAND),
         Slope("cores_by_requests", "requests/s", "cores", tuple(requests), COMMAND),
-        Slope("memory_by_streams", "open streams", "MB", tuple(memory), COMMAND),
+        Slope("memory_by_streams", "open streams", "MB", tuple(memory_mb), COMMAND),
         Slope(
             "cores_by_endpoints", "polled endpoints", "cores", tuple(cores_by_endpoints), COMMAND
         ),
@@ -337,32 +339,32 @@
     return report("path", figures, slopes)
 
 
-def throughput_figures(
-    tokens: list[tuple[float, float]], memory: list[tuple[float, float]]
+def make_throughput_figures(
+    tokens: list[tuple[float, float]], memory_mb: list[tuple[float, float]]
 ) -> list[Figure]:
-    """Judge processor time at the full token rate, and memory at the most streams."""
+    """Return the figures of processor time at the target rate, and memory of the most streams."""
     rate, cores = tokens[-1]
-    # The engine falls a little short of the rate asked for: judge the rate in full.
-    at_target = cores * TOKEN_RATE_TARGET / rate
-    (_, empty_mb), (streams, full_mb) = memory[0], memory[-1]
-    grown_mb = full_mb - empty_mb
+    # The engine falls slightly short of the requested rate, so scale to the full target rate.
+    cores_at_target = cores * TOKEN_RATE_TARGET / rate
+    (_, empty_mb), (streams, full_mb) = memory_mb[0], memory_mb[-1]
+    added_mb = full_mb - empty_mb
     return [
         Figure(
             "cores_at_4000_tokens_per_s",
-            round(at_target, 3),
+            round(cores_at_target, 3),
             "cores",
             baseline=round(tokens[0][1], 3),
             target=f"under {CPU_TARGET_CORES:g} at {TOKEN_RATE_TARGET:g} tokens/s",
-            holds=at_target < CPU_TARGET_CORES,
+            holds=cores_at_target < CPU_TARGET_CORES,
         ),
         Figure("tokens_per_s_measured", round(rate, 0), "tokens/s"),
         Figure(
             "memory_of_200_streams",
-            round(grown_mb, 1),
+            round(added_mb, 1),
             "MB",
             baseline=round(empty_mb, 1),
             target=f"under {MEMORY_TARGET_MB:g} MB for {streams:g} open streams",
-            holds=grown_mb < MEMORY_TARGET_MB,
+            holds=added_mb < MEMORY_TARGET_MB,
         ),
     ]
 
