--- a/bench/gateway_load.py
+++ b/bench/gateway_load.py
@@ -19,23 +19,25 @@
 class RandomPlacement(Placement):
     """A baseline: a random engine."""
 
-    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
-        return self._random.choice(seats)
+    def _select(self, estimates: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
+        return self._random.choice(estimates)
 
 
 class LeastLoadedPlacement(Placement):
     """A baseline: the engine with the fewest requests by its last report."""
 
-    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
-        return min(seats, key=lambda seat: seat.endpoint.load)
+    def _select(self, estimates: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
+        return min(estimates, key=lambda estimate: estimate.endpoint.load)
 
 
 class OwnZonePlacement(Placement):
     """A baseline: only engines of the own zone, unless it has none."""
 
-    def _select(self, seats: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
-        own_zone = [seat for seat in seats if seat.endpoint.record.zone == self._zone]
-        return super()._select(own_zone or seats, work)
+    def _select(self, estimates: list[EndpointEstimate], work: InFlightRequest) -> EndpointEstimate:
+        own_zone = [
+            estimate for estimate in estimates if estimate.endpoint.record.zone == self._zone
+        ]
+        return super()._select(own_zone or estimates, work)
 
 
 class FixedSize(SizePolicy):
--- a/bench/load_choice.py
+++ b/bench/load_choice.py
@@ -64,7 +64,9 @@
     else:
         policy = getattr(load_policies, setting.policy)
         run_with_hosts(simulation, trace, policy, setting.hosts, setting.lag_s)
-    return compute_quantiles([work for work in trace if work.arrived_at >= sizes.warm_up_s])
+    return compute_quantiles(
+        [request for request in trace if request.arrived_at >= sizes.warm_up_s]
+    )
 
 
 def run_with_dispatch(setting: Setting) -> Quantiles:
@@ -81,16 +83,18 @@
         setting.lag_s,
     )
     run.run()
-    requests = [ask.work for ask in run.asks]
-    return compute_quantiles([work for work in requests if work.arrived_at >= sizes.warm_up_s])
+    requests = [caller_request.request for caller_request in run.caller_requests]
+    return compute_quantiles(
+        [request for request in requests if request.arrived_at >= sizes.warm_up_s]
+    )
 
 
 def run_all_knowing(simulation: Simulation, trace: list[SimulatedRequest]) -> None:
     """Run a trace with a central, all-knowing queue."""
     queue = AllKnowing(simulation)
     simulation.on_end = queue.record_end
-    for work in trace:
-        simulation.at(work.arrived_at, lambda work=work: queue.submit(work))
+    for request in trace:
+        simulation.at(request.arrived_at, lambda request=request: queue.submit(request))
     simulation.run()
 
 
@@ -109,21 +113,23 @@
     reports.start(simulation, trace[-1].arrived_at)
     Poplarrun.speed = PoolSpeed()
     policies = [policy(number, simulation.engines, reports, hosts) for number in range(hosts)]
-    simulation.on_first = lambda work: policies[work.host].record_first_token(work, simulation.now)
-    simulation.on_end = lambda work: policies[work.host].record_end(work, simulation.now)
+    simulation.on_first = lambda request: policies[request.host].record_first_token(
+        request, simulation.now
+    )
+    simulation.on_end = lambda request: policies[request.host].record_end(request, simulation.now)
 
-    def arrive(work: SimulatedRequest) -> None:
-        simulation.submit(work, policies[work.host].choose(work, simulation.now))
+    def arrive(request: SimulatedRequest) -> None:
+        simulation.submit(request, policies[request.host].choose(request, simulation.now))
 
-    for work in trace:
-        simulation.at(work.arrived_at, lambda work=work: arrive(work))
+    for request in trace:
+        simulation.at(request.arrived_at, lambda request=request: arrive(request))
     simulation.run()
 
 
 def compute_quantiles(requests: list[SimulatedRequest]) -> Quantiles:
     """Return the quantiles of completed requests."""
-    first = sorted(work.first_at - work.arrived_at for work in requests)
-    between = sorted(work.token_s for work in requests)
+    first = sorted(request.first_at - request.arrived_at for request in requests)
+    between = sorted(request.token_s for request in requests)
     return Quantiles(_compute_quantiles(first), _compute_quantiles(between))
 
 
--- a/bench/load_engines.py
+++ b/bench/load_engines.py
@@ -128,8 +128,8 @@
     def __init__(self, engines: list[SimulatedEngine]) -> None:
         self.engines = engines
         self.now = 0.0
-        self.on_first: Callable[[SimulatedRequest], None] = lambda work: None
-        self.on_end: Callable[[SimulatedRequest], None] = lambda work: None
+        self.on_first: Callable[[SimulatedRequest], None] = lambda request: None
+        self.on_end: Callable[[SimulatedRequest], None] = lambda request: None
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
 
@@ -144,31 +144,31 @@
             self.now, _, action = heapq.heappop(self._events)
             action()
 
-    def submit(self, work: SimulatedRequest, index: int) -> None:
+    def submit(self, request: SimulatedRequest, index: int) -> None:
         """Submit a request to an engine; it waits there if the batch is full."""
         engine = self.engines[index]
-        work.engine = index
+        request.engine = index
         if engine.running < engine.capacity:
-            self._start(work, engine)
+            self._start(request, engine)
         else:
-            heapq.heappush(engine.queue, (-work.importance, work.number, work))
+            heapq.heappush(engine.queue, (-request.importance, request.number, request))
 
-    def _start(self, work: SimulatedRequest, engine: SimulatedEngine) -> None:
+    def _start(self, request: SimulatedRequest, engine: SimulatedEngine) -> None:
         engine.running += 1
-        work.cached_tokens = engine.touch_cache(work.blocks) * BLOCK_TOKENS
+        request.cached_tokens = engine.touch_cache(request.blocks) * BLOCK_TOKENS
         sizes = engine.sizes
-        work.token_s = sizes.token_s * (1.0 + sizes.slowdown * engine.running / sizes.capacity)
-        prefill_s = max(0, work.prompt_tokens - work.cached_tokens) * PREFILL_S_PER_TOKEN
-        work.first_at = self.now + prefill_s + work.token_s
-        work.end_at = work.first_at + (work.answer_tokens - 1) * work.token_s
-        self.at(work.first_at, lambda: self.on_first(work))
-        self.at(work.end_at, lambda: self._finish(work, engine))
-
-    def _finish(self, work: SimulatedRequest, engine: SimulatedEngine) -> None:
+        request.token_s = sizes.token_s * (1.0 + sizes.slowdown * engine.running / sizes.capacity)
+        prefill_s = max(0, request.prompt_tokens - request.cached_tokens) * PREFILL_S_PER_TOKEN
+        request.first_at = self.now + prefill_s + request.token_s
+        request.end_at = request.first_at + (request.answer_tokens - 1) * request.token_s
+        self.at(request.first_at, lambda: self.on_first(request))
+        self.at(request.end_at, lambda: self._finish(request, engine))
+
+    def _finish(self, request: SimulatedRequest, engine: SimulatedEngine) -> None:
         engine.running -= 1
         if engine.queue:
             self._start(heapq.heappop(engine.queue)[2], engine)
-        self.on_end(work)
+        self.on_end(request)
 
 
 def draw_token_counts(rng: random.Random, sizes: Sizes) -> tuple[int, int]:
--- a/bench/load_overload.py
+++ b/bench/load_overload.py
@@ -57,9 +57,9 @@
 class CallerRequest:
     """One request of a caller, including its retries after refusals."""
 
-    work: SimulatedRequest
+    request: SimulatedRequest
     plan: ClassPlan
-    job: EngineRequest | None = None
+    engine_request: EngineRequest | None = None
     refusals: int = 0
     answered: bool = False
     refused_at: float = -1.0
@@ -67,7 +67,7 @@
     @property
     def is_good(self) -> bool:
         """Whether the first token met its target, counted from the first arrival."""
-        return self.work.first_at - self.work.arrived_at <= self.plan.first_s
+        return self.request.first_at - self.request.arrived_at <= self.plan.first_s
 
 
 class SimulatedHost:
@@ -78,23 +78,23 @@
         self.dispatch = EngineDispatcher(self.policy.table, MAX_QUEUE_LENGTH, random.Random(number))
         self.queued: dict[str, CallerRequest] = {}
 
-    def begin(self, ask: CallerRequest, now: float) -> StartOutcome:
+    def start(self, caller_request: CallerRequest, now: float) -> StartOutcome:
         """Start a request; remember it if the dispatcher queues it."""
         self.policy.sync(now)
-        work = ask.work
-        ask.job = EngineRequest(
-            request_id=f"{work.number}-{ask.refusals}",
-            account=work.account,
-            work_class=ask.plan.name,
-            importance=ask.plan.importance,
+        request = caller_request.request
+        caller_request.engine_request = EngineRequest(
+            request_id=f"{request.number}-{caller_request.refusals}",
+            account=request.account,
+            work_class=caller_request.plan.name,
+            importance=caller_request.plan.importance,
             version=VERSION,
-            demand=PromptProfile(work.prompt_tokens),
-            start_by=now + ask.plan.first_s,
+            demand=PromptProfile(request.prompt_tokens),
+            start_by=now + caller_request.plan.first_s,
             deadline=now + REQUEST_TIMEOUT_S,
         )
-        started = self.dispatch.start(ask.job, now)
+        started = self.dispatch.start(caller_request.engine_request, now)
         if isinstance(started, Queued):
-            self.queued[ask.job.request_id] = ask
+            self.queued[caller_request.engine_request.request_id] = caller_request
         return started
 
 
@@ -136,12 +136,21 @@
         self.attempts: list[float] = []
         self.offers: list[float] = []
         self.capacity_per_s = engine_count * sizes.capacity / sizes.mean_work_s
-        self.asks = [ask for plan in classes for ask in self._draw_asks(plan, phases)]
-        self._by_work = {id(ask.work): ask for ask in self.asks}
+        self.caller_requests = [
+            caller_request
+            for plan in classes
+            for caller_request in self._draw_requests(plan, phases)
+        ]
+        self._by_request = {
+            id(caller_request.request): caller_request for caller_request in self.caller_requests
+        }
         self.simulation.on_first = self._record_first_token
         self.simulation.on_end = self._record_end
-        for ask in self.asks:
-            self.simulation.at(ask.work.arrived_at, lambda ask=ask: self._arrive(ask))
+        for caller_request in self.caller_requests:
+            self.simulation.at(
+                caller_request.request.arrived_at,
+                lambda caller_request=caller_request: self._arrive(caller_request),
+            )
         self._tick_until = phases[-1].until + 20.0
         self.simulation.at(0.0, self._tick)
 
@@ -149,9 +158,9 @@
         """Run until no events are left."""
         self.simulation.run()
 
-    def _draw_asks(self, plan: ClassPlan, phases: tuple[Phase, ...]) -> list[CallerRequest]:
+    def _draw_requests(self, plan: ClassPlan, phases: tuple[Phase, ...]) -> list[CallerRequest]:
         rng = random.Random(f"{plan.name}-{self.rng.random()}")
-        asks: list[CallerRequest] = []
+        caller_requests: list[CallerRequest] = []
         at = 0.0
         for phase in phases:
             rate = plan.share * phase.load * self.capacity_per_s
@@ -160,55 +169,61 @@
                 if at >= phase.until:
                     break
                 prompt, answer = draw_token_counts(rng, self.sizes)
-                number = len(asks) * 10 + plan.importance
+                number = len(caller_requests) * 10 + plan.importance
                 host = rng.randrange(self.host_count)
                 account = rng.choice("abcdefgh")
-                work = SimulatedRequest(
+                request = SimulatedRequest(
                     number, at, host, prompt, answer, (), plan.importance, account, plan.first_s
                 )
-                asks.append(CallerRequest(work, plan))
+                caller_requests.append(CallerRequest(request, plan))
             at = phase.until
-        return asks
+        return caller_requests
 
-    def _arrive(self, ask: CallerRequest) -> None:
+    def _arrive(self, caller_request: CallerRequest) -> None:
         self.offers.append(self.simulation.now)
-        host = self.hosts[ask.work.host]
-        self._handle_outcome(ask, host.begin(ask, self.simulation.now))
+        host = self.hosts[caller_request.request.host]
+        self._handle_outcome(caller_request, host.start(caller_request, self.simulation.now))
 
-    def _handle_outcome(self, ask: CallerRequest, start: StartOutcome | GiveUp) -> None:
+    def _handle_outcome(self, caller_request: CallerRequest, start: StartOutcome | GiveUp) -> None:
         now = self.simulation.now
         match start:
             case Dispatched(choice=choice, delay_s=delay_s):
                 index = int(choice.endpoint.name)
-                self.simulation.at(now + delay_s, lambda: self._submit(ask, index))
+                self.simulation.at(now + delay_s, lambda: self._submit(caller_request, index))
             case Refused(retry_after_s=retry_after_s):
-                self._refuse(ask, retry_after_s)
+                self._refuse(caller_request, retry_after_s)
             case GiveUp() | NoEndpoint():
-                self._refuse(ask, 2.0)
+                self._refuse(caller_request, 2.0)
 
-    def _submit(self, ask: CallerRequest, index: int) -> None:
+    def _submit(self, caller_request: CallerRequest, index: int) -> None:
         now = self.simulation.now
         self.attempts.append(now)
         if self.down_from <= now < self.down_until:
-            host = self.hosts[ask.work.host]
-            assert ask.job is not None
-            decision = host.dispatch.handle_failed_attempt(ask.job, "connect", False, now)
+            host = self.hosts[caller_request.request.host]
+            assert caller_request.engine_request is not None
+            decision = host.dispatch.handle_failed_attempt(
+                caller_request.engine_request, "connect", False, now
+            )
             if isinstance(decision, GiveUp):
-                self._handle_outcome(ask, decision)
+                self._handle_outcome(caller_request, decision)
             else:
                 self._handle_outcome(
-                    ask, host.dispatch.retry_elsewhere(ask.job, now, decision.delay_s)
+                    caller_request,
+                    host.dispatch.retry_elsewhere(
+                        caller_request.engine_request, now, decision.delay_s
+                    ),
                 )
             return
-        self.simulation.submit(ask.work, index)
+        self.simulation.submit(caller_request.request, index)
 
-    def _refuse(self, ask: CallerRequest, retry_after_s: float) -> None:
-        ask.refusals += 1
-        ask.refused_at = self.simulation.now
-        if self.callers_retry and ask.refusals <= MAX_RETRIES:
+    def _refuse(self, caller_request: CallerRequest, retry_after_s: float) -> None:
+        caller_request.refusals += 1
+        caller_request.refused_at = self.simulation.now
+        if self.callers_retry and caller_request.refusals <= MAX_RETRIES:
             jitter_factor = 1.0 + 0.5 * self.rng.random()
             self.simulation.at(
-                self.simulation.now + retry_after_s * jitter_factor, lambda: self._arrive(ask)
+                self.simulation.now + retry_after_s * jitter_factor,
+                lambda: self._arrive(caller_request),
             )
 
     def _tick(self) -> None:
@@ -221,23 +236,31 @@
     def _start_queued(self, host: SimulatedHost) -> None:
         if host.queued:
             host.policy.sync(self.simulation.now)
-            for job, outcome in host.dispatch.release_queued(self.simulation.now):
-                self._handle_outcome(host.queued.pop(job.request_id), outcome)
-
-    def _record_first_token(self, work: SimulatedRequest) -> None:
-        ask = self._by_work[id(work)]
-        assert ask.job is not None
-        self.hosts[work.host].dispatch.record_first_token(ask.job, self.simulation.now)
-
-    def _record_end(self, work: SimulatedRequest) -> None:
-        ask = self._by_work[id(work)]
-        ask.answered = True
-        assert ask.job is not None
-        host = self.hosts[work.host]
-        host.dispatch.end(ask.job, True, self.simulation.now)
+            for engine_request, outcome in host.dispatch.release_queued(self.simulation.now):
+                self._handle_outcome(host.queued.pop(engine_request.request_id), outcome)
+
+    def _record_first_token(self, request: SimulatedRequest) -> None:
+        caller_request = self._by_request[id(request)]
+        assert caller_request.engine_request is not None
+        self.hosts[request.host].dispatch.record_first_token(
+            caller_request.engine_request, self.simulation.now
+        )
+
+    def _record_end(self, request: SimulatedRequest) -> None:
+        caller_request = self._by_request[id(request)]
+        caller_request.answered = True
+        assert caller_request.engine_request is not None
+        host = self.hosts[request.host]
+        host.dispatch.end(caller_request.engine_request, True, self.simulation.now)
         self._start_queued(host)
 
 
-def compute_fraction(asks: list[CallerRequest], test: Callable[[CallerRequest], bool]) -> float:
+def compute_fraction(
+    caller_requests: list[CallerRequest], test: Callable[[CallerRequest], bool]
+) -> float:
     """Return the fraction of requests that pass a test; 1 if there are none."""
-    return sum(test(ask) for ask in asks) / len(asks) if asks else 1.0
+    return (
+        sum(test(caller_request) for caller_request in caller_requests) / len(caller_requests)
+        if caller_requests
+        else 1.0
+    )
--- a/bench/load_phases.py
+++ b/bench/load_phases.py
@@ -54,46 +54,53 @@
     top_class.run()
     counted_from = overload_start + 2.0
 
-    def select_asks(run: OverloadRun, index: int) -> list[CallerRequest]:
+    def select_requests(run: OverloadRun, index: int) -> list[CallerRequest]:
         plan = CLASSES[index]
         return [
             a
-            for a in run.asks
-            if a.plan is plan and counted_from <= a.work.arrived_at < overload_end
+            for a in run.caller_requests
+            if a.plan is plan and counted_from <= a.request.arrived_at < overload_end
         ]
 
     shares = tuple(
-        compute_fraction(select_asks(all_classes, i), lambda ask: ask.is_good) for i in range(3)
+        compute_fraction(
+            select_requests(all_classes, i), lambda caller_request: caller_request.is_good
+        )
+        for i in range(3)
     )
     queues_filled_at = overload_start + (overload_end - overload_start) / 3.0
     completed = [
         a
-        for a in all_classes.asks
-        if a.answered and queues_filled_at <= a.work.end_at < overload_end
+        for a in all_classes.caller_requests
+        if a.answered and queues_filled_at <= a.request.end_at < overload_end
     ]
     throughput = len(completed) / (overload_end - queues_filled_at) / all_classes.capacity_per_s
     return OverloadOutcome(
         shares[0],
-        compute_fraction(select_asks(top_class, 0), lambda ask: ask.is_good),
+        compute_fraction(
+            select_requests(top_class, 0), lambda caller_request: caller_request.is_good
+        ),
         throughput,
-        _measure_recovery_s(all_classes.asks, overload_end),
+        _measure_recovery_s(all_classes.caller_requests, overload_end),
         shares,
     )
 
 
-def _measure_recovery_s(asks: list[CallerRequest], load_end: float) -> float:
+def _measure_recovery_s(caller_requests: list[CallerRequest], load_end: float) -> float:
     """Return the seconds until 19 in 20 requests of every later second are good.
 
     Not all, because at any load one request in some hundred is late due to a long prompt.
     """
     by_second: dict[int, list[CallerRequest]] = {}
-    for ask in asks:
-        if ask.work.arrived_at >= load_end:
-            by_second.setdefault(int(ask.work.arrived_at - load_end), []).append(ask)
+    for caller_request in caller_requests:
+        if caller_request.request.arrived_at >= load_end:
+            by_second.setdefault(int(caller_request.request.arrived_at - load_end), []).append(
+                caller_request
+            )
     bad = [
         s
-        for s, second_asks in by_second.items()
-        if compute_fraction(second_asks, lambda a: a.is_good) < MIN_NORMAL_FRACTION
+        for s, second_requests in by_second.items()
+        if compute_fraction(second_requests, lambda a: a.is_good) < MIN_NORMAL_FRACTION
     ]
     return max(bad) + 1.0 if bad else 0.0
 
@@ -165,13 +172,28 @@
     run.run()
     sent = sum(20.0 <= at < 26.0 for at in run.attempts)
     offered = sum(20.0 <= at < 26.0 for at in run.offers)
-    before = [ask for ask in run.asks if 5.0 <= ask.work.arrived_at < 19.0]
-    soon = [ask for ask in run.asks if 36.0 <= ask.work.arrived_at < 56.0]
+    before = [
+        caller_request
+        for caller_request in run.caller_requests
+        if 5.0 <= caller_request.request.arrived_at < 19.0
+    ]
+    soon = [
+        caller_request
+        for caller_request in run.caller_requests
+        if 36.0 <= caller_request.request.arrived_at < 56.0
+    ]
     return OutageOutcome(
         sent / offered,
-        compute_fraction(before, lambda ask: ask.is_good),
-        compute_fraction(soon, lambda ask: ask.is_good),
-        _measure_recovery_s([ask for ask in run.asks if ask.work.arrived_at < 88.0], 26.0),
+        compute_fraction(before, lambda caller_request: caller_request.is_good),
+        compute_fraction(soon, lambda caller_request: caller_request.is_good),
+        _measure_recovery_s(
+            [
+                caller_request
+                for caller_request in run.caller_requests
+                if caller_request.request.arrived_at < 88.0
+            ],
+            26.0,
+        ),
     )
 
 
--- a/bench/load_policies.py
+++ b/bench/load_policies.py
@@ -45,13 +45,13 @@
 class Policy(Protocol):
     """The policy by which one host chooses engines."""
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
 
-    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+    def record_first_token(self, request: SimulatedRequest, now: float) -> None:
         """Record the first token of a request of this host."""
 
-    def record_end(self, work: SimulatedRequest, now: float) -> None:
+    def record_end(self, request: SimulatedRequest, now: float) -> None:
         """Record the end of a request of this host."""
 
 
@@ -65,14 +65,14 @@
         self.engines = engines
         self.reports = reports
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         return self.rng.randrange(len(self.engines))
 
-    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+    def record_first_token(self, request: SimulatedRequest, now: float) -> None:
         """Record the first token of a request of this host."""
 
-    def record_end(self, work: SimulatedRequest, now: float) -> None:
+    def record_end(self, request: SimulatedRequest, now: float) -> None:
         """Record the end of a request of this host."""
 
     def loads(self, now: float) -> list[int]:
@@ -86,7 +86,7 @@
 
     next_engine = -1
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         if self.next_engine < 0:
             self.next_engine = self.rng.randrange(len(self.engines))
@@ -97,7 +97,7 @@
 class LeastReported(RandomChoice):
     """An engine with the least load by the newest visible snapshot."""
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         loads = self.loads(now)
         least = min(loads)
@@ -107,7 +107,7 @@
 class TwoChoices(RandomChoice):
     """The less loaded of two random engines by the newest visible snapshot, uncorrected."""
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         loads = self.loads(now)
         drawn = self.rng.sample(range(len(loads)), 2)
@@ -117,9 +117,9 @@
 class PrefixAffinity(RandomChoice):
     """An engine by the hash of the first block of the prompt."""
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
-        key = work.blocks[0] if work.blocks else work.number
+        key = request.blocks[0] if request.blocks else request.number
         return hash((key, 7)) % len(self.engines)
 
 
@@ -157,26 +157,26 @@
         self._event_counts = [0] * len(engines)
         self._load_at_choice: dict[int, float] = {}
 
-    def choose(self, work: SimulatedRequest, now: float) -> int:
+    def choose(self, request: SimulatedRequest, now: float) -> int:
         """Return the engine's index."""
         self.sync(now)
-        profile = PromptProfile(work.prompt_tokens, work.blocks)
+        profile = PromptProfile(request.prompt_tokens, request.blocks)
         choice = self.table.choose_engine(VERSION, now, (), profile)
         assert choice is not None
-        self.table.record_sent(choice.endpoint.name, now, VERSION, work.blocks)
-        self._load_at_choice[work.number] = choice.load
+        self.table.record_sent(choice.endpoint.name, now, VERSION, request.blocks)
+        self._load_at_choice[request.number] = choice.load
         return int(choice.endpoint.name)
 
-    def record_first_token(self, work: SimulatedRequest, now: float) -> None:
+    def record_first_token(self, request: SimulatedRequest, now: float) -> None:
         """Record the first token of a request of this host."""
-        if self._load_at_choice.pop(work.number, 1.0) < MAX_UNLOADED_LOAD:
-            uncached = work.prompt_tokens - work.cached_tokens
-            self.table.pool(VERSION).speed.record_first_token(uncached, now - work.arrived_at)
+        if self._load_at_choice.pop(request.number, 1.0) < MAX_UNLOADED_LOAD:
+            uncached = request.prompt_tokens - request.cached_tokens
+            self.table.pool(VERSION).speed.record_first_token(uncached, now - request.arrived_at)
 
-    def record_end(self, work: SimulatedRequest, now: float) -> None:
+    def record_end(self, request: SimulatedRequest, now: float) -> None:
         """Record the end of a request of this host."""
-        self.table.record_finished(str(work.engine), now)
-        self.table.pool(VERSION).speed.record_request_time(work.end_at - work.first_at)
+        self.table.record_finished(str(request.engine), now)
+        self.table.pool(VERSION).speed.record_request_time(request.end_at - request.first_at)
 
     def sync(self, now: float) -> None:
         """Apply the reports and cache events that are visible now."""
@@ -210,26 +210,26 @@
         self.simulation = simulation
         self.queue: list[SimulatedRequest] = []
 
-    def submit(self, work: SimulatedRequest) -> None:
+    def submit(self, request: SimulatedRequest) -> None:
         """Submit a request to a free engine, or queue it."""
-        index = self._free_engine(work)
+        index = self._free_engine(request)
         if index < 0:
-            self.queue.append(work)
+            self.queue.append(request)
         else:
-            self.simulation.submit(work, index)
+            self.simulation.submit(request, index)
 
-    def record_end(self, work: SimulatedRequest) -> None:
+    def record_end(self, request: SimulatedRequest) -> None:
         """Submit the oldest queued request to the slot that became free."""
         if self.queue:
-            self.simulation.submit(self.queue.pop(0), work.engine)
+            self.simulation.submit(self.queue.pop(0), request.engine)
 
-    def _free_engine(self, work: SimulatedRequest) -> int:
+    def _free_engine(self, request: SimulatedRequest) -> int:
         best, best_key = -1, (0, 0)
         for index, engine in enumerate(self.simulation.engines):
             if engine.running >= engine.capacity:
                 continue
             cached = 0
-            for block in work.blocks:
+            for block in request.blocks:
                 if block not in engine.cache:
                     break
                 cached += 1
--- a/bench/load_prefix.py
+++ b/bench/load_prefix.py
@@ -63,9 +63,9 @@
         run_all_knowing(simulation, trace)
     else:
         run_with_hosts(simulation, trace, getattr(load_policies, policy), HOSTS, REPORT_LAG_S)
-    counted = [work for work in trace if work.arrived_at >= LARGE.warm_up_s]
-    hit_fraction = sum(work.cached_tokens for work in counted) / sum(
+    counted = [request for request in trace if request.arrived_at >= LARGE.warm_up_s]
+    hit_fraction = sum(request.cached_tokens for request in counted) / sum(
         w.prompt_tokens for w in counted
     )
-    first = sorted(work.first_at - work.arrived_at for work in counted)
+    first = sorted(request.first_at - request.arrived_at for request in counted)
     return PrefixOutcome(hit_fraction, first[int(0.99 * len(first))])
--- a/bench/version_cascades.py
+++ b/bench/version_cascades.py
@@ -44,16 +44,16 @@
     world = VersionWorld(trace.traits, host_count=1, zone_count=1, seed=seed)
     host = next(iter(world.hosts.values()))
     versions = trace.parse().versions
-    cheap, _, dear = (versions[version] for version in VERSIONS)
+    cheap, _, expensive = (versions[version] for version in VERSIONS)
     for _ in range(REQUEST_COUNT):
         prompt_tokens = world.random.randint(50, 1500)
         hardness = world.random.uniform(-HARDNESS, HARDNESS)
         cheap_cost = 0.0
-        chosen = cheap if policy == "fixed" else dear
+        chosen = cheap if policy == "fixed" else expensive
         served = world.answer(host, PLAN.name, chosen, policy, prompt_tokens, hardness)
         if policy == "fixed" and served.score < FIXED_SCORE_THRESHOLD:
             cheap_cost = served.cost
-            served = world.answer(host, PLAN.name, dear, policy, prompt_tokens, hardness)
+            served = world.answer(host, PLAN.name, expensive, policy, prompt_tokens, hardness)
         world.served.append(
             Served(served.at, host.name, PLAN.name, served.caller, served.version, policy,
                    served.quality, served.cost + cheap_cost, served.failed)
