--- a/poplarrun/billing/_batcher.py
+++ b/poplarrun/billing/_batcher.py
@@ -15,7 +15,9 @@
 
 
 class BillBatcher:
-    """Appends bills to the log in batches, and retries until they are there.
+    """Appends bills to the log in batches.
+
+    A flush stops at the first append that fails; the next flush appends what is left in the queues.
 
     Parameters
     ----------
@@ -54,7 +56,8 @@
         self._waiters: dict[str, asyncio.Future[bool]] = {}
         self._flush_task: asyncio.Task[None] | None = None
         self._flush_now = asyncio.Event()
-        self._failed_until = 0.0
+        # Until this time after a failed append, ``try_append_now`` returns False without waiting.
+        self._fail_fast_until = 0.0
 
     @property
     def unlogged_count(self) -> int:
@@ -83,11 +86,16 @@
         if self._flush_task is not None:
             await asyncio.wait([self._flush_task])
 
-    async def wait_until_logged(self, bill: Bill) -> bool:
-        """Append at once, and tell whether the bill is in the log."""
+    async def try_append_now(self, bill: Bill) -> bool:
+        """Append all queued bills at once, and tell whether a bill is known to be in the log.
+
+        The bill must have been added before. False means that its append failed, took longer than
+        ``LOG_APPEND_TIMEOUT_S``, or was not waited for because another append failed within that
+        time; the bill then stays queued, unless an append that is still running succeeds.
+        """
         if self.find(bill.id) is None:
             return True
-        if self._now() < self._failed_until:
+        if self._now() < self._fail_fast_until:
             return False
         appended = self._waiters.setdefault(bill.id, asyncio.get_running_loop().create_future())
         self.start_flush(is_urgent=True)
@@ -114,7 +122,11 @@
         self._flush_now.clear()
 
     async def _append(self, shard: int) -> bool:
-        """Append one batch; if the outcome is unknown, it is repeated and the fold drops one."""
+        """Append one batch of a shard, and tell whether it is known to be in the log.
+
+        After any other outcome the bills stay queued for the next flush. If the append took effect
+        nevertheless, readers ignore the second copy.
+        """
         queue = self._queues[shard]
         bills = list(queue.values())[:MAX_BATCH_BILLS]
         self.append_count += 1
@@ -127,7 +139,7 @@
             self._on_appended(bills)
         else:
             self._count("bill_append_failed")
-            self._failed_until = self._now() + LOG_APPEND_TIMEOUT_S
+            self._fail_fast_until = self._now() + LOG_APPEND_TIMEOUT_S
         for bill in bills:
             self._notify_waiter(bill.id, is_appended)
         return is_appended
--- a/poplarrun/billing/_replicator.py
+++ b/poplarrun/billing/_replicator.py
@@ -165,7 +165,7 @@
         self._batcher.start_flush()
         if await self._replicate([bill]) >= REPLICA_COUNT:
             durability = BillDurability.PEERS
-        elif await self._batcher.wait_until_logged(bill):
+        elif await self._batcher.try_append_now(bill):
             durability = BillDurability.LOG
         else:
             durability = BillDurability.HOST_ALONE
--- a/poplarrun/claims/_fold.py
+++ b/poplarrun/claims/_fold.py
@@ -24,8 +24,9 @@
 class ClaimFold:
     """The claim that holds each key, from the records in offset order.
 
-    The verdict on a claim depends only on the records before it, so every host that has folded up
-    to the claim gives the same verdict, and it never changes.
+    The verdict on a claim depends only on the folded records, so all hosts that have folded the
+    stream up to the same offset give the same one. A later release of the holding claim, or the
+    end of its retention, changes the verdict.
 
     Parameters
     ----------
@@ -64,7 +65,11 @@
         return self._key_states.get((account, key))
 
     def has_folded(self, record: LogRecord) -> bool:
-        """Tell whether a record was folded."""
+        """Tell whether a record was folded.
+
+        True for an outcome also if its claim doesn't hold the key: the outcome has had its effect
+        or can have none. A claim whose release was folded can't have an effect either.
+        """
         match record:
             case Claim(id=claim_id):
                 return claim_id in self._claimed_at or claim_id in self._voided_at
@@ -78,7 +83,11 @@
                 return True
 
     def judge(self, claim: Claim) -> ClaimVerdict:
-        """Return the verdict on a claim that was folded."""
+        """Return whether a claim holds its key; the claim must have been folded.
+
+        ``Taken(None)`` means that no claim holds the key any more: its holder was released or has
+        expired.
+        """
         if claim.id in self._voided_at:
             return Voided()
         state = self.find(claim.account, claim.key)
@@ -101,7 +110,9 @@
         """Replace the state by that of a snapshot."""
         self.next_offset = snapshot.last_offset + 1
         self._clock = snapshot.clock
-        self._key_states = {(h.claim.account, h.claim.key): h for h in snapshot.key_states}
+        self._key_states = {
+            (state.claim.account, state.claim.key): state for state in snapshot.key_states
+        }
         self._claimed_at = dict(snapshot.claimed_at)
         self._voided_at = dict(snapshot.voided_at)
 
