--- a/poplarrun/clients/_orders.py
+++ b/poplarrun/clients/_orders.py
@@ -1,4 +1,4 @@
-"""Clients for ordering engines which versions to load, and for the store of their weights."""
+"""Clients that tell engines which versions to load, and a client of the store of weights."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -50,6 +50,8 @@
         Fencing token of the sender's lease.
     versions : list of str
         Each as ``model:version``, sorted.
+    action : str
+        ``hold``: the engine loads those of the versions that it lacks and unloads all others.
     """
 
     fence: int
@@ -69,12 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OrdersUnsupported:
-    """The engine has no interface for orders, so none are sent to it."""
+    """The engine has no interface for orders (status 404), so none are sent to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """No usable response came; an order may have been accepted nevertheless."""
+    """No usable response came; if the request was an order, it may have been accepted."""
 
     reason: str
 
@@ -83,7 +85,7 @@
     """Sends orders to engines, by address. Calls block and never raise."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch the versions that an engine has in memory."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
 
     def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
         """Send an order to an engine."""
@@ -100,7 +102,7 @@
     """``Orders`` over HTTP."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch the versions that an engine has in memory."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
         try:
             response = get_pool_manager().request(
                 "GET", f"{base_url(address)}/v1/models", timeout=REQUEST_TIMEOUT_S
@@ -227,7 +229,7 @@
         self._clock = clock
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch the versions that an engine has in memory."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
         engine = self.engines.get(address)
         if engine is None:
             return OrdersUnsupported()
--- a/poplarrun/config/_follower.py
+++ b/poplarrun/config/_follower.py
@@ -35,10 +35,10 @@
 ANNOUNCEMENT_KEY = "config"
 MAX_QUERIED_PEERS = 2
 PEER_TIMEOUT_S = 1.0
-# A snapshot is due after this time, or after this many records.
+# A snapshot is due when the last one is this old, or when this many records follow it.
 SNAPSHOT_INTERVAL_S = 3600.0
-MAX_RECORDS_SINCE_SNAPSHOT = 200
-# Minimum time between two attempts to write a snapshot, for whatever reason.
+SNAPSHOT_INTERVAL_RECORDS = 200
+# Minimum time between two attempts to write a snapshot, except for one that follows fillers.
 MIN_SNAPSHOT_INTERVAL_S = 10.0
 # A log that still ends below the offset already read after this time was restored from a backup.
 RESTORE_DETECTION_DELAY_S = 2.0
@@ -97,6 +97,7 @@
         self._snapshot_offset = -1
         self._snapshot_attempted_at = clock() - MIN_SNAPSHOT_INTERVAL_S
         self._log_behind_since: float | None = None
+        # Set when fillers are written: the restored log may have lost the last snapshot.
         self._is_snapshot_forced = False
         self._has_log_failed = False
         peers.serve(SHARE_KIND, self._handle_share_request)
@@ -233,9 +234,16 @@
         await self._append(snapshot)
 
     def _is_snapshot_due(self) -> bool:
+        """Return whether a snapshot is due, for one of four reasons.
+
+        Fillers were written; ``SNAPSHOT_INTERVAL_RECORDS`` records follow the last snapshot; it
+        is in the older half of the records that the log still has; or it is
+        ``SNAPSHOT_INTERVAL_S`` old. The third reason makes the hosts write the next snapshot
+        before retention drops the last one.
+        """
         if self._is_snapshot_forced:
             return True
-        if self.state.read_to - self._snapshot_offset >= MAX_RECORDS_SINCE_SNAPSHOT:
+        if self.state.read_to - self._snapshot_offset >= SNAPSHOT_INTERVAL_RECORDS:
             return True
         horizon, end = self._reader.horizon, self._reader.end
         if horizon > 0 and self._snapshot_offset - horizon < (end - horizon) / 2:
--- a/poplarrun/config/_reading.py
+++ b/poplarrun/config/_reading.py
@@ -11,14 +11,24 @@
 
 @dataclass(frozen=True, slots=True)
 class FoldedStream:
-    """The state at the end of the stream, and the folded records with their verdicts."""
+    """The state at the end of the stream, and how it came about.
+
+    Attributes
+    ----------
+    history : list of (Entry, Verdict)
+        Every record that was read, in offset order, with the verdict on it.
+    """
 
     state: Configuration
     history: list[tuple[Entry, Verdict]] = field(default_factory=list)
 
 
 def fold_stream(log: Log, keys: OperatorKeys = NO_KEYS) -> FoldedStream | ReadFailed:
-    """Fold every record that the log still holds."""
+    """Read and fold a log's configuration stream, from its first kept record to its end.
+
+    Blocks while it reads. After a gap it continues at the first record that the log still has.
+    Without keys, signatures are not checked.
+    """
     reader = StreamReader(log, CONFIG_STREAM)
     state = Configuration()
     history: list[tuple[Entry, Verdict]] = []
@@ -29,7 +39,7 @@
             case Gap() as gap:
                 state = fold_gap(state, gap)
                 reader.next_offset = gap.horizon
-            case ():
+            case ():  # the end of the stream
                 return FoldedStream(state, history)
             case entries:
                 for entry in entries:
--- a/poplarrun/log/_snapshot_parts.py
+++ b/poplarrun/log/_snapshot_parts.py
@@ -13,7 +13,7 @@
 from poplarrun.log._async import AsyncLog
 from poplarrun.log._interface import Appended, AppendRefused, Entry
 
-# Snapshot data per record, without the record's other fields.
+# Largest piece of a snapshot's data in one part, not counting the part's other fields.
 MAX_PART_BYTES = 256 * 1024
 MAX_PARTS = 4096
 # Pause between the parts of a snapshot, so that a large one doesn't crowd out the log's
@@ -89,10 +89,11 @@
 
 
 def split_snapshot(snapshot: StreamSnapshot) -> list[bytes]:
-    """Return the encoded parts of a snapshot, one per record.
+    """Return the encoded parts of a snapshot, each to be appended as one record.
 
-    Parts are identified by the digest of the snapshot, so parts of different snapshots are
-    never mixed, and if two hosts write the same snapshot, their parts complete each other.
+    Parts are identified by a digest of the snapshot's offset and data, so parts of different
+    snapshots are never mixed, and if two hosts write the same snapshot, their parts complete
+    each other.
 
     Raises
     ------
@@ -101,7 +102,10 @@
     """
     count = max(1, -(-len(snapshot.data) // MAX_PART_BYTES))
     if count > MAX_PARTS:
-        raise ValueError(f"a snapshot of {len(snapshot.data)} bytes is too large")
+        raise ValueError(
+            f"a snapshot of {len(snapshot.data)} bytes exceeds the limit of "
+            f"{MAX_PARTS * MAX_PART_BYTES} bytes"
+        )
     digest = _compute_digest(snapshot.last_offset, snapshot.data)
     pieces = [snapshot.data[i * MAX_PART_BYTES : (i + 1) * MAX_PART_BYTES] for i in range(count)]
     return [
@@ -111,9 +115,11 @@
 
 
 async def append_parts(log: AsyncLog, stream: str, parts: list[bytes]) -> bool:
-    """Append the parts of a snapshot; return whether the log has all of them.
+    """Append the parts of a snapshot; return True if all are known to be in the log.
 
-    A part whose outcome is unknown is appended again: readers ignore duplicate parts.
+    False means that a part was refused, or that its outcome was still unknown after
+    ``MAX_APPEND_ATTEMPTS``; the parts after it are not appended. A part whose outcome is unknown
+    is appended again: readers ignore duplicate parts.
     """
     for number, part in enumerate(parts):
         if number:
