--- a/bench/load_overload.py
+++ b/bench/load_overload.py
@@ -81,7 +81,7 @@
             work_class=ask.plan.name,
             importance=ask.plan.importance,
             version=VERSION,
-            demand=PromptProfile(work.prompt_tokens),
+            prompt=PromptProfile(work.prompt_tokens),
             start_by=now + ask.plan.first_s,
             deadline=now + WHOLE_S,
         )
--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -120,7 +120,13 @@
             self._refuse(refusal)
 
     async def _try_endpoints(self) -> Refusal | None:
-        """Send until an answer is complete; return a refusal if there is none."""
+        """Send until the caller has a complete answer, or no further send is allowed.
+
+        Returns None in the first case and the refusal in the second. The loop repeats after a
+        failure that may be retried, and after an answer that is discarded to ask a larger model.
+        """
+        # During a roll-out's trial, a session that used the old version must stay on it. Only the
+        # session's owners may know that it did, so they are queried before the first choice.
         if not await self._sessions.resolve(self._work):
             self._recorder.record_session_unanswered()
         while True:
--- a/poplarrun/gateway/_records.py
+++ b/poplarrun/gateway/_records.py
@@ -43,7 +43,7 @@
         )
 
     def record_choice(self, work: InFlightRequest, seconds: float) -> None:
-        """Record how long the choice of an endpoint took."""
+        """Record how long the choice of an endpoint took, also if it ended in a refusal."""
         self._metrics.record_latency("choice", work.service, seconds)
 
     def record_send(
@@ -72,7 +72,7 @@
         )
 
     def record_session_unanswered(self) -> None:
-        """Record that no host answered in time whether a session stays on its version."""
+        """Record that too few owners of a session answered in time whether it is pinned."""
         self._metrics.count_event("session_unanswered")
 
     def record_failure(
--- a/poplarrun/platform/_records.py
+++ b/poplarrun/platform/_records.py
@@ -13,9 +13,22 @@
 MILLISECONDS_PER_S = 1000.0
 
 
-# Types are strict: a field of another type shows that another writer made the record, and no
-# endpoint should be derived from it.
 class _Record(Struct, frozen=True, rename="camel"):
+    """The JSON fields of a record.
+
+    They are decoded without conversions between types: a record with a field of another type was
+    not written by an endpoint, and none is derived from it.
+
+    Attributes
+    ----------
+    cold_left_ms : float
+        Remaining warm-up time in milliseconds.
+    sequence : int
+        Number of the record, counted from each start of the endpoint.
+    born : int
+        When the endpoint started, in milliseconds by its own clock; 0 if it doesn't report that.
+    """
+
     service: Annotated[str, Meta(min_length=1)]
     address: Address
     zone: str
@@ -31,9 +44,14 @@
 
 
 def decode_endpoint_record(instance_id: str, value: bytes) -> EndpointRecord | None:
-    """Decode an endpoint's record; None if it is no valid record of an endpoint."""
+    """Decode an endpoint's record; ``instance_id`` is its key in the store.
+
+    Returns None if the record is malformed, or if its phase is neither ready nor draining. A
+    negative warm-up time counts as 0.
+    """
     try:
         record = _DECODER.decode(value)
+    # Deeply nested JSON exceeds the decoder's recursion limit.
     except (ValidationError, DecodeError, UnicodeDecodeError, RecursionError):
         return None
     if record.phase not in (READY, DRAINING):
--- a/poplarrun/router/_chats.py
+++ b/poplarrun/router/_chats.py
@@ -289,7 +289,7 @@
                     chat, dispatched, now, is_resume=True, cache_from=previous_endpoint.address
                 )
             if isinstance(dispatched, Dispatched):
-                self._dispatcher.undo_send(chat.engine_request, now)
+                self._dispatcher.undo_attempt(chat.engine_request, now)
         if failure.is_delivered:
             message = "the stream's engine is gone"
             return self._refuse_chat(chat, ErrorKind.ANSWER_INCOMPLETE, message)
@@ -413,7 +413,7 @@
         work_class=work_class.name,
         importance=work_class.importance,
         version=version.id,
-        demand=PromptProfile(request.prompt_tokens, request.blocks),
+        prompt=PromptProfile(request.prompt_tokens, request.blocks),
         start_by=now + queue_timeout_s,
         deadline=now + targets.whole_s,
     )
--- a/poplarrun/router/_engine_dispatcher.py
+++ b/poplarrun/router/_engine_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends requests to model engines: admission, endpoint choice and retries."""
+"""Decides when and where requests to model engines are sent: admission, choice and retries."""
 
 import random
 from dataclasses import dataclass, field
@@ -60,7 +60,7 @@
     work_class: str
     importance: int
     version: VersionId
-    demand: PromptProfile
+    prompt: PromptProfile
     start_by: float
     deadline: float
     attempts: int = 0
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatched:
-    """The request is sent to an endpoint, after a delay."""
+    """The request is to be sent to an endpoint, after a delay."""
 
     choice: Choice
     delay_s: float = 0.0
@@ -121,7 +121,7 @@
         match verdict:
             case Admitted():
                 self._budgets.budget(_budget_key(request)).record_attempt()
-                return self._send(request, choice, now)
+                return self._record_attempt(request, choice, now)
             case Queued():
                 self._queued[request.request_id] = request
         return verdict
@@ -163,17 +163,19 @@
     def retry_elsewhere(
         self, request: EngineRequest, now: float, delay_s: float
     ) -> Dispatched | NoEndpoint:
-        """Send a request again, preferably to an endpoint that was not tried yet."""
+        """Record another attempt, preferably at an endpoint that was not tried yet."""
         choice = self._choose(request, now)
-        return NoEndpoint() if choice is None else self._send(request, choice, now, delay_s)
+        return (
+            NoEndpoint() if choice is None else self._record_attempt(request, choice, now, delay_s)
+        )
 
     def resend(self, request: EngineRequest, now: float, delay_s: float) -> Dispatched:
-        """Resume a broken stream on the same engine."""
+        """Record an attempt to resume a broken stream at the same engine."""
         assert request.choice is not None
-        return self._send(request, request.choice, now, delay_s)
+        return self._record_attempt(request, request.choice, now, delay_s)
 
-    def undo_send(self, request: EngineRequest, now: float) -> None:
-        """Undo an attempt that was chosen but not sent."""
+    def undo_attempt(self, request: EngineRequest, now: float) -> None:
+        """Undo the record of an attempt that was not sent."""
         assert request.choice is not None
         request.attempts -= 1
         self._admissions.for_version(request.version).in_flight -= 1
@@ -226,7 +228,7 @@
             if endpoint is None or not len(admission.queue):
                 continue
             request = self._queued[admission.queue.peek().request_id]
-            choice = self._endpoints.evaluate_engine(version, endpoint, now, request.demand)
+            choice = self._endpoints.evaluate_engine(version, endpoint, now, request.prompt)
             if choice is not None and admission.can_accept(
                 self._load(request, choice), request.importance, now
             ):
@@ -239,7 +241,7 @@
     ) -> tuple[EngineRequest, Dispatched | Refused]:
         request = self._queued.pop(admission.start_next(now).request_id)
         self._budgets.budget(_budget_key(request)).record_attempt()
-        return request, self._send(request, choice, now)
+        return request, self._record_attempt(request, choice, now)
 
     def _release_version(
         self, admission: Admission, now: float
@@ -263,7 +265,7 @@
             is_recent or self._is_full(request.version, now)
         )
         return self._endpoints.choose_engine(
-            request.version, now, request.tried, request.demand, may_wait_for_own
+            request.version, now, request.tried, request.prompt, may_wait_for_own
         )
 
     def _is_full(self, version: VersionId, now: float) -> bool:
@@ -280,16 +282,17 @@
             self._full_until[version] = now + FULL_POOL_TTL_S
         return now < self._full_until.get(version, 0.0)
 
-    def _send(
+    def _record_attempt(
         self, request: EngineRequest, choice: Choice, now: float, delay_s: float = 0.0
     ) -> Dispatched:
+        """Record an attempt at an endpoint, which the caller sends after the delay."""
         request.choice = choice
         request.attempts += 1
         request.sent_at = now + delay_s
         request.tried.add(choice.endpoint.name)
         self._admissions.for_version(request.version).in_flight += 1
         self._endpoints.record_sent(
-            choice.endpoint.name, now, request.version, request.demand.blocks
+            choice.endpoint.name, now, request.version, request.prompt.blocks
         )
         return Dispatched(choice, delay_s)
 
