--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -42,8 +42,9 @@
 MAX_SUMMARY_BYTES_PER_S = 1000.0
 MAX_RETRY_DELAY_S = 60.0
 SECONDS_PER_DAY = 86_400.0
-# A zone that sent nothing for this long counts as late: no share grows until the zone is heard
-# again, or known to be silent.
+# A zone that sent nothing for this long is late: no share grows until the zone is heard again, or
+# has sent nothing for so long that the membership reports it as silent. A part of the limit is then
+# reserved for the silent zone, and shares may grow within the rest.
 ZONE_LATE_TIMEOUT_S = 2.5
 
 
@@ -83,10 +84,10 @@
         return self._startup.has_shares
 
     async def request_initial_shares(self, accounts: Iterable[ClientAccount]) -> None:
-        """Request the initial shares from the zone; called every round until they are there.
+        """Request the initial shares from the zone; called every round until this host has them.
 
-        A host that served requests before that would refuse them while their accounts are far below
-        their limits.
+        A host that served requests without shares would refuse requests of accounts that are far
+        below their limits.
         """
         if self.has_initial_shares:
             return
@@ -101,6 +102,7 @@
                 state.add_initial_shares(given[account.name])
 
     async def _serve_start(self, requester: str, payload: bytes) -> bytes:
+        """Give a starting host of the own zone a portion of each of this host's shares."""
         request = decode_request(payload)
         if (
             request is None
@@ -121,9 +123,9 @@
         state = self._get_state(account)
         state.requests.requested += 1
         state.tokens.requested += tokens
-        limited = self._check_limits(state, tokens, now, is_stream)
-        if limited is not None:
-            return limited
+        exceeded = self._check_limits(state, tokens, now, is_stream)
+        if exceeded is not None:
+            return exceeded
         state.requests.consume(1.0)
         state.tokens.consume(tokens)
         state.streams.open += is_stream
@@ -155,6 +157,8 @@
     async def borrow(self, wanted: Loan) -> None:
         """Borrow from another host what this one runs short of.
 
+        Loans pass permanently and are never paid back.
+
         Shares follow demand over several rounds. Until then, a host that has just started or gets a
         burst would refuse requests that are within the account's limits.
         """
@@ -220,6 +224,7 @@
             ROUND_INTERVAL_S,
             self._count_zone_hosts() * self._summary_bytes / MAX_SUMMARY_BYTES_PER_S,
         )
+        # Half an interval of slack, so that a call that comes slightly early isn't skipped.
         self._round_ends_at = now + round_s - ROUND_INTERVAL_S / 2.0
         self._begin_day(int(wall_s // SECONDS_PER_DAY))
         gathered = self._peers.collect_summaries(LIMITS_TOPIC)
@@ -228,14 +233,14 @@
             return
         silent, is_current = self._classify_zones(gathered)
         summary: Summary = {}
-        limited = {
+        limited_accounts = {
             account.name: account
             for account in accounts
             if account.limits != AccountLimitSettings()
         }
-        for name in self._accounts.keys() - limited.keys():
+        for name in self._accounts.keys() - limited_accounts.keys():
             del self._accounts[name]
-        for name, account in limited.items():
+        for name, account in limited_accounts.items():
             state = self._get_state(account)
             self._update_spend(state, name, own_zone, other_zones)
             for kind in list_limit_kinds(account.limits):
@@ -262,7 +267,11 @@
         return share.usable if share else 0.0
 
     def _update_startup(self, other_zones: Iterable[str]) -> bool:
-        """Tell whether this host had its initial shares; until then publish that it holds none."""
+        """Advance the start by a round, and return whether this host has its initial shares.
+
+        Adds the initial shares in the round in which the start ends without portions from others.
+        Until then it publishes that this host holds none.
+        """
         had_begun = self.has_initial_shares
         self._startup.record_round(other_zones)
         if had_begun:
@@ -335,6 +344,7 @@
         return sum(peer.zone == self._peers.me.zone for peer in self._peers.live())
 
     def _begin_day(self, day: int) -> None:
+        """Reset the spend when the day changes; days are counted from the epoch, in UTC."""
         if day == self._day:
             return
         self._day = day
@@ -343,6 +353,7 @@
             state.spent_by_host.clear()
 
     def _classify_zones(self, gathered: CollectedSummaries) -> tuple[frozenset[str], bool]:
+        """Return the silent zones, and whether no other zone is late."""
         others = [zone for zone in self._peers.zones() if zone.zone != self._peers.me.zone]
         silent = frozenset(zone.zone for zone in others if zone.silent)
         late = [zone for zone in others if not zone.silent and zone.silence_s > ZONE_LATE_TIMEOUT_S]
--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -11,22 +11,24 @@
 # bad version may get. The rest is left for the shift, which exposes versions that are bad
 # only under load.
 TRIAL_LIMIT_FRACTION = 2.0 / 3.0
-# The limit where operators set none.
+# Default of that limit.
 DEFAULT_EXPOSURE_LIMIT = 0.15
 # Fraction of the order's duration that is spent on the trial. Sessions may change to the new
-# version in the second half only.
+# version only after it.
 TRIAL_TIME_FRACTION = 0.5
-# After its trial a version first gets this multiple of the exposure limit, up to the maximum,
-# for this fraction of the order's duration. A version that is bad only under load, or slow by
-# too little to show in the few answers of the trial, is thereby compared with the old one
-# before it has all traffic. The requests of the trial and of this stage together stay below
-# the limit.
+# Fraction of the sessions that the new version gets at the beginning of the shift, as a multiple
+# of the exposure limit. A version that is bad only under load, or slow by too little to show in
+# the few answers of the trial, is thereby compared with the old one before it has all traffic.
 SHIFT_LIMIT_FACTOR = 7.0 / 3.0
+# Largest fraction of the sessions that it gets then.
 MAX_SHIFT_FRACTION = 0.35
+# Fraction of the order's duration for which it gets just this fraction. The requests of the trial
+# and of this time together stay below the exposure limit.
 SHIFT_TIME_FRACTION = 0.2
-# Answers that a version must have given before it gets all traffic.
+# Answers that the new version must have given before the shift may begin.
 MIN_ANSWERS = 8
-# The same as a fraction of the answers of all versions, for services with little traffic.
+# The same as a fraction of the answers of all versions. The smaller of the two numbers is required,
+# so that a service with little traffic can begin the shift.
 MIN_ANSWERS_FRACTION = 0.03
 # Fraction of the order's duration after which the roll-out completes, which stops the old
 # endpoints even if some of their answers are still running.
@@ -39,15 +41,35 @@
 # Delay from the order to the first session on the new version, in seconds. Within it, all
 # hosts learn of the order and of the sessions that use the old version.
 TRIAL_DELAY_S = 1.0
-# Delay from the decision to shift until sessions change versions, in seconds. A host that
-# learns of the decision later than others would send sessions back to the old version.
+# Delay from the decision to shift until sessions change versions, in seconds. Without it, a
+# host that learns of the decision later than others would send sessions back to the old version.
 SHIFT_DELAY_S = 0.6
 # Number of distinct session hashes.
 SESSION_HASHES = 2**32
 
 
 class VersionReason(enum.Enum):
-    """Why a request is limited to some versions."""
+    """Why a request may be answered by all versions or only by some.
+
+    Attributes
+    ----------
+    NO_ROLLOUT
+        The service has no roll-out.
+    RECORDED
+        The store holds the end of the roll-out: completed or rolled back.
+    FAILED_BEFORE
+        The request failed during the trial, so it isn't retried on the new version.
+    PINNED
+        The session used the old version, so it stays there during the trial.
+    SETTLING
+        It is too early for all hosts to have learned which sessions use the old version.
+    HASH
+        The hash of the session decides.
+    STREAM
+        A stream is resumed on the version that it began on.
+    NONE_LEFT
+        No endpoint of the allowed versions is available, so others may answer.
+    """
 
     NO_ROLLOUT = "no_rollout"
     RECORDED = "recorded"
@@ -120,7 +142,7 @@
         return self.shift_decided_at is not None and now - self.shift_decided_at >= SHIFT_DELAY_S
 
     def is_settling(self, now: float) -> bool:
-        """Tell whether hosts may not know yet which sessions use the old version."""
+        """Tell whether it is too early for all hosts to know which sessions use the old version."""
         return now - self.started_at < TRIAL_DELAY_S
 
     @property
@@ -204,15 +226,14 @@
         age_s : float
             How long ago any host first read it.
         """
-        previous = self._rollouts.get(order.service)
-        if previous is not None and previous.order.offset >= order.offset:
-            # Hosts that can't reach the store still publish the previous order. Its age,
-            # applied to this order, would end the trial at once and give a bad version all
-            # traffic.
-            if previous.order.offset == order.offset:
-                previous.started_at = min(previous.started_at, now - age_s)
+        known = self._rollouts.get(order.service)
+        if known is not None and known.order.offset >= order.offset:
+            # Hosts that can't reach the store still publish an older order. Its age, applied to
+            # the known order, would end the trial at once and give a bad version all traffic.
+            if known.order.offset == order.offset:
+                known.started_at = min(known.started_at, now - age_s)
             return False
-        if previous is not None:
+        if known is not None:
             self.statistics.forget(order.service)
         rollout = Rollout(order, now - age_s, self.exposure_limit)
         self._rollouts[order.service] = rollout
@@ -244,8 +265,12 @@
     def choose_version(self, work: InFlightRequest, now: float) -> VersionChoice:
         """Return the versions that may answer a request.
 
-        A session that used the old version stays there until the shift. All others are
-        assigned by their hash, which is the same on all hosts.
+        The first case that applies decides. Without a roll-out any version may answer. After a
+        completed roll-out only the new version may, and after a rollback any other. Before the
+        shift, a request that failed doesn't get the new version, unless it resumes a stream. A
+        session whose hash is outside the current fraction doesn't get it either; hashes are the
+        same on all hosts. Before the shift, neither does a session while hosts are settling, nor
+        one that used the old version. All other sessions get the new version only.
         """
         rollout = self._rollouts.get(work.service)
         if rollout is None:
@@ -318,6 +343,7 @@
         self._pin_old_session(work, version, now)
 
     def _pin_old_session(self, work: InFlightRequest, version: str, now: float) -> None:
+        """Pin a session that used the old version and would take part in the trial."""
         rollout = self._rollouts.get(work.service)
         if rollout is None or not rollout.is_in_progress or version == rollout.order.target:
             return
@@ -325,7 +351,7 @@
             self.sessions.pin(PinnedSession(_session_key(work), rollout.order.offset))
 
     def compute_verdict(self, rollout: Rollout, now: float) -> RolloutVerdict:
-        """Return the phase that is due to be recorded.
+        """Return the phase that is due to be recorded, and decide whether the shift begins.
 
         Recording the completion stops the old endpoints at once. All traffic moves well before
         that, so that their last answers can end.
--- a/poplarrun/versions/_controller.py
+++ b/poplarrun/versions/_controller.py
@@ -1,4 +1,8 @@
-"""The rollout controller: derives the records that are due from the log and the estimates."""
+"""The rollout controller: derives the records that are due from the log and the estimates.
+
+A log capital is the evidence of a sequential test against a hypothesis: while the hypothesis is
+true, the log capital ever reaches x with probability at most e^-x.
+"""
 
 import itertools
 import math
@@ -212,7 +216,10 @@
         )
 
     def _has_timely_alternative(self, key: CellKey, view: ControllerView) -> bool:
-        """Tell whether another version serves the class on time; under overload none does."""
+        """Tell whether another version is fully rolled out in the work class and on time.
+
+        Under overload all versions are late, and none may be rejected for it.
+        """
         return any(
             version != key.version
             and not view.configuration.is_withdrawn(version)
