--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -11,7 +11,7 @@
 # bad version may get. The rest is left for the shift, which exposes versions that are bad
 # only under load.
 TRIAL_LIMIT_FRACTION = 2.0 / 3.0
-# Default of that limit.
+# Default limit on the fraction of requests that a bad version may get.
 DEFAULT_EXPOSURE_LIMIT = 0.15
 # Fraction of the order's duration that is spent on the trial. Sessions may change to the new
 # version only after it.
