--- a/poplarrun/billing/_batcher.py
+++ b/poplarrun/billing/_batcher.py
@@ -89,9 +89,10 @@
     async def try_append_now(self, bill: Bill) -> bool:
         """Append all queued bills at once, and tell whether a bill is known to be in the log.
 
-        The bill must have been added before. False means that its append failed, took longer than
-        ``LOG_APPEND_TIMEOUT_S``, or was not waited for because another append failed within that
-        time; the bill then stays queued, unless an append that is still running succeeds.
+        The bill must have been added before. False means that its append failed, that it was not
+        appended within ``LOG_APPEND_TIMEOUT_S``, or that an append failed less than that time ago,
+        so that nothing was tried. The bill then stays queued, unless an append that is still
+        running succeeds.
         """
         if self.find(bill.id) is None:
             return True
