--- a/bench/load_overload.py
+++ b/bench/load_overload.py
@@ -88,7 +88,7 @@
             work_class=caller_request.plan.name,
             importance=caller_request.plan.importance,
             version=VERSION,
-            demand=PromptProfile(request.prompt_tokens),
+            prompt=PromptProfile(request.prompt_tokens),
             start_by=now + caller_request.plan.first_s,
             deadline=now + REQUEST_TIMEOUT_S,
         )
