--- a/standins/engine.py
+++ b/standins/engine.py
@@ -370,7 +370,7 @@
 
     def _list_models(self, _: Request) -> Response:
         if self.settings.room is None:
-            return json_response({"error": "the engine does not report its room"}, 404)
+            return json_response({"error": "no room is told"}, 404)
         return json_response(self._models.describe(self.settings.room))
 
     def _export_kv(self, request: Request) -> Response:
