--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -72,7 +72,7 @@
     Then at most 0.03 of 4000 new sessions try the new version
 
   Scenario: A peer that still publishes the previous order doesn't age the new one
-    # Two roll-outs follow each other while one host can't reach the store and still publishes the
+    # Two roll-outs follow each other while the store refuses one host, which still publishes the
     # first. Guards against applying the first one's age to the second, which would end its trial
     # and give a bad version all traffic at once.
     Given a roll-out of 16 s ordered at 100.0 and 50 sessions on the old version
--- a/poplarrun/rollouts/_rollouts.py
+++ b/poplarrun/rollouts/_rollouts.py
@@ -36,7 +36,7 @@
 # Delay of the shift past the middle of the order's duration, in seconds, for clocks and times
 # of reading the order that differ between hosts.
 SHIFT_MARGIN_S = 0.4
-# How long after its end a roll-out is still published to other hosts, in seconds.
+# How long a roll-out is still published to other hosts after the order's duration, in seconds.
 PUBLISH_AFTER_END_S = 20.0
 # Delay from the order to the first session on the new version, in seconds. Within it, all
 # hosts learn of the order and of the sessions that use the old version.
@@ -228,8 +228,8 @@
         """
         known = self._rollouts.get(order.service)
         if known is not None and known.order.offset >= order.offset:
-            # Hosts that can't reach the store still publish an older order. Its age, applied to
-            # the known order, would end the trial at once and give a bad version all traffic.
+            # Hosts that the store refuses still publish an older order. Its age, applied to the
+            # known order, would end the trial at once and give a bad version all traffic.
             if known.order.offset == order.offset:
                 known.started_at = min(known.started_at, now - age_s)
             return False
--- a/poplarrun/versions/_controller.py
+++ b/poplarrun/versions/_controller.py
@@ -1,7 +1,8 @@
 """The rollout controller: derives the records that are due from the log and the estimates.
 
 A log capital is the evidence of a sequential test against a hypothesis: while the hypothesis is
-true, the log capital ever reaches x with probability at most e^-x.
+true, the log capital ever reaches x with probability at most e^-x. The log capital of a change
+detector never falls below 0, and reaches x after e^x observations or more on average.
 """
 
 import itertools
@@ -36,8 +37,8 @@
 STALL_TIMEOUT_S = 60.0
 # Limit of the granted requests, as a multiple of the budget of the stage.
 MAX_BUDGET_FACTOR = 2
-# Fraction of a roll-out's requests whose ratings must have arrived before it is rejected; some
-# ratings are lost.
+# Fraction of a roll-out's requests whose ratings must have arrived before a version that has used
+# up its requests is rejected; some ratings are lost.
 MIN_RATED_FRACTION = 0.75
 # Larger log capitals are cut off before ``exp``.
 MAX_LOG_CAPITAL = 100.0
@@ -101,6 +102,9 @@
 class VersionRolloutController:
     """Decides on the roll-outs of the classes that rendezvous hashing assigns to this host.
 
+    Hosts that consider different hosts live may both decide for a class; the fold of the log
+    reconciles their records.
+
     Parameters
     ----------
     host : str
--- a/poplarrun/versions/_cutoff_detector.py
+++ b/poplarrun/versions/_cutoff_detector.py
@@ -20,7 +20,7 @@
 
     A judge may stop being informative: answers of a version that becomes bad with unchanged
     confidence would otherwise still be accepted because of its good answers in the past.
-    Bins hold only sums of ratings and of their square_sum, so the bet is the lower
+    Bins hold only sums of ratings and of their squares, so the bet is the lower
     bound ``log(1 + a y) >= a y + (log(1 - a) + a) y * y``, for ``y >= -1`` and
     a stake ``0 <= a < 1``. It is as valid as the bet itself and detects slightly later.
 
--- a/poplarrun/versions/_evidence.py
+++ b/poplarrun/versions/_evidence.py
@@ -32,7 +32,7 @@
 
     @property
     def as_second_step(self) -> "CellKey":
-        """The same version as the second step of a cascade, where its first answer is rejected."""
+        """The same version as a cascade's second step, after the first answer is rejected."""
         return CellKey(self.class_name + SECOND_STEP_SUFFIX, self.version)
 
     @property
