--- a/poplarrun/logging/_events.py
+++ b/poplarrun/logging/_events.py
@@ -59,7 +59,8 @@
     Attributes
     ----------
     expected_s, queue_s : float
-        Estimated time to the answer, and the part of it spent in the endpoint's queue.
+        Estimated time to the first event, and the prefill time of the prompts that are known
+        to wait at the endpoint.
     left_s : float
         Time left until the request's deadline.
     version_by : str
@@ -118,8 +119,7 @@
     Attributes
     ----------
     first_s, pause_s : float
-        Time from the request's arrival to the first event, and the longest pause between
-        later ones.
+        Time from the request's arrival to the first event, and the longest pause after it.
     target_s, most_pause_s : float
         Upper bounds of these two for an answer in time; 0 for a failure.
     confidence : float, optional
@@ -378,7 +378,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutJudged(Event):
-    """A phase of a roll-out was recorded, unless another host had recorded one before."""
+    """A phase of a roll-out was recorded; if another host was first, ``answer`` is ``Moved``."""
 
     component: ClassVar[str] = "rollouts"
     message: ClassVar[str] = "A phase of a roll-out was decided."
