--- a/poplarrun/cli/_config.py
+++ b/poplarrun/cli/_config.py
@@ -276,7 +276,7 @@
 
 
 def _describe_pending_zone(zone: ZoneView) -> str:
-    return "no response" if zone.silent else f"still at offset {zone.offset}"
+    return "silent" if zone.silent else f"still at offset {zone.offset}"
 
 
 def _find_record(log: Log, record_id: str) -> int | None:
