--- a/poplarrun/clients/_orders.py
+++ b/poplarrun/clients/_orders.py
@@ -31,7 +31,7 @@
     wanted : list of str
         Versions of the last order that the engine accepted.
     fence : int
-        Fencing token of that order; -1 before the first order since the engine's start.
+        Fencing number of that order; -1 before the first order since the engine's start.
     """
 
     room: int
@@ -47,7 +47,7 @@
     Attributes
     ----------
     fence : int
-        Fencing token of the sender's lease.
+        Fencing number of the sender's lease.
     versions : list of str
         Each as ``model:version``, sorted.
     action : str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderFenced:
-    """The engine rejected the order: it had accepted one with a higher fencing token."""
+    """The engine rejected the order: it had accepted one with a higher fencing number."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     """Sends orders to engines, by address. Calls block and never raise."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and fencing number."""
 
     def send(self, address: str, order: ModelsOrder) -> OrderAccepted | OrderFenced | OrderFailed:
         """Send an order to an engine."""
@@ -102,7 +102,7 @@
     """``Orders`` over HTTP."""
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and fencing number."""
         try:
             response = get_pool_manager().request(
                 "GET", f"{base_url(address)}/v1/models", timeout=REQUEST_TIMEOUT_S
@@ -161,11 +161,11 @@
     loaded : set of str
         Loaded versions.
     checks_fencing : bool
-        Whether orders with a lower fencing token than the last one's are rejected.
+        Whether orders with a lower fencing number than the last one's are rejected.
     load_s : float
         Time to load a version.
     fence : int
-        Fencing token of the last accepted order.
+        Fencing number of the last accepted order.
     is_silent : bool
         Whether requests to it fail.
     loading : dict of str to float
@@ -198,7 +198,7 @@
         self.wanted, self.fence = [], -1
 
     def handle_order(self, order: ModelsOrder, now: float) -> OrderAccepted | OrderFenced:
-        """Accept an order, or reject its fencing token."""
+        """Accept an order, or reject its fencing number."""
         if self.checks_fencing and order.fence < self.fence:
             return OrderFenced()
         self.fence, self.wanted = order.fence, order.versions
@@ -229,7 +229,7 @@
         self._clock = clock
 
     def read_models(self, address: str) -> EngineModels | OrdersUnsupported | OrderFailed:
-        """Fetch an engine's loaded, loading and wanted versions, its room and its fencing token."""
+        """Fetch an engine's loaded, loading and wanted versions, its room and fencing number."""
         engine = self.engines.get(address)
         if engine is None:
             return OrdersUnsupported()
--- a/poplarrun/log/_async.py
+++ b/poplarrun/log/_async.py
@@ -29,7 +29,7 @@
     log : Log
         The blocking log.
     run : callable
-        Runs a call with its arguments on another thread and returns an awaitable.
+        Runs a call with its arguments, usually on another thread, and returns an awaitable.
     """
 
     def __init__(self, log: Log, run: Callable[..., Awaitable[Any]]) -> None:
--- a/standins/histories/_chat_events.py
+++ b/standins/histories/_chat_events.py
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionWithdrawn:
-    """The log accepted a version's withdrawal, which ends at ``until_s``."""
+    """The log accepted a version's withdrawal; at ``until_s`` the version is offered again."""
 
     at_s: float
     version: str
@@ -142,7 +142,7 @@
 
     Attributes
     ----------
-    accepted : dict of int to Terms
+    accepted : dict of int to VersionPolicy
         The policy after each record of the log by offset, computed independently of the product.
     out_of_reach : dict of str to list of (float, float)
         Intervals in which a host reached neither the log nor a peer that reached it.
--- a/standins/version_world.py
+++ b/standins/version_world.py
@@ -92,9 +92,9 @@
         Probability that a rating never arrives.
     bias, noise : float
         Error of a rating: mean and standard deviation.
-    down : tuple of (float, float)
+    outage : tuple of (float, float)
         Start and end of an outage in which it accepts no answers, in seconds.
-    told_bias : float
+    configured_bias : float
         Bias that the hosts are configured with.
     """
 
