--- a/standins/histories/_events.py
+++ b/standins/histories/_events.py
@@ -5,7 +5,7 @@
 
 
 class AnswerKind(enum.Enum):
-    """The outcome that a caller received."""
+    """The outcome for a caller; ``NO_ANSWER`` if its host had died or it stopped waiting."""
 
     RAN = "ran"
     REPLAYED = "replayed"
