--- a/poplarrun/limits/_account.py
+++ b/poplarrun/limits/_account.py
@@ -102,7 +102,10 @@
         return fractions
 
     def transfer(self, fractions: dict[LimitKind, float]) -> None:
-        """Add fractions taken over from a host of the own zone; negative ones are removed."""
+        """Add fractions taken over from a host of the own zone, usable at once.
+
+        Negative ones are removed.
+        """
         for kind, fraction in fractions.items():
             if kind in self.shares:
                 self.shares[kind].transfer(fraction)
--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -42,8 +42,6 @@
 MAX_SUMMARY_BYTES_PER_S = 1000.0
 MAX_RETRY_DELAY_S = 60.0
 SECONDS_PER_DAY = 86_400.0
-# Answer to a malformed request for a loan, or to one for an unknown account.
-NO_LOAN = Loan("", 0.0, 0.0)
 # A zone that sent nothing for this long is late: no share grows until the zone is heard again, or
 # has sent nothing for so long that the membership reports it as silent. A part of the limit is then
 # reserved for the silent zone, and shares may grow within the rest.
@@ -174,7 +172,8 @@
     async def _serve_loan(self, borrower: str, payload: bytes) -> bytes:
         wanted = decode_loan(payload)
         if wanted is None or wanted.account not in self._accounts:
-            return encode_loan(NO_LOAN)
+            # A malformed request and one for an unknown account are granted nothing.
+            return encode_loan(Loan("", 0.0, 0.0))
         state = self._accounts[wanted.account]
         requests = state.requests.lend(wanted.requests, MAX_LENT_FRACTION)
         tokens = state.tokens.lend(wanted.tokens, MAX_LENT_FRACTION)
--- a/poplarrun/limits/_shares.py
+++ b/poplarrun/limits/_shares.py
@@ -14,7 +14,7 @@
 # This fraction of the unwanted limit is held in equal shares, so that a host with new demand can
 # use it at once; the rest stays free for the host that needs it first.
 IDLE_RESERVE_FRACTION = 0.9
-# If demand takes up the whole limit, this fraction of it stays reserved for hosts without demand.
+# If demand takes up the whole limit, hosts without demand together keep at most this fraction.
 MIN_IDLE_RESERVE_FRACTION = 0.04
 RAMP_UP_ROUNDS = PROPAGATION_ROUNDS + ACTIVATION_ROUNDS
 # Demand fluctuates: a share equal to the mean demand would refuse some requests.
