--- a/poplarrun/billing/_replicator.py
+++ b/poplarrun/billing/_replicator.py
@@ -271,7 +271,10 @@
         return copies
 
     def _rank_peers(self) -> list[str]:
-        """Return the peers with one of each other zone first, ranked to spread copies evenly."""
+        """Return the peers, one of each other zone first and those of the own zone last.
+
+        Ranks differ from host to host, which spreads the copies evenly over all hosts.
+        """
         me = self._peers.me
         others = [peer for peer in self._peers.live() if peer.name != me.name]
         ranked = self._ranking.rank(f"billing/{me.name}", tuple(peer.name for peer in others))
--- a/poplarrun/endpoints/_table.py
+++ b/poplarrun/endpoints/_table.py
@@ -120,7 +120,10 @@
             self._pools_stale = True
 
     def set_retired_versions(self, versions: Mapping[str, frozenset[VersionId]]) -> None:
-        """Set the versions that get no new requests at some engines, by engine name."""
+        """Set the versions that get no new requests at some engines, by engine name.
+
+        This takes effect from the next choice on.
+        """
         if versions != self._retired:
             self._retired = versions
             self._pools_stale = True
