--- a/features/billing.feature
+++ b/features/billing.feature
@@ -31,7 +31,7 @@
     # At the bound a host must admit no new request, and a peer must accept no more
     # copies.
     Given a host that holds as many bills as allowed
-    Then it accepts no more bills
+    Then it is full
     And it accepts no copies from peers
 
   Scenario Outline: Retention drops bills that a snapshot covers
--- a/features/endpoints.feature
+++ b/features/endpoints.feature
@@ -70,7 +70,7 @@
     # of them would turn it into an outage.
     Given an endpoint table with engines "e1, e2, e3, e4" of 8 slots in zone "a"
     When a call to each engine fails at 1.0 with "broken"
-    Then the choices of 200 at 1.1 include 2 engines
+    Then the choices of 200 at 1.1 fall on exactly 2 engines
 
   Scenario: Simultaneous failures count as one
     # Forty streams break together when an engine restarts. They must cause the pause of
@@ -152,7 +152,7 @@
     # requests.
     Given an endpoint table with engines "e1, e2, e3, e4" of 8 slots in zone "a"
     And engines "e2, e3" are assigned to this host
-    Then the choices of 100 at 0.0 include 2 engines
+    Then the choices of 100 at 0.0 fall on exactly 2 engines
     And no choice of 100 at 0.0 is "e1"
     When 16 requests are sent to "e2" at 1.0
     And 16 requests are sent to "e3" at 1.0
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -98,14 +98,14 @@
       And the versions are loaded
       When a second host of zone "a" goes on with an old lease for 60 s
       Then zone "a" holds "larch:1 spruce:1"
-      And no engine in memory loaded a version twice
+      And no engine in memory started a load twice
 
     Scenario: The holder dies before its plan is complete
       Given loads take 20 s in memory
       When the holder of zone "a" dies while a load is under way
       And 90 s pass for the orders
       Then zone "a" holds "larch:1 spruce:1"
-      And no engine in memory loaded a version twice
+      And no engine in memory started a load twice
 
     Scenario: The weight store refuses requests for a long time
       # The store is probed by one request at a time with increasing pauses; loaded
@@ -129,8 +129,8 @@
       And no version was fetched twice for an engine
 
     Scenario: A version that an open session is pinned to is not unloaded
-      # Five versions need four slots, and two of them have much more demand than the
-      # session's. The last copy of the session's version stays; a version without
+      # Five versions need room where four fit, and two of them have much more demand than
+      # the session's. The last copy of the session's version stays; a version without
       # demand is evicted.
       Given "larch:1 spruce:1 yew:1 fir:1" are loaded
       And a session at host "a1" is pinned to "larch:1"
--- a/features/steps/billing.py
+++ b/features/steps/billing.py
@@ -152,7 +152,7 @@
     run_virtual(fill())
 
 
-@then("it accepts no more bills")
+@then("it is full")
 def step_is_full(context):
     assert context.full_replicator.is_full
 
--- a/features/steps/endpoints.py
+++ b/features/steps/endpoints.py
@@ -166,7 +166,7 @@
     assert context.endpoint_table.choose_engine(VERSION, at) is None
 
 
-@then("the choices of {count:d} at {at:f} include {engines:d} engines")
+@then("the choices of {count:d} at {at:f} fall on exactly {engines:d} engines")
 def step_choices_of(context, count, at, engines):
     assert len(choices(context, count, at)) == engines
 
--- a/features/steps/orders_decisions.py
+++ b/features/steps/orders_decisions.py
@@ -277,7 +277,7 @@
     assert set(versions.split()) <= context.always[zone], context.always
 
 
-@then("no engine in memory loaded a version twice")
+@then("no engine in memory started a load twice")
 def step_no_doubles(context):
     for name, loaded in loads_by_engine(context).items():
         assert len(loaded) == len(set(loaded)), (name, loaded)
