--- a/poplarrun/limits/_accounts.py
+++ b/poplarrun/limits/_accounts.py
@@ -84,7 +84,9 @@
         return self._startup.has_shares
 
     async def request_initial_shares(self, accounts: Iterable[ClientAccount]) -> None:
-        """Request the initial shares from the zone; called every round until this host has them.
+        """Request the initial shares from the zone.
+
+        Called every round; does nothing once this host has them.
 
         A host that served requests without shares would refuse requests of accounts that are far
         below their limits.
--- a/poplarrun/limits/_shares.py
+++ b/poplarrun/limits/_shares.py
@@ -158,9 +158,9 @@
         self._recent_held = deque(transferred, ACTIVATION_ROUNDS)
 
     def release_all(self) -> None:
-        """Release the whole share, after this host was paused or isolated.
+        """Release the whole share, which another host of the zone takes over.
 
-        The others may have acquired its fraction meanwhile.
+        Fractions that were acquired and are not in use yet are released too.
         """
         self.held = 0.0
         self._cancel_pending()
