--- a/poplarrun/billing/_peer_bills.py
+++ b/poplarrun/billing/_peer_bills.py
@@ -63,7 +63,7 @@
         for origin in live:
             self._silent_since.pop(origin, None)
         orphans: list[OrphanedBills] = []
-        for origin in [copies for copies in self._bills if copies not in live]:
+        for origin in [known for known in self._bills if known not in live]:
             if now - self._silent_since.setdefault(origin, now) >= PEER_DEAD_TIMEOUT_S:
                 del self._silent_since[origin]
                 bills = list(self._bills.pop(origin).values())
