--- a/poplarrun/dispatch/_dispatcher.py
+++ b/poplarrun/dispatch/_dispatcher.py
@@ -186,7 +186,8 @@
         )
         reason = versions.reason
         if estimate is None and versions.allowed is not None:
-            # Running on another version is better than refusing the request.
+            # Without an endpoint of the chosen version, running on another one is better than
+            # refusing the request.
             estimate = self.placement.choose(
                 work, service, now, size or "", None, versions.excluded
             )
--- a/poplarrun/placement/_endpoint_state.py
+++ b/poplarrun/placement/_endpoint_state.py
@@ -21,7 +21,8 @@
 SLOWDOWN_WEIGHT = 0.2
 MAX_SLOWDOWN = 30.0
 MIN_SLOWDOWN = 0.6
-# Time in seconds without a measurement in which the estimated slowdown halves.
+# Time in seconds without a measurement in which the excess of the slowdown over 1 halves: an
+# endpoint without recent measurements is assumed to be as fast as the others again.
 SLOWDOWN_HALF_LIFE_S = 8.0
 
 
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -46,7 +46,7 @@
     service_limits : dict of str to ServiceLimit
         Concurrency limits of plain services, from this host's calls.
     demand : DemandCounter
-        Demand for versions.
+        Demand of this host's requests for versions, also for those that no engine has loaded.
     expected_load_s : dict of VersionId to float
         Expected seconds until a version that no engine has loaded is available.
     """
--- a/poplarrun/router/_operations.py
+++ b/poplarrun/router/_operations.py
@@ -77,7 +77,7 @@
 
     Attributes
     ----------
-    claims : ClaimKeeper, optional
+    claims : ClaimManager, optional
         The host's claims; if None, operations with a key are refused.
     """
 
--- a/poplarrun/server/_endpoint_tasks.py
+++ b/poplarrun/server/_endpoint_tasks.py
@@ -37,7 +37,7 @@
     ----------
     host_list_read_at : float, optional
         When the host list was first read.
-    entry_hosts : ListedHosts
+    entry_hosts : ListedHostTable
         The entry hosts of the list.
     """
 
--- a/poplarrun/server/_loop_bridge.py
+++ b/poplarrun/server/_loop_bridge.py
@@ -48,7 +48,7 @@
 
         Raises
         ------
-        CrossingClosed
+        LoopStopped
             When the loop has stopped.
         """
         result_future: Future[Any] = Future()
@@ -60,7 +60,7 @@
 
         Raises
         ------
-        CrossingClosed
+        LoopStopped
             When the loop has stopped.
         """
         result_future: Future[Any] = Future()
