--- a/poplarrun/placement/_placement.py
+++ b/poplarrun/placement/_placement.py
@@ -108,9 +108,9 @@
     def _sum_peer_loads(self) -> None:
         for instance_id, endpoint in self._endpoints.items():
             loads = [
-                cached_tokens[instance_id]
-                for cached_tokens in self._peer_loads.values()
-                if instance_id in cached_tokens
+                host_loads[instance_id]
+                for host_loads in self._peer_loads.values()
+                if instance_id in host_loads
             ]
             endpoint.peer_in_flight = float(sum(request_count for request_count, _ in loads))
             endpoint.peer_pending_prefill_s = sum(pending_s for _, pending_s in loads)
