--- a/poplarrun/server/_order_tasks.py
+++ b/poplarrun/server/_order_tasks.py
@@ -281,9 +281,11 @@
     def _apply_orders(self) -> None:
         """Apply the drains and the expected loads that all zones published."""
         gathered = self._peers.collect_summaries(ORDERS_TOPIC)
-        own_demand = [decode_orders(payload) for payload in gathered.own_zone.values()]
+        own_summaries = [decode_orders(payload) for payload in gathered.own_zone.values()]
         summaries = {zone: decode_orders(payload) for zone, payload in gathered.other_zones.items()}
-        summaries[self._zone] = max(own_demand, key=lambda s: s.revision, default=OrdersSummary())
+        summaries[self._zone] = max(
+            own_summaries, key=lambda s: s.revision, default=OrdersSummary()
+        )
         self._zone_summaries = {
             zone: s for zone, s in summaries.items() if s.revision != DrainRevision()
         }
