--- a/features/steps/resumed_answers.py
+++ b/features/steps/resumed_answers.py
@@ -68,7 +68,7 @@
         )
         name, _ = max(
             engine_events(context, "start"),
-            key=lambda engines_and_events: engines_and_events[1]["at"],
+            key=lambda engine_and_event: engine_and_event[1]["at"],
         )
         action(context.fleet.endpoints[name])
 
@@ -186,8 +186,8 @@
 
 @then("some engine imported {tokens:d} tokens")
 def step_imported(context, tokens):
-    engines_and_events = [event["tokens"] for _, event in engine_events(context, "imported")]
-    assert engines_and_events == [tokens], engines_and_events
+    imported_tokens = [event["tokens"] for _, event in engine_events(context, "imported")]
+    assert imported_tokens == [tokens], imported_tokens
 
 
 @then("some engine cancelled the stream")
