--- a/features/placement.feature
+++ b/features/placement.feature
@@ -29,7 +29,7 @@
   Scenario: Endpoints of a zone that fell silent are used last
     # All hosts of another zone fell silent at once, so the zone is cut off. A send there would
     # hang until its timeout; busy endpoints of reachable zones are the better choice.
-    Given a placement of engines in the zones "a, b, c" and a peer book that heard hosts of "b, c"
+    Given a placement of engines in the zones "a, b, c" and a peer table that heard hosts of "b, c"
     When the hosts of "b" fall silent and those of "c" don't
     Then 200 prompts go to "a" and "c" only, although these are half full
 
@@ -42,7 +42,7 @@
   Scenario: Long prompts leave the zone later than short ones
     # Traffic of a long prompt to another zone is expensive. With some prompts waiting in the
     # own zone a short prompt goes elsewhere, and a long one stays while it is still in time.
-    Given a placement of engines in the zones "a, b" and a peer book that heard hosts of "b"
+    Given a placement of engines in the zones "a, b" and a peer table that heard hosts of "b"
     When prompts that take 0.3 s wait in the zone "a"
     Then a body of 17000 bytes goes to "a" and one of 1500 bytes to "b"
 
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -99,7 +99,7 @@
 
 
 @given(
-    'a placement of engines in the zones "{zones}" and a peer book that heard hosts of "{others}"'
+    'a placement of engines in the zones "{zones}" and a peer table that heard hosts of "{others}"'
 )
 def step_zones(context, zones, others):
     context.placement = Placement("a", random.Random(3))
