--- a/features/overload.feature
+++ b/features/overload.feature
@@ -28,7 +28,7 @@
     Then the "urgent" is answered before the last "report"
 
   Scenario: An engine dies in the middle of a stream
-    # The rest of the answer exists nowhere else. The caller gets the part that was generated
+    # The rest of the answer exists nowhere else. The caller gets the part that arrived
     # and an error event that says so; the next request goes to the other engine.
     When a client streams a "report" and its engine is killed in the middle
     Then the stream ends with "answer_incomplete"
--- a/poplarrun/router/_context.py
+++ b/poplarrun/router/_context.py
@@ -26,7 +26,7 @@
     ----------
     configuration : Configuration
         The configuration in force at this host.
-    versions : Versions
+    versions : VersionManager
         Estimates, choice and roll-outs of versions.
     bills : list of Bill
         Final bills that are not passed to the billing yet; the host stores them before it
--- a/poplarrun/server/_version_tasks.py
+++ b/poplarrun/server/_version_tasks.py
@@ -52,7 +52,7 @@
 
     Parameters
     ----------
-    versions : Versions
+    versions : VersionManager
         The decisions.
     peers : Peers
         The other hosts.
