--- a/poplarrun/peers/_messages.py
+++ b/poplarrun/peers/_messages.py
@@ -13,7 +13,7 @@
     Attributes
     ----------
     instance_id : str
-        Id of the endpoint, new with each of its starts.
+        Id of the endpoint; usually new after each of its starts.
     pending_prefill_ms : int
         Total prefill time of their prompts that the endpoint has not read completely yet.
     """
@@ -56,7 +56,7 @@
     kind : str
         Identifies a route and a model size, the answers of which are comparable.
     answers, failures, slow : int
-        Answers that ended, that failed, and that came much too late.
+        Answers, those that failed, and those that came much too late.
     paced_answers : int
         Answers whose pace was compared with the usual pace.
     log_pace_sum : float
--- a/poplarrun/peers/_peer.py
+++ b/poplarrun/peers/_peer.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     first_listed_at, last_listed_at : float
-        When its address was first and last read from the store.
+        When its address was first and last read, as a seed or from the store.
     heard_at : float
         When its last digest arrived.
     attested_at : float
--- a/poplarrun/peers/_peer_table.py
+++ b/poplarrun/peers/_peer_table.py
@@ -13,8 +13,8 @@
 ZONE_SILENCE_TIMEOUT_S = 1.7
 # Added for a host that hears of other zones through its aggregators, and therefore later.
 AGGREGATION_DELAY_S = 0.8
-# A host not heard from for this long is removed and gets no more probes; it sends the first
-# message itself when it returns.
+# A host neither heard from nor listed for this long is removed and gets no more probes; it sends
+# the first message itself when it returns.
 PEER_TTL_S = 30.0
 # Aggregators of a zone: with two, the zone always has one while a replacement is found.
 MIN_AGGREGATORS = 2
@@ -100,7 +100,7 @@
     _last_expiry_at: float = -math.inf
 
     def add_address(self, address: str, now: float, zone: str = "") -> None:
-        """Record that a host is registered under an address."""
+        """Record that a host may be at an address: a seed, or one registered in the store."""
         if address == self.address:
             return
         if address not in self._peers:
--- a/poplarrun/platform/_settings.py
+++ b/poplarrun/platform/_settings.py
@@ -88,11 +88,11 @@
     retry_window_s : float
         Time over which retries are counted.
     session_timeout_s : float
-        Longest pause between two requests of a session.
+        Requests of a session that follow each other within this time keep a version.
     max_exposure_fraction : float
         Largest fraction of a service's requests that a bad version may get.
     memory_mb, max_sockets : int
-        Memory and open sockets that the platform allows the process.
+        Memory and open sockets above which the platform stops or hinders the process.
     """
 
     name: str
