--- a/poplarrun/gateway/_forwarder.py
+++ b/poplarrun/gateway/_forwarder.py
@@ -225,7 +225,11 @@
             raise AttemptError(NoConnection(str(error))) from error
 
     def _check_answer(self, answer: EndpointAnswer, connection: ClientConnection) -> None:
-        """Raise unless the answer comes from the endpoint and belongs to this request."""
+        """Raise unless the endpoint ran the request and the answer surely belongs to it.
+
+        An endpoint's statement that it did not run the request is told apart from bytes that
+        answer something else.
+        """
         answers_request = answer.request_id == self._work.request.id
         if answer.request_id is not None and not answers_request:
             raise AttemptError(Garbled("answers another request"))
@@ -245,7 +249,7 @@
         self._caller.respond(open_answer.answer.status, list(open_answer.answer.headers), body)
 
     async def _read_error_answer(self, open_answer: _OpenAnswer) -> None:
-        """Keep an error answer of the endpoint, which the caller gets if all retries fail."""
+        """Keep an error answer of the endpoint; the caller gets it if no better one follows."""
         body = await self._read_body(open_answer)
         self._release_connection(open_answer)
         self._error_answer = _CompleteAnswer(open_answer.answer, body)
--- a/poplarrun/gateway/_host.py
+++ b/poplarrun/gateway/_host.py
@@ -41,8 +41,8 @@
     seconds_since_boot,
 )
 
-# Fraction of the operators' bound on retries that is used, and the number of hosts among which the
-# allowance is divided at least, while it is not known how many there are.
+# Fraction of the operators' bound on retries that is used, and the least number of hosts among
+# which the allowance is divided, also while it is not known how many there are.
 RETRY_FRACTION = 0.85
 MIN_HOSTS = 8
 # For this long a stopping host accepts new connections: the load balancer checks readiness once a
@@ -138,7 +138,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the host has the state that it needs to serve callers."""
+        """Whether callers may come: the host has the state that it needs, and is not stopping."""
         is_known = self._config_view.catalogue is not None and self._listings.is_usable
         is_informed = self._peering.is_informed(seconds_since_boot())
         return is_known and is_informed and not self._stop_requested.is_set()
