--- a/poplarrun/hosts/_gossip.py
+++ b/poplarrun/hosts/_gossip.py
@@ -25,14 +25,16 @@
 )
 from poplarrun.hosts._zones import ZONE_PREFIX, Zones
 
-# Bytes of items that a ping or ack carries, and that a reply to a sync carries.
+# Bytes of urgent items, and of bulk items, that a ping or ack carries at most, and bytes of items
+# that are sent at most in reply to a sync.
 MAX_MESSAGE_ITEMS_BYTES = 1200
 MAX_SYNC_ITEMS_BYTES = 48 * 1024
 MAX_BULK_BYTES_PER_S = 2400.0
 MAX_BULK_BURST_BYTES = 48_000.0
 SYNC_INTERVAL_S = 10.0
 REJOIN_INTERVAL_S = 5.0
-# Interval of joins while no other host is known, at most for the join window after the start.
+# Interval of joins while no other host of the zone is live: in the join window after the start, and
+# later only while no other zone is known either.
 JOIN_INTERVAL_S = 0.5
 JOIN_WINDOW_S = 30.0
 JOIN_FANOUT = 3
@@ -103,7 +105,7 @@
         return self.membership.me
 
     def announce(self, topic: str, number: int, payload: bytes, now: float) -> list[Datagram]:
-        """Send an announcement to all hosts of all zones; the highest number of a topic wins."""
+        """Announce to all hosts of all zones at once; the highest number of a topic wins."""
         item = Item(ANNOUNCEMENT_PREFIX + topic, number, 0, payload)
         if not self.store.put(item):
             return []
@@ -125,7 +127,7 @@
             outgoing += self._begin_sync()
         datagrams = [self._make_datagram(out, now) for out in outgoing]
         if now >= self._next_join_at:
-            # A zone that has only one host would stay in this state, so it uses the slow interval.
+            # The only host of a zone stays alone; after the join window it uses the slow interval.
             is_joining = now - self._started_at < JOIN_WINDOW_S
             is_alone = len(live) == 1 and (is_joining or not self.zones.other_zones())
             self._next_join_at = now + (JOIN_INTERVAL_S if is_alone else REJOIN_INTERVAL_S)
--- a/poplarrun/hosts/_memory.py
+++ b/poplarrun/hosts/_memory.py
@@ -126,7 +126,7 @@
         self._network.members.pop(self._me.name, None)
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Send an announcement to all reachable hosts; the highest number of a topic wins."""
+        """Announce to all reachable hosts at once; the highest number of a topic wins."""
         for peer in self.live():
             self._network.members[peer.name]._apply_announcement(topic, number)
 
--- a/poplarrun/hosts/_network.py
+++ b/poplarrun/hosts/_network.py
@@ -142,7 +142,7 @@
         )
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Send an announcement to all hosts of all zones; the highest number of a topic wins."""
+        """Announce to all hosts of all zones at once; the highest number of a topic wins."""
         self._send_all(self.gossip.announce(topic, number, payload, self._clock()))
 
     def highest_announced(self, topic: str) -> int:
--- a/poplarrun/hosts/_peers.py
+++ b/poplarrun/hosts/_peers.py
@@ -122,7 +122,7 @@
         """Return the summaries of a topic that have been received."""
 
     def announce(self, topic: str, number: int, payload: bytes) -> None:
-        """Send an announcement to all hosts of all zones; the highest number of a topic wins.
+        """Announce to all hosts of all zones at once; the highest number of a topic wins.
 
         For rare events of a few bytes, such as a new configuration.
         """
--- a/poplarrun/hosts/_polls.py
+++ b/poplarrun/hosts/_polls.py
@@ -57,8 +57,9 @@
     async def wait(self, is_behind: bool = False) -> None:
         """Wait for this host's turn to read, or until new records are announced.
 
-        A host that is behind waits only a short time instead: the log may be out of its reach,
-        and the peers that it asked may not have had the records yet.
+        A host that is behind doesn't wait for its turn, but only for the time in which the log can
+        serve a read of each host: the log may be out of its reach, and the peers that it asked may
+        not have had the records yet.
         """
         hosts = len(self._peers.live())
         is_behind = (
