--- a/poplarrun/hosts/_memory.py
+++ b/poplarrun/hosts/_memory.py
@@ -105,7 +105,7 @@
     def collect_summaries(self, topic: SummaryTopic) -> CollectedSummaries:
         """Return the summaries of a topic that have been received."""
         own: dict[str, bytes] = {}
-        other_group: dict[str, list[bytes]] = {}
+        payloads_by_zone: dict[str, list[bytes]] = {}
         for peer in self.live():
             payload = self._network.members[peer.name]._summaries.get(topic.name)
             if payload is None:
@@ -113,9 +113,9 @@
             if peer.zone == self._me.zone:
                 own[peer.name] = payload
             else:
-                other_group.setdefault(peer.zone, []).append(payload)
+                payloads_by_zone.setdefault(peer.zone, []).append(payload)
         return CollectedSummaries(
-            own, {zone: topic.merge(payloads) for zone, payloads in other_group.items()}
+            own, {zone: topic.merge(payloads) for zone, payloads in payloads_by_zone.items()}
         )
 
     def start(self) -> None:
