--- a/bench/version_traces.py
+++ b/bench/version_traces.py
@@ -116,7 +116,7 @@
     cost, quality : float
         Means over the requests.
     windows_met : float
-        Fraction of the windows of ``WINDOW`` requests whose mean quality met the target.
+        Fraction of the windows of ``WINDOW_REQUESTS`` requests whose mean quality met the target.
     """
 
     cost: float
--- a/poplarrun/logging/_events.py
+++ b/poplarrun/logging/_events.py
@@ -92,7 +92,7 @@
     """A request failed at an endpoint; whether it may have been executed there."""
 
     component: ClassVar[str] = "request"
-    message: ClassVar[str] = "Sending to an endpoint failed."
+    message: ClassVar[str] = "A send to an endpoint failed."
     request: str
     endpoint: str
     failure: str
--- a/poplarrun/server/_messages.py
+++ b/poplarrun/server/_messages.py
@@ -103,7 +103,7 @@
     Attributes
     ----------
     fence : int
-        Fencing token of the sender's lease.
+        Fencing number of the sender's lease.
     draining : dict of str to list of str
         By engine, versions that get no new requests there and will be unloaded.
     coming : dict of str to float
