--- a/poplarrun/endpoints/_endpoint.py
+++ b/poplarrun/endpoints/_endpoint.py
@@ -118,19 +118,19 @@
         self,
         requests: float,
         capacity: int,
-        true_at: float,
+        measured_at: float,
         models: Sequence[BackgroundLoadModel] = (),
     ) -> None:
         """Apply a load report; one that is not newer than the last is ignored."""
-        if true_at <= self.measured_at:
+        if measured_at <= self.measured_at:
             return
-        before, interval_s = self._estimate_background_requests(), true_at - self.measured_at
+        before, interval_s = self._estimate_background_requests(), measured_at - self.measured_at
         had_report = math.isfinite(self.measured_at)
         self.reported_requests = requests
         self.capacity = max(1, capacity)
-        self.measured_at = true_at
-        _discard_until(self.sent_at, true_at)
-        _discard_until(self.finished_at, true_at)
+        self.measured_at = measured_at
+        _discard_until(self.sent_at, measured_at)
+        _discard_until(self.finished_at, measured_at)
         if had_report:
             after = self._estimate_background_requests() / self.capacity
             for model in models:
--- a/poplarrun/endpoints/_table.py
+++ b/poplarrun/endpoints/_table.py
@@ -99,19 +99,19 @@
         versions: frozenset[VersionId],
         requests: float,
         capacity: int,
-        true_at: float,
+        measured_at: float,
     ) -> None:
         """Apply an endpoint's load that was measured at a time."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return
-        if endpoint.is_unreachable and true_at > endpoint.last_failed_at:
+        if endpoint.is_unreachable and measured_at > endpoint.last_failed_at:
             self.record_success(name)
         if versions != endpoint.versions:
             endpoint.versions = versions
             self._pools_stale = True
         models = [self.pool(work).background_load for work in versions]
-        endpoint.apply_report(requests, capacity, true_at, models)
+        endpoint.apply_report(requests, capacity, measured_at, models)
 
     def set_owned_endpoints(self, names: frozenset[str]) -> None:
         """Set which endpoints are assigned to this host."""
--- a/poplarrun/orders/_controller.py
+++ b/poplarrun/orders/_controller.py
@@ -186,9 +186,9 @@
         The revision is kept: the host may get the lease back under its old fencing number, and
         hosts that hold an older list of drains must not seem to hold the new one.
         """
-        stamp = self._revision
+        revision = self._revision
         self.__post_init__()
-        self._revision = stamp
+        self._revision = revision
         self.planner, self.draining, self.plan = Planner(), {}, Plan({}, ())
 
     def decide(
--- a/poplarrun/orders/_summaries.py
+++ b/poplarrun/orders/_summaries.py
@@ -132,10 +132,15 @@
     return DemandSummary(versions, wire.applied, wire.open)
 
 
-def _quantize(places: float) -> int:
-    if places <= 0.0:
+def _quantize(concurrent_requests: float) -> int:
+    if concurrent_requests <= 0.0:
         return 0
-    return min(255, max(1, round(LEVELS_PER_OCTAVE * math.log2(places / MIN_ENCODED_REQUESTS)) + 1))
+    return min(
+        255,
+        max(
+            1, round(LEVELS_PER_OCTAVE * math.log2(concurrent_requests / MIN_ENCODED_REQUESTS)) + 1
+        ),
+    )
 
 
 def _dequantize(level: int) -> float:
--- a/poplarrun/peers/_read_schedule.py
+++ b/poplarrun/peers/_read_schedule.py
@@ -72,7 +72,7 @@
         Whether a peer is known to have newer state than this host.
     """
 
-    times: ReadTimeouts = DEFAULT_READ_TIMEOUTS
+    timeouts: ReadTimeouts = DEFAULT_READ_TIMEOUTS
     is_behind: bool = False
 
     def wait_s(self, rank: int, confirmed_at: float, now: float) -> float:
@@ -87,5 +87,7 @@
         """
         if rank == 0 or self.is_behind:
             return 0.0
-        proof_timeout_s = self.times.proof_timeout_s + RANK_DELAY_S * min(rank - 1, MAX_RANK_STEPS)
+        proof_timeout_s = self.timeouts.proof_timeout_s + RANK_DELAY_S * min(
+            rank - 1, MAX_RANK_STEPS
+        )
         return max(0.0, confirmed_at + proof_timeout_s - now)
--- a/poplarrun/platform/_documents.py
+++ b/poplarrun/platform/_documents.py
@@ -180,10 +180,10 @@
 def _route(route: _Route) -> Route:
     if route.type not in REPEAT_BY_TYPE:
         raise MalformedDocument(f"routes.{route.name}.type: unknown type {route.type!r}")
-    shares = tuple(ServiceWeight(split.service, split.weight) for split in route.split)
-    if not shares and route.service is not None:
-        shares = (ServiceWeight(route.service, 1.0),)
-    if not shares:
+    service_weights = tuple(ServiceWeight(split.service, split.weight) for split in route.split)
+    if not service_weights and route.service is not None:
+        service_weights = (ServiceWeight(route.service, 1.0),)
+    if not service_weights:
         raise MalformedDocument(f"routes.{route.name}.service: missing, and there is no split")
     return Route(
         name=route.name,
@@ -196,7 +196,7 @@
             (route.gap_goal_ms or DEFAULT_GAP_MS) / MILLISECONDS_PER_S,
         ),
         priority=route.priority,
-        service_weights=shares,
+        service_weights=service_weights,
         max_attempts=route.max_attempts,
         is_public=route.public,
         is_resumable=route.resumable,
--- a/poplarrun/platform/_requests.py
+++ b/poplarrun/platform/_requests.py
@@ -88,7 +88,7 @@
                 f"{names.TIME_LEFT_MS}: {time_left_text[:40]!r} is not a whole number"
             )
         time_left_s = min(MAX_TIME_LEFT_S, int(time_left_text) / MILLISECONDS_PER_S)
-    prompt_tokens, most_tokens = _decode_tokens(by_name.get(names.TOKEN_COUNTS.lower(), ""))
+    prompt_tokens, max_tokens = _decode_tokens(by_name.get(names.TOKEN_COUNTS.lower(), ""))
     return Request(
         id=request_id,
         method=method,
@@ -100,7 +100,7 @@
         api_key=_decode_api_key(by_name.get(names.AUTHORIZATION.lower())),
         prompt_parts=_decode_parts(by_name.get(names.PROMPT_PARTS.lower(), "")),
         prompt_tokens=prompt_tokens,
-        max_tokens=most_tokens,
+        max_tokens=max_tokens,
         hinted_tokens=_decode_number(by_name.get(names.LENGTH_HINT.lower())),
         model=by_name.get(names.MODEL.lower()),
         session_id=by_name.get(names.SESSION.lower()),
--- a/poplarrun/rollouts/_sessions.py
+++ b/poplarrun/rollouts/_sessions.py
@@ -48,16 +48,16 @@
     _pinned: dict[tuple[str, int], OrderedDict[int, None]] = field(default_factory=dict)
     _unpublished: list[PinnedSession] = field(default_factory=list)
 
-    def record_send(self, key: SessionKey, give_up_at: float) -> None:
+    def record_send(self, key: SessionKey, deadline_at: float) -> None:
         """Record a request that may be running until its caller gives up."""
-        self._busy_until[key] = max(self._busy_until.get(key, 0.0), give_up_at)
+        self._busy_until[key] = max(self._busy_until.get(key, 0.0), deadline_at)
         self._busy_until.move_to_end(key)
         if len(self._busy_until) > MAX_SESSIONS:
             self._busy_until.popitem(last=False)
 
-    def record_end(self, key: SessionKey, give_up_at: float, now: float) -> None:
+    def record_end(self, key: SessionKey, deadline_at: float, now: float) -> None:
         """Record the end of a request; another one may still be running."""
-        if self._busy_until.get(key, 0.0) <= give_up_at:
+        if self._busy_until.get(key, 0.0) <= deadline_at:
             self._busy_until[key] = now
 
     def pin(self, session: PinnedSession) -> None:
--- a/poplarrun/versions/_rollouts.py
+++ b/poplarrun/versions/_rollouts.py
@@ -222,8 +222,8 @@
     if previous.rejected or previous.serves or record.number != previous.grants:
         return state
     shares = dict(previous.shares)
-    for holder, share in record.shares.items():
-        shares[holder] = shares.get(holder, 0) + share
+    for process_name, share in record.shares.items():
+        shares[process_name] = shares.get(process_name, 0) + share
     after = RolloutState(record.number + 1, record.stage, shares)
     return replace(state, states={**state.states, key: after})
 
