--- a/features/admission.feature
+++ b/features/admission.feature
@@ -1,7 +1,7 @@
 Feature: Admission before a request starts
 
   Background:
-    Given a dispatch over engines "e1, e2" of 4 places
+    Given a dispatcher over engines "e1, e2" of 4 slots
 
   Scenario: A request that can't start in time is refused at once
     # Both engines are full and ten requests are queued. The refusal says when to retry, and
@@ -24,7 +24,7 @@
     # other hosts' engines have a few free slots. If the whole pool is nearly full, all hosts
     # that rely on such a report send there at once, and the most important requests wait
     # there behind those of others. If the pool isn't full, those slots must be used.
-    Given a dispatch over engines "own, other, third" of 40 places
+    Given a dispatcher over engines "own, other, third" of 40 slots
     And engine "own" belongs to this host and finishes a request in 1.0 s
     When 40 chats of importance 5 start at 0.0
     And engine "other" reports <running> requests, 200 times until 0.1
--- a/features/refusing_engines.feature
+++ b/features/refusing_engines.feature
@@ -5,7 +5,7 @@
     # again four times a second, like an engine that was full for a moment, a request would hit
     # three of them in a row and be refused, and the retry budget would be exhausted, although
     # the remaining engines have the capacity for all requests.
-    Given a dispatch over engines "e1, e2, e3, e4, e5, e6" of 8 places
+    Given a dispatcher over engines "e1, e2, e3, e4, e5, e6" of 8 slots
     And all but <well> of them refuse
     When 120 chats start, one every 0.2 s, and are refused or answered by their engines
     Then at most <refused> of them are refused
@@ -19,7 +19,7 @@
   Scenario: All engines refuse for a while, and then recover
     # They must be used again soon after that, or the pool would stay idle. Only as many are
     # tried again as the load needs, here four with eight slots each.
-    Given a dispatch over engines "e1, e2, e3, e4, e5, e6" of 8 places
+    Given a dispatcher over engines "e1, e2, e3, e4, e5, e6" of 8 slots
     And all but 0 of them refuse
     When 50 chats start, one every 0.2 s, and are refused or answered by their engines
     And all engines have recovered for 2 s
--- a/features/retries.feature
+++ b/features/retries.feature
@@ -30,7 +30,7 @@
     And the delays after attempt 2 lie between 0.0 and 0.04 s and differ
 
   Scenario: A retry goes to another engine first
-    Given a dispatch over engines "e1, e2" of 4 places
+    Given a dispatcher over engines "e1, e2" of 4 slots
     When a chat of importance 5 starts at 0.0
     And its attempt breaks at 0.1 with "connect", not started
     Then its second attempt is at the other engine
@@ -38,12 +38,12 @@
   Scenario: A refusal after an attempt that started doesn't say "not run"
     # The first engine's connection broke, then all engines became unreachable. "not run"
     # would be wrong, since the first engine may have generated an answer.
-    Given a dispatch over engines "e1" of 4 places
+    Given a dispatcher over engines "e1" of 4 slots
     When a chat of importance 5 starts at 0.0
     And its attempt breaks at 0.1 with "broken", started
     And its attempt breaks at 0.2 with "broken", started
     And its attempt breaks at 0.3 with "broken", started
-    Then the dispatch gives up with "endpoint_failed"
+    Then the dispatcher gives up with "endpoint_failed"
 
   Scenario: A burst of retries may use what the requests of the whole window earned
     # Doubtful answers come in bursts. A token bucket that holds only a few retries would
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -12,7 +12,7 @@
 MAX_QUEUED = 4
 
 
-@given('a dispatch over engines "{names}" of {capacity:d} places')
+@given('a dispatcher over engines "{names}" of {capacity:d} slots')
 def step_engine_dispatcher(context, names, capacity):
     context.endpoint_table = EndpointTable("a", random.Random(1))
     context.endpoint_table.apply_host_list(tuple(engine(name, "a") for name in names_of(names)))
@@ -113,7 +113,7 @@
     assert context.job.choice.endpoint.name != context.first
 
 
-@then('the dispatch gives up with "{kind}"')
+@then('the dispatcher gives up with "{kind}"')
 def step_retry_refused(context, kind):
     assert context.decision.kind.value == kind, context.decision
 
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -118,9 +118,9 @@
 @given("a document follower whose store does not answer the second read")
 def step_follower(context):
     context.store = SilentOnceStore(silent=2)
-    reading = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
+    reader = SharedReader(DOCUMENTS, PeerTable("10.0.0.1:1", "a"))
     context.follower = DocumentFollower(
-        context.store, ConfigView(), Rollouts(), lambda: None, reading
+        context.store, ConfigView(), Rollouts(), lambda: None, reader
     )
 
 
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -23,9 +23,11 @@
 
 
 def make_route(prefix="/", repeat=RepeatPolicy.STREAM, rank=1, attempts=3, name="draft"):
-    shares = (ServiceWeight("engines", 1.0),)
+    service_weights = (ServiceWeight("engines", 1.0),)
     sizes = ("small", "large")
-    return Route(name, "shop", prefix, repeat, PACE, rank, shares, attempts, False, True, sizes)
+    return Route(
+        name, "shop", prefix, repeat, PACE, rank, service_weights, attempts, False, True, sizes
+    )
 
 
 def make_catalogue(version=1, routes=None, keys=("key",)):
@@ -43,7 +45,7 @@
     )  # fmt: skip
 
 
-def make_listing(name, version="v1", sequence=1, started_ms=1, zone="a"):
+def make_endpoint_record(name, version="v1", sequence=1, started_ms=1, zone="a"):
     return EndpointRecord(
         name, "engines", "127.0.0.1:1", zone, version, 8, False, 0.0, started_ms, sequence
     )
@@ -51,7 +53,9 @@
 
 def make_placement(count):
     placement = Placement("a", random.Random(3))
-    placement.update_endpoints([make_listing(f"engine-{number}") for number in range(count)])
+    placement.update_endpoints(
+        [make_endpoint_record(f"engine-{number}") for number in range(count)]
+    )
     return placement
 
 
--- a/features/steps/large_fleets.py
+++ b/features/steps/large_fleets.py
@@ -138,13 +138,13 @@
 @when('the hosts of zone "{zone}" are partitioned into two halves for {seconds:f} s')
 def step_halves(context, zone, seconds):
     fleet = context.fleet
-    near = [host.address for host in fleet.hosts if host.zone == zone]
-    fleet.cut_hosts(near[::2], near[1::2])
+    addresses = [host.address for host in fleet.hosts if host.zone == zone]
+    fleet.cut_hosts(addresses[::2], addresses[1::2])
     run(context, asyncio.sleep(seconds))
     parts = {
         len(host.peering.peer_table.zone_peers(context.loop.time())) for host in fleet.hosts[::3]
     }
-    assert max(parts) < len(near) - 1, parts
+    assert max(parts) < len(addresses) - 1, parts
     fleet.heal()
 
 
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from features.steps.gateway_world import ENGINES, make_listing, make_placement, make_work
+from features.steps.gateway_world import ENGINES, make_endpoint_record, make_placement, make_work
 from poplarrun.peers import Digest, PeerTable
 from poplarrun.placement import DirectoryEvent, EndpointDirectory, Placement
 from poplarrun.routing import PromptPart
@@ -17,7 +17,7 @@
 @given('a directory that lists "{instance_id}" with record {sequence:d}')
 def step_directory(context, instance_id, sequence):
     context.directory = EndpointDirectory()
-    context.directory.apply(make_listing(instance_id, sequence=sequence), 0.0)
+    context.directory.apply(make_endpoint_record(instance_id, sequence=sequence), 0.0)
 
 
 @given('a directory that lists "{instance_id}" with record {sequence:d} and then removes it')
@@ -33,7 +33,9 @@
 
 @when('record {sequence:d} of "{instance_id}" arrives')
 def step_record_arrives(context, sequence, instance_id):
-    context.event = context.directory.apply(make_listing(instance_id, sequence=sequence), 2.0)
+    context.event = context.directory.apply(
+        make_endpoint_record(instance_id, sequence=sequence), 2.0
+    )
 
 
 @then("the directory lists nothing")
@@ -49,7 +51,7 @@
 
 @when("record {sequence:d} of its second start arrives")
 def step_restart_record(context, sequence):
-    record = make_listing("e1", sequence=sequence, started_ms=2)
+    record = make_endpoint_record("e1", sequence=sequence, started_ms=2)
     context.event = context.directory.apply(record, 2.0)
 
 
@@ -103,7 +105,9 @@
 )
 def step_zones(context, zones, others):
     context.placement = Placement("a", random.Random(3))
-    context.placement.update_endpoints([make_listing(f"in-{z}", zone=z) for z in zones.split(", ")])
+    context.placement.update_endpoints(
+        [make_endpoint_record(f"in-{z}", zone=z) for z in zones.split(", ")]
+    )
     context.peer_table = PeerTable("10.0.0.1:1", "a")
     for zone in others.split(", "):
         receive_digest(context, zone, 100.0)
--- a/features/steps/proving.py
+++ b/features/steps/proving.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.steps.gateway_world import ENGINES, make_listing, make_work
+from features.steps.gateway_world import ENGINES, make_endpoint_record, make_work
 from poplarrun.placement import Placement
 from poplarrun.rollouts import UNDER_LOAD, AnswerStatistics, Tally
 
@@ -51,7 +51,9 @@
     context.placements = []
     for number in range(hosts):
         placement = Placement("a", random.Random(number))
-        placement.update_endpoints([make_listing(f"engine-{place}") for place in range(count)])
+        placement.update_endpoints(
+            [make_endpoint_record(f"engine-{place}") for place in range(count)]
+        )
         context.placements.append(placement)
 
 
--- a/features/steps/rollouts.py
+++ b/features/steps/rollouts.py
@@ -5,7 +5,7 @@
 from features.steps.gateway_world import (
     make_catalogue,
     make_dispatch,
-    make_listing,
+    make_endpoint_record,
     make_request,
     make_work,
 )
@@ -96,7 +96,9 @@
     config_view.apply_catalogue(make_catalogue())
     config_view.confirm(100.0)
     context.dispatcher = make_dispatch(config_view)
-    context.dispatcher.placement.update_endpoints([make_listing("old"), make_listing("new", "v2")])
+    context.dispatcher.placement.update_endpoints(
+        [make_endpoint_record("old"), make_endpoint_record("new", "v2")]
+    )
     for number in range(40):
         send_to(context, "old", number, 100.0, 100.0 + usual)
 
--- a/features/steps/sizes.py
+++ b/features/steps/sizes.py
@@ -9,9 +9,9 @@
 
 # Greatest difficulty, 0 to 1, of a request that the small model answers well.
 MAX_SMALL_MODEL_DIFFICULTY = 0.54
-# Decrease of the confidence per unit of difficulty, and its standard error.
+# Decrease of the confidence per unit of difficulty, and its standard deviation.
 CONFIDENCE_SLOPE = 1.6
-CONFIDENCE_STANDARD_ERROR = 0.1
+CONFIDENCE_STANDARD_DEVIATION = 0.1
 # Confidence of an answer that is good with a probability of one half.
 MIDPOINT = 0.5
 
@@ -75,7 +75,7 @@
         difficulty = source.random()
         is_good = difficulty <= MAX_SMALL_MODEL_DIFFICULTY
         confidence = 0.5 + CONFIDENCE_SLOPE * (MAX_SMALL_MODEL_DIFFICULTY - difficulty)
-        confidence = min(1.0, max(0.0, source.gauss(confidence, CONFIDENCE_STANDARD_ERROR)))
+        confidence = min(1.0, max(0.0, source.gauss(confidence, CONFIDENCE_STANDARD_DEVIATION)))
         escalated = is_escalated(confidence, context.estimate)
         context.good += is_good or escalated
         context.in_vain += is_good and escalated
